--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -137,6 +137,8 @@
         override fun steadyMs(): Long = System.nanoTime() / 1_000_000
 
         override fun wallMs(): Long = System.currentTimeMillis()
+
+        override fun nanoTime(): Long = System.nanoTime()
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -90,7 +90,7 @@
 
     /** Works through what is in the queue now. */
     fun drain() {
-        val began = System.nanoTime()
+        val began = clock.nanoTime()
         var left = queue.size
         while (left-- > 0) {
             val command = queue.poll() ?: break
@@ -106,7 +106,7 @@
             answerWaiting()
         }
         leading()?.flush()
-        load.stepped(System.nanoTime() - began)
+        load.stepped(clock.nanoTime() - began)
     }
 
     /** Whether users and workers can be served here, or at least no worse than elsewhere. */
--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -158,13 +158,13 @@
 
     private fun plan(types: Map<TypeName, MachineType>, now: Long) {
         fleet.planWanted = false
-        val began = System.nanoTime()
+        val began = clock.nanoTime()
         val mayMove = now >= nextMoveAt
         val snapshot = planning.snapshot(types, mayMove)
         val plan = Planner(snapshot).plan()
         if (log.isDebugEnabled) log.debug("{}", PlanSummary(plan, snapshot))
         planning.apply(plan)
-        val tookNs = System.nanoTime() - began
+        val tookNs = clock.nanoTime() - began
         load.planned(tookNs, plan.priced)
         if (plan.starts.isNotEmpty() || plan.stops.isNotEmpty()) {
             val count = "${plan.starts.size} starts, ${plan.stops.size} stops"
--- a/src/main/kotlin/oxbowlug/core/Ports.kt
+++ b/src/main/kotlin/oxbowlug/core/Ports.kt
@@ -17,6 +17,9 @@
     fun steadyMs(): Long
 
     fun wallMs(): Long
+
+    /** Nanoseconds since some moment, for how long this process's own work takes. */
+    fun nanoTime(): Long
 }
 
 /*
--- /dev/null
+++ b/src/test/kotlin/oxbowlug/cli/HelpTextTest.kt
@@ -0,0 +1,27 @@
+package oxbowlug.cli
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+import java.io.ByteArrayOutputStream
+import java.io.PrintStream
+
+class HelpTextTest {
+    @Test
+    fun `the help and the version are the texts they were`() {
+        val expected = javaClass.getResource("/production/help.txt")!!.readText()
+        val printed = printedBy("--help") + printedBy("--version")
+        assertEquals(expected.replace("\r\n", "\n").trimEnd(), printed.replace("\r\n", "\n").trimEnd())
+    }
+
+    private fun printedBy(option: String): String {
+        val usual = System.out
+        val bytes = ByteArrayOutputStream()
+        System.setOut(PrintStream(bytes, true))
+        try {
+            main(arrayOf(option))
+        } finally {
+            System.setOut(usual)
+        }
+        return bytes.toString()
+    }
+}
--- a/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
@@ -40,13 +40,7 @@
     private val first = JobId("run-000001")
     private val second = JobId("run-000002")
 
-    private val clock = object : Clock {
-        var now = 100_000L
-
-        override fun steadyMs() = now
-
-        override fun wallMs() = now
-    }
+    private val clock = ManualClock()
 
     /** Attempts that run on the machine. */
     private val running = LinkedHashSet<Attempt>()
--- a/src/test/kotlin/oxbowlug/core/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/core/FleetTest.kt
@@ -32,13 +32,7 @@
 
 /** When an attempt is gone, and when it only seems so. */
 class FleetTest {
-    private class HandClock(var now: Long = 100_000) : Clock {
-        override fun steadyMs() = now
-
-        override fun wallMs() = now
-    }
-
-    private val clock = HandClock()
+    private val clock = ManualClock()
     private val settings = SettingsFile.parse(SettingsTexts.valid, Policy())
     private val timing = Timing(settings, Random(1))
     private val token = Token(5)
--- a/src/test/kotlin/oxbowlug/core/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/core/LateAnswersTest.kt
@@ -12,13 +12,7 @@
 
 /** Answers of the state service that come when what they were about is no more. */
 class LateAnswersTest {
-    private val clock = object : Clock {
-        var now = 100_000L
-
-        override fun steadyMs() = now
-
-        override fun wallMs() = now
-    }
+    private val clock = ManualClock()
     private val store = SimStore(World(1), historyLimit = 2)
     private val timing = Timing(SettingsFile.parse(SettingsTexts.valid), Random(1))
     private val watches = ArrayList<(ChangesOutcome) -> Unit>()
--- a/src/test/kotlin/oxbowlug/core/PeerHealthTest.kt
+++ b/src/test/kotlin/oxbowlug/core/PeerHealthTest.kt
@@ -23,16 +23,11 @@
             Case("those who were without it are silent", 2, mapOf("n1" to false), 60_000, true),
         )
         for (case in cases) {
-            var now = 1_000L
-            val clock = object : Clock {
-                override fun steadyMs() = now
-
-                override fun wallMs() = now
-            }
+            val clock = ManualClock(now = 1_000)
             val timing = Timing(SettingsFile.parse(SettingsTexts.valid), Random(1))
             val peerHealth = PeerHealth(case.peers, clock, timing)
             for ((label, sees) in case.heard) peerHealth.hear(PeerHeartbeat(Member(label, "x"), 1, null, sees))
-            now += case.later
+            clock.now += case.later
             assertEquals(case.other, peerHealth.someoneElseSeesState(), case.name)
         }
     }
--- a/src/test/kotlin/oxbowlug/core/PresentBasisTest.kt
+++ b/src/test/kotlin/oxbowlug/core/PresentBasisTest.kt
@@ -13,13 +13,7 @@
 
 /** What the log says beside a decision. */
 class PresentBasisTest {
-    private val clock = object : Clock {
-        var now = 100_000L
-
-        override fun steadyMs() = now
-
-        override fun wallMs() = now
-    }
+    private val clock = ManualClock()
     private val self = Member("n0", "x")
     private val store = SimStore(World(1), historyLimit = 2)
     private val timing = Timing(SettingsFile.parse(SettingsTexts.valid), Random(1))
--- a/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
@@ -28,13 +28,7 @@
     private val zone = Zone("b")
     private var isAway = false
 
-    private val clock = object : Clock {
-        var now = 100_000L
-
-        override fun steadyMs() = now
-
-        override fun wallMs() = now
-    }
+    private val clock = ManualClock()
 
     /** Answers at once, or not at all. */
     private inner class Port : StatePort {
--- a/src/test/kotlin/oxbowlug/core/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/core/TestDoubles.kt
@@ -18,6 +18,15 @@
     override fun onWritableFormat(format: WritableFormat) = Unit
 }
 
+/** Stands still until a test sets it. */
+class ManualClock(var now: Long = 100_000) : Clock {
+    override fun steadyMs() = now
+
+    override fun wallMs() = now
+
+    override fun nanoTime() = now * 1_000_000
+}
+
 /** For tests of decisions, not of what is logged beside them. */
 val noBasis = object : DecisionBasis {
     override val mayDecide = true
--- a/src/test/kotlin/oxbowlug/sim/DriftingClock.kt
+++ b/src/test/kotlin/oxbowlug/sim/DriftingClock.kt
@@ -9,6 +9,9 @@
 
     override fun wallMs(): Long = BASE_MS + world.nowMs + offMs
 
+    /** On virtual time the process's own work takes none. */
+    override fun nanoTime(): Long = world.nowMs * 1_000_000
+
     private companion object {
         const val BASE_MS = 1_700_000_000_000L
     }
--- /dev/null
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -0,0 +1,177 @@
+package oxbowlug.sim
+
+import oxbowlug.config.Address
+import oxbowlug.core.CancellationNotice
+import oxbowlug.core.ChangesOutcome
+import oxbowlug.core.CloudPort
+import oxbowlug.core.CommitOutcome
+import oxbowlug.core.DirectOutcome
+import oxbowlug.core.PeerHeartbeat
+import oxbowlug.core.PeerPort
+import oxbowlug.core.RentalOutcome
+import oxbowlug.core.ReportAnswer
+import oxbowlug.core.StatePort
+import oxbowlug.core.TouchOutcome
+import oxbowlug.core.UserAnswer
+import oxbowlug.core.WorkerPort
+import oxbowlug.peer.PeerFrames
+import oxbowlug.standin.World
+import oxbowlug.wire.AnswerCodec
+import oxbowlug.wire.Cbor
+import oxbowlug.wire.CloudCodec
+import oxbowlug.wire.ListedMachine
+import oxbowlug.wire.MachineId
+import oxbowlug.wire.MachineType
+import oxbowlug.wire.ReadPage
+import oxbowlug.wire.RentalRequest
+import oxbowlug.wire.StoreCodec
+import oxbowlug.wire.Token
+import oxbowlug.wire.Transaction
+import oxbowlug.wire.WorkerCodec
+import oxbowlug.wire.WorkerCommand
+import oxbowlug.wire.WorkerReport
+import java.security.MessageDigest
+import java.util.HexFormat
+
+/**
+ * A digest of everything that leaves the controllers of a simulated day through their ports, each with its simulated
+ * time and sender. Messages are taken as their bytes on the wire, so names inside the program don't count.
+ */
+class PortTrace {
+    private val digest = MessageDigest.getInstance("SHA-256")
+
+    /** How many messages were taken. */
+    var messages = 0
+        private set
+
+    /** Sixteen hexadecimal digits over all messages so far. */
+    fun digest(): String {
+        val soFar = digest.clone() as MessageDigest
+        return HexFormat.of().formatHex(soFar.digest()).take(DIGITS)
+    }
+
+    fun note(atMs: Long, sender: String, what: String, body: ByteArray = ByteArray(0)) {
+        messages++
+        digest.update("$atMs $sender $what ${body.size}\n".encodeToByteArray())
+        digest.update(body)
+    }
+
+    fun heartbeat(atMs: Long, sender: String, heartbeat: PeerHeartbeat) =
+        note(atMs, sender, "heartbeat", PeerFrames.encode(heartbeat).readByteArray())
+
+    fun reportAnswer(atMs: Long, sender: String, report: WorkerReport, answer: ReportAnswer) {
+        val (status, body) = when (answer) {
+            is ReportAnswer.Taken -> 200 to WorkerCodec.encodeAnswer(answer.token, answer.commands)
+            is ReportAnswer.Redirect -> 421 to AnswerCodec.redirect(answer.label)
+            ReportAnswer.Unavailable -> 503 to emptyMap()
+        }
+        note(atMs, sender, "report ${report.machine.value} $status", Cbor.encode(body))
+    }
+
+    fun userAnswer(atMs: Long, answer: UserAnswer?) {
+        val (status, body) = when (answer) {
+            null -> 0 to emptyMap()
+            is UserAnswer.Accepted -> 201 to AnswerCodec.accepted(answer.view)
+            is UserAnswer.Known -> 200 to AnswerCodec.polled(answer.view)
+            is UserAnswer.Malformed -> 400 to AnswerCodec.problem(answer.problem)
+            is UserAnswer.Rejected -> 422 to AnswerCodec.problem(answer.problem)
+            UserAnswer.NotFound -> 404 to emptyMap()
+            is UserAnswer.Unavailable -> 503 to AnswerCodec.problem(answer.why)
+            is UserAnswer.Overloaded -> 429 to emptyMap()
+        }
+        note(atMs, "user", "$status", Cbor.encode(body))
+    }
+
+    private companion object {
+        const val DIGITS = 16
+    }
+}
+
+/** Ports of one controller, each call of which is noted before it is made. */
+class TracedPorts(
+    private val world: World,
+    private val label: String,
+    private val trace: PortTrace,
+    private val state: StatePort,
+    private val cloud: CloudPort,
+    private val workers: WorkerPort,
+    private val peers: PeerPort,
+) : StatePort, CloudPort, WorkerPort, PeerPort {
+    private fun note(what: String, body: ByteArray = ByteArray(0)) = trace.note(world.nowMs, label, what, body)
+
+    override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) {
+        note("commit", Cbor.encode(StoreCodec.encode(transaction)))
+        state.commit(transaction, done)
+    }
+
+    override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) {
+        note("read $prefix $after")
+        state.readPage(prefix, after, done)
+    }
+
+    override fun changes(prefix: String, from: Long, waitMs: Long, done: (ChangesOutcome) -> Unit) {
+        note("changes $prefix $from $waitMs")
+        state.changes(prefix, from, waitMs, done)
+    }
+
+    override fun grant(lifeMs: Long, done: (Long?) -> Unit) {
+        note("grant $lifeMs")
+        state.grant(lifeMs, done)
+    }
+
+    override fun touch(lease: Long, done: (TouchOutcome) -> Unit) {
+        note("touch $lease")
+        state.touch(lease, done)
+    }
+
+    override fun release(lease: Long) {
+        note("release $lease")
+        state.release(lease)
+    }
+
+    override fun types(done: (List<MachineType>?) -> Unit) {
+        note("types")
+        cloud.types(done)
+    }
+
+    override fun rent(request: RentalRequest, done: (RentalOutcome) -> Unit) {
+        note("rent", Cbor.encode(CloudCodec.encodeRental(request)))
+        cloud.rent(request, done)
+    }
+
+    override fun returnMachines(machines: List<MachineId>, done: (Boolean) -> Unit) {
+        note("return", Cbor.encode(CloudCodec.encodeReturn(machines)))
+        cloud.returnMachines(machines, done)
+    }
+
+    override fun list(done: (List<ListedMachine>?) -> Unit) {
+        note("list")
+        cloud.list(done)
+    }
+
+    override fun status(endpoint: Address, done: (WorkerReport?) -> Unit) {
+        note("status $endpoint")
+        workers.status(endpoint, done)
+    }
+
+    override fun command(
+        endpoint: Address,
+        token: Token,
+        session: Long,
+        commands: List<WorkerCommand>,
+        done: (DirectOutcome) -> Unit,
+    ) {
+        note("command $endpoint", Cbor.encode(WorkerCodec.encodeDirect(token, session, commands)))
+        workers.command(endpoint, token, session, commands, done)
+    }
+
+    override fun send(label: String, word: CancellationNotice) {
+        note("to $label", PeerFrames.encode(word).readByteArray())
+        peers.send(label, word)
+    }
+
+    override fun heartbeatChanged() {
+        note("heartbeat changed")
+        peers.heartbeatChanged()
+    }
+}
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -83,6 +83,9 @@
     private val clock = DriftingClock(world, world.random.nextDouble(0.0, 0.0005), world.between(-50, 50))
     private var lives = 0
 
+    /** Is told of all that leaves this controller, if anything. */
+    var trace: PortTrace? = null
+
     /** The version before: announces no data format, and doesn't see what came after it. */
     var isOld = false
     private var core: Core? = null
@@ -129,11 +132,16 @@
         val life = ++lives
         // Ports belong to one life of the process: what comes back for an earlier one reaches nobody.
         val ports = Ports(life)
+        val outside = trace?.let { TracedPorts(world, label, it, ports, ports, ports, ports) }
+        val state: StatePort = outside ?: ports
+        val cloud: CloudPort = outside ?: ports
+        val workers: WorkerPort = outside ?: ports
+        val peers: PeerPort = outside ?: ports
         var draining = false
         val random = Random(world.random.nextLong())
         val self = Member(label, "life$life-${random.nextInt(1_000_000)}")
         lateinit var started: Core
-        started = Core(settings, self, ports, ports, ports, clock, Counting(), random, ports) {
+        started = Core(settings, self, state, cloud, workers, clock, Counting(), random, peers) {
             if (!draining) {
                 draining = true
                 world.after(pauseLeftMs) {
@@ -153,6 +161,7 @@
         for (peer in peers()) {
             if (peer === this) continue
             val heartbeat = running.heartbeat()
+            trace?.heartbeat(world.nowMs, label, heartbeat)
             deliver(peer, usualMs = 0) { it.offer(Command.PeerHeartbeatReceived(heartbeat)) }
         }
         world.after(50) { tick(life, running) }
@@ -194,6 +203,7 @@
         else
             running.offer(
                 Command.Report(report) {
+                    trace?.reportAnswer(world.nowMs, label, report, it)
                     if (!isCut()) answer(it)
                 }
             )
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -109,6 +109,14 @@
         }
     }
 
+    /** From the first moment on [trace] is told of all that leaves the controllers and of all that users are told. */
+    fun trace(trace: PortTrace) {
+        userTrace = trace
+        for (node in nodes) node.trace = trace
+    }
+
+    private var userTrace: PortTrace? = null
+
     private fun peers() = nodes
 
     private fun byEndpoint(address: Address) = cloud.at(address.toString())
@@ -347,6 +355,7 @@
         val reply: (UserAnswer?) -> Unit = { answer ->
             if (!answered) {
                 answered = true
+                userTrace?.userAnswer(world.nowMs, answer)
                 told(answer)
             }
         }
