--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -16,11 +16,11 @@
 import oxbowlug.core.Clock
 import oxbowlug.core.Command
 import oxbowlug.core.Core
-import oxbowlug.core.Member
 import oxbowlug.core.Timing
 import oxbowlug.http.HttpCaller
 import oxbowlug.peer.PeerLink
 import oxbowlug.peer.PeerMessage
+import oxbowlug.record.Member
 import oxbowlug.state.StateClient
 import oxbowlug.worker.WorkerClient
 import java.io.File
--- a/src/main/kotlin/oxbowlug/core/Authority.kt
+++ b/src/main/kotlin/oxbowlug/core/Authority.kt
@@ -1,6 +1,11 @@
 package oxbowlug.core
 
 import org.slf4j.LoggerFactory
+import oxbowlug.record.DataFormat
+import oxbowlug.record.Keys
+import oxbowlug.record.Member
+import oxbowlug.record.View
+import oxbowlug.record.WritableFormat
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.Token
--- a/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
@@ -3,6 +3,7 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
+import oxbowlug.record.Member
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/core/CancellationFreshness.kt
@@ -1,6 +1,7 @@
 package oxbowlug.core
 
 import oxbowlug.config.Settings
+import oxbowlug.record.Member
 
 /**
  * Up to when this controller surely knows every cancellation that was confirmed anywhere. One that keeps leases alive
--- a/src/main/kotlin/oxbowlug/core/Cancellations.kt
+++ b/src/main/kotlin/oxbowlug/core/Cancellations.kt
@@ -2,6 +2,9 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Member
+import oxbowlug.record.Phase
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/Command.kt
+++ b/src/main/kotlin/oxbowlug/core/Command.kt
@@ -1,5 +1,6 @@
 package oxbowlug.core
 
+import oxbowlug.record.Member
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpec
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -3,6 +3,11 @@
 import org.agrona.concurrent.ManyToOneConcurrentArrayQueue
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
+import oxbowlug.record.Keys
+import oxbowlug.record.Member
+import oxbowlug.record.Names
+import oxbowlug.record.View
+import oxbowlug.record.WritableFormat
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/Dependencies.kt
+++ b/src/main/kotlin/oxbowlug/core/Dependencies.kt
@@ -1,5 +1,6 @@
 package oxbowlug.core
 
+import oxbowlug.record.Phase
 import oxbowlug.wire.JobId
 
 /** What the jobs that a job names as its predecessors mean for it. It only ever moves forward. */
--- a/src/main/kotlin/oxbowlug/core/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/core/FormatUpgrade.kt
@@ -2,6 +2,10 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
+import oxbowlug.record.DataFormat
+import oxbowlug.record.Keys
+import oxbowlug.record.View
+import oxbowlug.record.WritableFormat
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.Transaction
--- a/src/main/kotlin/oxbowlug/core/JobRequests.kt
+++ b/src/main/kotlin/oxbowlug/core/JobRequests.kt
@@ -3,6 +3,13 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
 import oxbowlug.plan.amounts
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Keys
+import oxbowlug.record.Names
+import oxbowlug.record.Phase
+import oxbowlug.record.RecordLayout
+import oxbowlug.record.StoredForm
+import oxbowlug.record.WritableFormat
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.JobId
--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -6,6 +6,9 @@
 import oxbowlug.plan.Planner
 import oxbowlug.plan.Pricing
 import oxbowlug.plan.Snapshot
+import oxbowlug.record.Names
+import oxbowlug.record.View
+import oxbowlug.record.WritableFormat
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MachineState
--- a/src/main/kotlin/oxbowlug/core/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/core/PeerHealth.kt
@@ -1,5 +1,7 @@
 package oxbowlug.core
 
+import oxbowlug.record.Member
+
 /**
  * How the other controllers fare. In an outage of the state service they are all without it, and if all then called
  * themselves unhealthy, users would reach nobody, not even to be told when to come back, and nobody for some seconds
--- a/src/main/kotlin/oxbowlug/core/Planning.kt
+++ b/src/main/kotlin/oxbowlug/core/Planning.kt
@@ -10,6 +10,11 @@
 import oxbowlug.plan.Snapshot
 import oxbowlug.plan.Tenant
 import oxbowlug.plan.fetchS
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Phase
+import oxbowlug.record.Ranges
+import oxbowlug.record.RecordLayout
+import oxbowlug.record.WritableFormat
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobKind
--- a/src/main/kotlin/oxbowlug/core/RenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/core/RenewalDelegate.kt
@@ -1,32 +1,10 @@
 package oxbowlug.core
 
+import oxbowlug.record.Member
 import oxbowlug.region.Regions
 import oxbowlug.wire.Token
 import oxbowlug.wire.WorkerReport
 import oxbowlug.wire.Zone
-import oxbowlug.wire.fields
-
-/** Whom the leader with [token] named for each zone, as the state service has it. */
-data class DelegateAssignments(val token: Token, val byZone: Map<Zone, Member>, val version: Long) {
-    fun encode(): Map<String, Any?> = mapOf(
-        "token" to token.value,
-        "zones" to byZone.entries.associate { (zone, member) ->
-            zone.value to mapOf("label" to member.label, "incarnation" to member.incarnation)
-        },
-    )
-
-    companion object {
-        fun decode(value: Map<String, Any?>, version: Long): DelegateAssignments {
-            val fields = value.fields()
-            val zones = fields.map("zones")
-            val byZone = zones.keys.associate { zone ->
-                val named = zones.fields().map(zone).fields()
-                Zone(zone) to Member(named.text("label"), named.text("incarnation"))
-            }
-            return DelegateAssignments(Token(fields.count("token")), byZone, version)
-        }
-    }
-}
 
 /**
  * What a named controller may do while its zone is cut off: renew the leases of the zone's workers with the leader's
--- a/src/main/kotlin/oxbowlug/core/RenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/core/RenewalDelegates.kt
@@ -2,6 +2,10 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
+import oxbowlug.record.DelegateAssignments
+import oxbowlug.record.Keys
+import oxbowlug.record.Member
+import oxbowlug.record.View
 import oxbowlug.region.DelegateChoice
 import oxbowlug.region.DelegateChoice.Candidate
 import oxbowlug.wire.Change
--- a/src/main/kotlin/oxbowlug/core/Rentals.kt
+++ b/src/main/kotlin/oxbowlug/core/Rentals.kt
@@ -5,6 +5,7 @@
 import oxbowlug.config.Settings
 import oxbowlug.plan.Kind
 import oxbowlug.plan.Refusal
+import oxbowlug.record.Names
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.ListedMachine
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/Replica.kt
+++ b/src/main/kotlin/oxbowlug/core/Replica.kt
@@ -2,6 +2,13 @@
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap
 import org.slf4j.LoggerFactory
+import oxbowlug.record.DataFormat
+import oxbowlug.record.DelegateAssignments
+import oxbowlug.record.Keys
+import oxbowlug.record.Member
+import oxbowlug.record.Phase
+import oxbowlug.record.View
+import oxbowlug.record.WritableFormat
 import oxbowlug.wire.Entry
 import oxbowlug.wire.Event
 import oxbowlug.wire.InvalidField
--- a/src/main/kotlin/oxbowlug/core/StoredJob.kt
+++ b/src/main/kotlin/oxbowlug/core/StoredJob.kt
@@ -1,5 +1,8 @@
 package oxbowlug.core
 
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Phase
+import oxbowlug.record.Ranges
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobKind
--- a/src/main/kotlin/oxbowlug/core/StoredParts.kt
+++ b/src/main/kotlin/oxbowlug/core/StoredParts.kt
@@ -1,5 +1,7 @@
 package oxbowlug.core
 
+import oxbowlug.record.Keys
+import oxbowlug.record.RecordLayout
 import oxbowlug.wire.Event
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobId
--- a/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
@@ -6,10 +6,10 @@
 import oxbowlug.core.Cancellation
 import oxbowlug.core.CancellationNotice
 import oxbowlug.core.HeartbeatEcho
-import oxbowlug.core.JobRecord
-import oxbowlug.core.Member
 import oxbowlug.core.PeerHeartbeat
-import oxbowlug.core.Phase
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Member
+import oxbowlug.record.Phase
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.InvalidField
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -0,0 +1,92 @@
+package oxbowlug.record
+
+import oxbowlug.wire.Fields
+import oxbowlug.wire.InvalidField
+import oxbowlug.wire.JobSpec
+import oxbowlug.wire.JobSpecCodec
+import oxbowlug.wire.MachineId
+import oxbowlug.wire.fields
+import java.util.BitSet
+
+data class Placement(val machine: MachineId, val attempt: Long)
+
+/** What the state service holds of a job. Done tasks and placements are written as ranges of task numbers. */
+class JobRecord(
+    val spec: JobSpec,
+    val submittedMs: Long,
+    val phase: Phase,
+    val done: BitSet,
+    val nextAttempt: Long,
+    val placements: Map<Int, Placement>,
+    /** Names the write, so that its author knows its own change again when the answer was lost. */
+    val write: String,
+    /** By the time of day, when its user was about to be told; a later leader counts the time allowed from there. */
+    val cancelledMs: Long? = null,
+    /** In how many parts it is stored beside its head. */
+    val partCount: Int = 0,
+) {
+    fun encode(): Map<String, Any?> {
+        val map = LinkedHashMap<String, Any?>()
+        map["spec"] = JobSpecCodec.encode(spec)
+        map["at"] = submittedMs
+        map["phase"] = phase.wire
+        if (!done.isEmpty) map["done"] = Ranges.encode(done)
+        map["next"] = nextAttempt
+        if (placements.isNotEmpty()) map["run"] = encodePlacements()
+        map["by"] = write
+        if (cancelledMs != null) map[CANCELLED_AT] = cancelledMs
+        return map
+    }
+
+    /** `{"machine": "attempt:tasks;attempt:tasks"}`: one entry a machine however many tasks it has. */
+    private fun encodePlacements(): Map<String, Any?> {
+        val byMachine = LinkedHashMap<String, LinkedHashMap<Long, BitSet>>()
+        for ((task, placement) in placements) {
+            byMachine.getOrPut(placement.machine.value) { LinkedHashMap() }
+                .getOrPut(placement.attempt) { BitSet() }
+                .set(task)
+        }
+        return byMachine.mapValues { (_, attempts) ->
+            attempts.entries.joinToString(";") { (attempt, tasks) -> "$attempt:${Ranges.encode(tasks)}" }
+        }
+    }
+
+    companion object {
+        const val SPEC_BOUND = 2048
+        const val MACHINE_BOUND = 48
+        const val PLACEMENT_BOUND = 12
+        const val CANCELLED_AT = "cancelled"
+
+        fun decode(value: Map<String, Any?>): JobRecord {
+            val fields = value.fields()
+            return JobRecord(
+                spec = JobSpecCodec.decode(fields.map("spec")),
+                submittedMs = fields.count("at"),
+                phase = phaseOf(fields),
+                done = Ranges.decode(fields.textOrNull("done", Int.MAX_VALUE).orEmpty()),
+                nextAttempt = fields.count("next"),
+                placements = if (fields.has("run")) decodePlacements(fields.map("run")) else emptyMap(),
+                write = fields.text("by"),
+                cancelledMs = if (fields.has(CANCELLED_AT)) fields.count(CANCELLED_AT) else null,
+                partCount = RecordLayout.partCount(value),
+            )
+        }
+
+        fun phaseOf(fields: Fields): Phase {
+            val text = fields.text("phase")
+            return Phase.entries.firstOrNull { it.wire == text } ?: throw InvalidField("phase", "is unknown")
+        }
+
+        private fun decodePlacements(map: Map<String, Any?>): Map<Int, Placement> {
+            val result = LinkedHashMap<Int, Placement>()
+            for ((machine, text) in map) {
+                for (part in (text as String).split(';')) {
+                    val colon = part.indexOf(':')
+                    val placement = Placement(MachineId(machine), part.substring(0, colon).toLong())
+                    Ranges.decode(part.substring(colon + 1)).stream().forEach { result[it] = placement }
+                }
+            }
+            return result
+        }
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/record/Phase.kt
@@ -0,0 +1,10 @@
+package oxbowlug.record
+
+enum class Phase(val wire: String) {
+    ACTIVE("active"),
+    DONE("done"),
+    CANCELLED("cancelled"),
+    ;
+
+    val isFinal: Boolean get() = this != ACTIVE
+}
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/record/Ranges.kt
@@ -0,0 +1,45 @@
+package oxbowlug.record
+
+import java.util.BitSet
+
+/** Sets of task numbers as text: `0-3,7`. */
+object Ranges {
+    const val RANGE_BOUND = 14
+
+    fun encode(set: BitSet): String = buildString {
+        var from = set.nextSetBit(0)
+        while (from >= 0) {
+            val end = set.nextClearBit(from)
+            if (isNotEmpty()) append(',')
+            append(from)
+            if (end - 1 > from) append('-').append(end - 1)
+            from = set.nextSetBit(end)
+        }
+    }
+
+    fun decode(text: String): BitSet {
+        val set = BitSet()
+        if (text.isEmpty()) return set
+        for (part in text.split(',')) {
+            val dash = part.indexOf('-')
+            if (dash < 0) {
+                set.set(part.toInt())
+            } else {
+                set.set(part.substring(0, dash).toInt(), part.substring(dash + 1).toInt() + 1)
+            }
+        }
+        return set
+    }
+
+    fun sizeBound(set: BitSet): Int = count(set) * RANGE_BOUND
+
+    fun count(set: BitSet): Int {
+        var ranges = 0
+        var from = set.nextSetBit(0)
+        while (from >= 0) {
+            ranges++
+            from = set.nextSetBit(set.nextClearBit(from))
+        }
+        return ranges
+    }
+}
--- a/src/main/kotlin/oxbowlug/core/RecordLayout.kt
+++ b/src/main/kotlin/oxbowlug/record/RecordLayout.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.record
 
 import oxbowlug.config.WriteLimits
 import oxbowlug.wire.InvalidField
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/record/View.kt
@@ -0,0 +1,26 @@
+package oxbowlug.record
+
+import oxbowlug.wire.Token
+import oxbowlug.wire.fields
+
+/** Who leads. Every change raises [epoch]; [token] is the epoch at which the present leader took over. */
+data class View(val epoch: Long, val token: Token, val leader: Member, val version: Long) {
+    fun encode(): Map<String, Any?> = mapOf(
+        "epoch" to epoch,
+        "token" to token.value,
+        "leader" to leader.label,
+        "incarnation" to leader.incarnation,
+    )
+
+    companion object {
+        fun decode(value: Map<String, Any?>, version: Long): View {
+            val fields = value.fields()
+            return View(
+                epoch = fields.count("epoch"),
+                token = Token(fields.count("token")),
+                leader = Member(fields.text("leader"), fields.text("incarnation")),
+                version = version,
+            )
+        }
+    }
+}
--- a/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
@@ -2,8 +2,8 @@
 
 import io.vertx.core.Vertx
 import kotlinx.coroutines.delay
-import oxbowlug.core.Keys
-import oxbowlug.core.View
+import oxbowlug.record.Keys
+import oxbowlug.record.View
 import oxbowlug.standin.World
 
 /** The stand-ins' time follows the real one; how far it fell behind says whether the stand-ins kept up. */
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -1,7 +1,7 @@
 package oxbowlug.soak
 
-import oxbowlug.core.Keys
-import oxbowlug.core.View
+import oxbowlug.record.Keys
+import oxbowlug.record.View
 import oxbowlug.scale.ControllerProcess
 import oxbowlug.scale.Endpoint
 import oxbowlug.scale.HollowFleet
--- a/src/scale/kotlin/oxbowlug/standin/SimStore.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimStore.kt
@@ -4,8 +4,8 @@
 import oxbowlug.config.WriteLimits
 import oxbowlug.core.ChangesOutcome
 import oxbowlug.core.CommitOutcome
-import oxbowlug.core.Keys
 import oxbowlug.core.TouchOutcome
+import oxbowlug.record.Keys
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.Change
 import oxbowlug.wire.Changes
--- a/src/scale/kotlin/oxbowlug/standin/StoredPlacements.kt
+++ b/src/scale/kotlin/oxbowlug/standin/StoredPlacements.kt
@@ -1,8 +1,8 @@
 package oxbowlug.standin
 
-import oxbowlug.core.JobRecord
-import oxbowlug.core.Keys
-import oxbowlug.core.RecordLayout
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Keys
+import oxbowlug.record.RecordLayout
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.InvalidField
 
--- a/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
@@ -5,6 +5,11 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.config.Address
 import oxbowlug.config.SettingsFile
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Keys
+import oxbowlug.record.Member
+import oxbowlug.record.Phase
+import oxbowlug.record.Placement
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
 import oxbowlug.wire.Attempt
--- a/src/test/kotlin/oxbowlug/core/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/core/DependenciesTest.kt
@@ -4,6 +4,14 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
+import oxbowlug.record.DataFormat
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Keys
+import oxbowlug.record.Phase
+import oxbowlug.record.Placement
+import oxbowlug.record.RecordLayout
+import oxbowlug.record.View
+import oxbowlug.record.WritableFormat
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.World
 import oxbowlug.wire.Cbor
--- a/src/test/kotlin/oxbowlug/core/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/core/FleetTest.kt
@@ -8,6 +8,12 @@
 import oxbowlug.config.Policy
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.Team
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Member
+import oxbowlug.record.Names
+import oxbowlug.record.Phase
+import oxbowlug.record.Placement
+import oxbowlug.record.WritableFormat
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.ExitCause
--- a/src/test/kotlin/oxbowlug/core/InheritedUrgencyTest.kt
+++ b/src/test/kotlin/oxbowlug/core/InheritedUrgencyTest.kt
@@ -2,6 +2,8 @@
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Phase
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.JobSpecCodecTest
--- a/src/test/kotlin/oxbowlug/core/PresentBasisTest.kt
+++ b/src/test/kotlin/oxbowlug/core/PresentBasisTest.kt
@@ -4,6 +4,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
+import oxbowlug.record.Keys
+import oxbowlug.record.Member
+import oxbowlug.record.View
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
 import oxbowlug.wire.Change
--- a/src/test/kotlin/oxbowlug/core/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/core/ProductionDataTest.kt
@@ -6,6 +6,12 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.peer.PeerFrames
 import oxbowlug.peer.PeerMessage
+import oxbowlug.record.DelegateAssignments
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Member
+import oxbowlug.record.Phase
+import oxbowlug.record.Placement
+import oxbowlug.record.View
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.JobSpecCodecTest
--- a/src/test/kotlin/oxbowlug/core/RecordsTest.kt
+++ b/src/test/kotlin/oxbowlug/core/RecordsTest.kt
@@ -3,6 +3,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.record.JobRecord
+import oxbowlug.record.Phase
+import oxbowlug.record.Placement
+import oxbowlug.record.Ranges
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.JobSpecCodecTest
--- a/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
@@ -5,6 +5,10 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
+import oxbowlug.record.DelegateAssignments
+import oxbowlug.record.Keys
+import oxbowlug.record.Member
+import oxbowlug.record.View
 import oxbowlug.region.Regions
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
--- a/src/test/kotlin/oxbowlug/core/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/core/TestDoubles.kt
@@ -1,5 +1,7 @@
 package oxbowlug.core
 
+import oxbowlug.record.View
+import oxbowlug.record.WritableFormat
 import oxbowlug.standin.SimStore
 import oxbowlug.wire.JobId
 import oxbowlug.wire.ReadPage
--- a/src/test/kotlin/oxbowlug/core/RecordLayoutTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordLayoutTest.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.record
 
 import com.fasterxml.jackson.databind.ObjectMapper
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.core.Keys
+import oxbowlug.record.Keys
 
 /** Five controllers and 1,200 machines, the most that is planned for, on a day on which many things fall together. */
 class FleetSizeTest {
--- a/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.core.Keys
+import oxbowlug.record.Keys
 
 /** The size that the deployments have grown to: five controllers, 200 machines, hundreds of jobs. */
 class GrownFleetTest {
--- a/src/test/kotlin/oxbowlug/sim/OldVersion.kt
+++ b/src/test/kotlin/oxbowlug/sim/OldVersion.kt
@@ -1,6 +1,6 @@
 package oxbowlug.sim
 
-import oxbowlug.core.Keys
+import oxbowlug.record.Keys
 import oxbowlug.wire.Change
 import oxbowlug.wire.Changes
 import oxbowlug.wire.Event
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 import oxbowlug.config.WriteLimits
-import oxbowlug.core.Keys
+import oxbowlug.record.Keys
 
 /** Pipelines of dependent jobs, rolling upgrades and falling limits of the state service, with troubles beside them. */
 class PipelinesTest {
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -10,7 +10,6 @@
 import oxbowlug.core.Core
 import oxbowlug.core.DirectOutcome
 import oxbowlug.core.Invariant
-import oxbowlug.core.Member
 import oxbowlug.core.Meters
 import oxbowlug.core.PeerPort
 import oxbowlug.core.RentalOutcome
@@ -18,6 +17,7 @@
 import oxbowlug.core.StatePort
 import oxbowlug.core.TouchOutcome
 import oxbowlug.core.WorkerPort
+import oxbowlug.record.Member
 import oxbowlug.standin.ReportTarget
 import oxbowlug.standin.SimCloud
 import oxbowlug.standin.SimStore
