--- a/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
+++ b/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
@@ -6,8 +6,8 @@
 import io.micrometer.core.instrument.Meter
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import oxbowlug.core.Core
-import oxbowlug.core.Invariant
-import oxbowlug.core.Meters
+import oxbowlug.port.Invariant
+import oxbowlug.port.Meters
 import java.util.EnumMap
 import java.util.concurrent.TimeUnit
 
--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -13,13 +13,13 @@
 import oxbowlug.api.ServiceMetrics
 import oxbowlug.cloud.CloudClient
 import oxbowlug.config.Settings
-import oxbowlug.core.Clock
 import oxbowlug.core.Command
 import oxbowlug.core.Core
 import oxbowlug.core.Timing
 import oxbowlug.http.HttpCaller
 import oxbowlug.peer.PeerLink
 import oxbowlug.peer.PeerMessage
+import oxbowlug.port.Clock
 import oxbowlug.record.Member
 import oxbowlug.state.StateClient
 import oxbowlug.worker.WorkerClient
--- a/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
+++ b/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
@@ -4,10 +4,10 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import oxbowlug.config.Address
-import oxbowlug.core.CloudPort
-import oxbowlug.core.RentalOutcome
 import oxbowlug.http.CallResult
 import oxbowlug.http.HttpCaller
+import oxbowlug.port.CloudPort
+import oxbowlug.port.RentalOutcome
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.ListedMachine
--- a/src/main/kotlin/oxbowlug/core/Authority.kt
+++ b/src/main/kotlin/oxbowlug/core/Authority.kt
@@ -1,6 +1,10 @@
 package oxbowlug.core
 
 import org.slf4j.LoggerFactory
+import oxbowlug.port.Clock
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.StatePort
+import oxbowlug.port.TouchOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
--- a/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
@@ -3,6 +3,10 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
+import oxbowlug.port.Clock
+import oxbowlug.port.CloudPort
+import oxbowlug.port.DirectOutcome
+import oxbowlug.port.WorkerPort
 import oxbowlug.record.Member
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.CloudCodec
--- a/src/main/kotlin/oxbowlug/core/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/core/CancellationFreshness.kt
@@ -1,6 +1,8 @@
 package oxbowlug.core
 
 import oxbowlug.config.Settings
+import oxbowlug.port.Clock
+import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.Member
 
 /**
--- a/src/main/kotlin/oxbowlug/core/Cancellations.kt
+++ b/src/main/kotlin/oxbowlug/core/Cancellations.kt
@@ -2,6 +2,11 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
+import oxbowlug.port.Acknowledgement
+import oxbowlug.port.Cancellation
+import oxbowlug.port.CancellationNotice
+import oxbowlug.port.Clock
+import oxbowlug.port.PeerPort
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Member
 import oxbowlug.record.Phase
@@ -14,21 +19,6 @@
 import oxbowlug.wire.WorkerReport
 import oxbowlug.wire.fields
 
-/** A cancellation as it was committed: the job's whole record, and the revision of that write. */
-class Cancellation(val id: JobId, val version: Long, val value: Map<String, Any?>)
-
-/** That the sender knows the job to be cancelled; and, said by whoever leads, whether its attempts are proven gone. */
-data class Acknowledgement(val id: JobId, val hasEnded: Boolean)
-
-/** What controllers say to one another about cancellations. Facts of the state service, so of no epoch. */
-sealed interface CancellationNotice {
-    val sender: Member
-
-    class Cancelled(override val sender: Member, val cancellation: Cancellation) : CancellationNotice
-
-    data class Acknowledged(override val sender: Member, val items: List<Acknowledgement>) : CancellationNotice
-}
-
 /** What has to be stopped whoever leads: tasks of jobs that are cancelled for good. */
 fun Replica.cancelledWork(report: WorkerReport): List<WorkerCommand.Stop> = report.tasks
     .filter { it.state != TaskState.EXITED && job(it.attempt.task.job)?.phase == Phase.CANCELLED }
--- a/src/main/kotlin/oxbowlug/core/Command.kt
+++ b/src/main/kotlin/oxbowlug/core/Command.kt
@@ -1,6 +1,7 @@
 package oxbowlug.core
 
-import oxbowlug.record.Member
+import oxbowlug.port.CancellationNotice
+import oxbowlug.port.PeerHeartbeat
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpec
@@ -41,24 +42,3 @@
 
     data object Unavailable : ReportAnswer
 }
-
-/**
- * What controllers tell one another: who they are, the newest view that they know, and whether the state service
- * answers them.
- */
-data class PeerHeartbeat(
-    val sender: Member,
-    val epoch: Long,
-    val leader: Member?,
-    val seesState: Boolean,
-    /** The sender's steady clock. */
-    val atMs: Long = 0,
-    val echo: HeartbeatEcho? = null,
-    /** Confirmed a cancellation that the leader hasn't acknowledged. */
-    val hasUnacknowledged: Boolean = false,
-    /** Answered by the state service within the last moments: it may be confirming cancellations now. */
-    val mayConfirm: Boolean = false,
-)
-
-/** The newest word of the leader [of] that the sender had heard, by that one's clock, and its renewals as a deputy. */
-data class HeartbeatEcho(val of: Member, val atMs: Long, val renewals: Long)
--- a/src/main/kotlin/oxbowlug/core/Commits.kt
+++ b/src/main/kotlin/oxbowlug/core/Commits.kt
@@ -3,6 +3,9 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
 import oxbowlug.config.WriteLimits
+import oxbowlug.port.Clock
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.StatePort
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
 import oxbowlug.record.Names
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -3,6 +3,13 @@
 import org.agrona.concurrent.ManyToOneConcurrentArrayQueue
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
+import oxbowlug.port.Clock
+import oxbowlug.port.CloudPort
+import oxbowlug.port.Meters
+import oxbowlug.port.PeerHeartbeat
+import oxbowlug.port.PeerPort
+import oxbowlug.port.StatePort
+import oxbowlug.port.WorkerPort
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
 import oxbowlug.record.Names
--- a/src/main/kotlin/oxbowlug/core/DecisionBasis.kt
+++ b/src/main/kotlin/oxbowlug/core/DecisionBasis.kt
@@ -1,5 +1,7 @@
 package oxbowlug.core
 
+import oxbowlug.port.Clock
+
 /**
  * What a decision was taken from, for the log: in force, and for how long, and how old the copy of the state service
  * is. A line of it stands beside each decision that matters, so that a broken rule can be reconstructed.
--- a/src/main/kotlin/oxbowlug/core/Fleet.kt
+++ b/src/main/kotlin/oxbowlug/core/Fleet.kt
@@ -3,6 +3,8 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Address
 import oxbowlug.config.Team
+import oxbowlug.port.Clock
+import oxbowlug.port.Invariant
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.wire.Attempt
--- a/src/main/kotlin/oxbowlug/core/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/core/FormatUpgrade.kt
@@ -2,6 +2,8 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
+import oxbowlug.port.Clock
+import oxbowlug.port.StatePort
 import oxbowlug.record.DataFormat
 import oxbowlug.record.Keys
 import oxbowlug.record.View
--- a/src/main/kotlin/oxbowlug/core/Invariants.kt
+++ b/src/main/kotlin/oxbowlug/core/Invariants.kt
@@ -1,18 +1,8 @@
 package oxbowlug.core
 
 import org.slf4j.LoggerFactory
-
-/** What must hold whatever fails outside. */
-enum class Invariant(val label: String) {
-    /** A start that no stored record names is unknown to whoever leads next. */
-    STARTS_ARE_STORED("starts.are.stored"),
-
-    /** Whoever renews a worker's lease ends the cancelled work there. */
-    CANCELLED_WORK_IS_STOPPED("cancelled.work.is.stopped"),
-
-    /** A task that runs on one machine is not placed on another. */
-    ONE_PLACE_A_TASK("one.place.a.task"),
-}
+import oxbowlug.port.Invariant
+import oxbowlug.port.Meters
 
 /**
  * Asserted while the service runs. A violation is an error line with the basis of the decision, and a count in the
--- a/src/main/kotlin/oxbowlug/core/JobRequests.kt
+++ b/src/main/kotlin/oxbowlug/core/JobRequests.kt
@@ -3,6 +3,10 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
 import oxbowlug.plan.amounts
+import oxbowlug.port.Clock
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.Meters
+import oxbowlug.port.StatePort
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
 import oxbowlug.record.Names
--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -6,6 +6,12 @@
 import oxbowlug.plan.Planner
 import oxbowlug.plan.Pricing
 import oxbowlug.plan.Snapshot
+import oxbowlug.port.Clock
+import oxbowlug.port.CloudPort
+import oxbowlug.port.DirectOutcome
+import oxbowlug.port.Invariant
+import oxbowlug.port.StatePort
+import oxbowlug.port.WorkerPort
 import oxbowlug.record.Names
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
--- a/src/main/kotlin/oxbowlug/core/Load.kt
+++ b/src/main/kotlin/oxbowlug/core/Load.kt
@@ -1,6 +1,7 @@
 package oxbowlug.core
 
 import org.slf4j.LoggerFactory
+import oxbowlug.port.Meters
 
 /**
  * What the owner's steps cost, so that a controller that falls behind can be seen to: a step is one batch of commands
--- a/src/main/kotlin/oxbowlug/core/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/core/PeerHealth.kt
@@ -1,5 +1,7 @@
 package oxbowlug.core
 
+import oxbowlug.port.Clock
+import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.Member
 
 /**
--- a/src/main/kotlin/oxbowlug/core/Planning.kt
+++ b/src/main/kotlin/oxbowlug/core/Planning.kt
@@ -10,6 +10,7 @@
 import oxbowlug.plan.Snapshot
 import oxbowlug.plan.Tenant
 import oxbowlug.plan.fetchS
+import oxbowlug.port.Clock
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.record.Ranges
--- a/src/main/kotlin/oxbowlug/core/RenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/core/RenewalDelegate.kt
@@ -1,5 +1,8 @@
 package oxbowlug.core
 
+import oxbowlug.port.Clock
+import oxbowlug.port.HeartbeatEcho
+import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.Member
 import oxbowlug.region.Regions
 import oxbowlug.wire.Token
--- a/src/main/kotlin/oxbowlug/core/RenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/core/RenewalDelegates.kt
@@ -2,6 +2,10 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
+import oxbowlug.port.Clock
+import oxbowlug.port.HeartbeatEcho
+import oxbowlug.port.PeerHeartbeat
+import oxbowlug.port.StatePort
 import oxbowlug.record.DelegateAssignments
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
--- a/src/main/kotlin/oxbowlug/core/Rentals.kt
+++ b/src/main/kotlin/oxbowlug/core/Rentals.kt
@@ -5,6 +5,9 @@
 import oxbowlug.config.Settings
 import oxbowlug.plan.Kind
 import oxbowlug.plan.Refusal
+import oxbowlug.port.Clock
+import oxbowlug.port.CloudPort
+import oxbowlug.port.RentalOutcome
 import oxbowlug.record.Names
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.ListedMachine
--- a/src/main/kotlin/oxbowlug/core/Replica.kt
+++ b/src/main/kotlin/oxbowlug/core/Replica.kt
@@ -2,6 +2,9 @@
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap
 import org.slf4j.LoggerFactory
+import oxbowlug.port.ChangesOutcome
+import oxbowlug.port.Clock
+import oxbowlug.port.StatePort
 import oxbowlug.record.DataFormat
 import oxbowlug.record.DelegateAssignments
 import oxbowlug.record.Keys
--- a/src/main/kotlin/oxbowlug/core/TokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/core/TokenPropagation.kt
@@ -1,5 +1,6 @@
 package oxbowlug.core
 
+import oxbowlug.port.WorkerPort
 import oxbowlug.wire.MachineState
 
 /**
--- a/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
@@ -2,11 +2,11 @@
 
 import okio.Buffer
 import okio.EOFException
-import oxbowlug.core.Acknowledgement
-import oxbowlug.core.Cancellation
-import oxbowlug.core.CancellationNotice
-import oxbowlug.core.HeartbeatEcho
-import oxbowlug.core.PeerHeartbeat
+import oxbowlug.port.Acknowledgement
+import oxbowlug.port.Cancellation
+import oxbowlug.port.CancellationNotice
+import oxbowlug.port.HeartbeatEcho
+import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Member
 import oxbowlug.record.Phase
--- a/src/main/kotlin/oxbowlug/peer/PeerLink.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerLink.kt
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
-import oxbowlug.core.CancellationNotice
-import oxbowlug.core.PeerHeartbeat
-import oxbowlug.core.PeerPort
+import oxbowlug.port.CancellationNotice
+import oxbowlug.port.PeerHeartbeat
+import oxbowlug.port.PeerPort
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.MachineId
 import okio.Buffer as Frames
--- a/src/main/kotlin/oxbowlug/core/Meters.kt
+++ b/src/main/kotlin/oxbowlug/port/Meters.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.port
 
 /** What the core counts; the adapter publishes it. */
 interface Meters {
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/port/WorkerPort.kt
@@ -0,0 +1,30 @@
+package oxbowlug.port
+
+import oxbowlug.config.Address
+import oxbowlug.wire.Token
+import oxbowlug.wire.WorkerCommand
+import oxbowlug.wire.WorkerReport
+
+sealed interface DirectOutcome {
+    /** Executed, or refused for its token or session: either way the report is the worker's present account. */
+    data class Answered(val report: WorkerReport, val executed: Boolean) : DirectOutcome
+
+    /** The connection could not be opened: surely not executed, now or later. */
+    data object NotSent : DirectOutcome
+
+    /** Sent, but not answered: it may be executed minutes later. */
+    data object Unanswered : DirectOutcome
+}
+
+interface WorkerPort {
+    /** What the worker says of itself, or null. */
+    fun status(endpoint: Address, done: (WorkerReport?) -> Unit)
+
+    fun command(
+        endpoint: Address,
+        token: Token,
+        session: Long,
+        commands: List<WorkerCommand>,
+        done: (DirectOutcome) -> Unit,
+    )
+}
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -4,12 +4,12 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import oxbowlug.config.Address
-import oxbowlug.core.ChangesOutcome
-import oxbowlug.core.CommitOutcome
-import oxbowlug.core.StatePort
-import oxbowlug.core.TouchOutcome
 import oxbowlug.http.CallResult
 import oxbowlug.http.HttpCaller
+import oxbowlug.port.ChangesOutcome
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.StatePort
+import oxbowlug.port.TouchOutcome
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.StoreCodec
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -4,10 +4,10 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import oxbowlug.config.Address
-import oxbowlug.core.DirectOutcome
-import oxbowlug.core.WorkerPort
 import oxbowlug.http.CallResult
 import oxbowlug.http.HttpCaller
+import oxbowlug.port.DirectOutcome
+import oxbowlug.port.WorkerPort
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.Token
 import oxbowlug.wire.WorkerCodec
--- a/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
@@ -3,7 +3,7 @@
 import io.vertx.core.Future
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
-import oxbowlug.core.RentalOutcome
+import oxbowlug.port.RentalOutcome
 import oxbowlug.standin.SimCloud
 import oxbowlug.standin.World
 import oxbowlug.wire.CloudCodec
--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -3,9 +3,9 @@
 import io.vertx.core.Future
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
-import oxbowlug.core.ChangesOutcome
-import oxbowlug.core.CommitOutcome
-import oxbowlug.core.TouchOutcome
+import oxbowlug.port.ChangesOutcome
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.TouchOutcome
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
 import oxbowlug.wire.Entry
--- a/src/scale/kotlin/oxbowlug/soak/SoakRun.kt
+++ b/src/scale/kotlin/oxbowlug/soak/SoakRun.kt
@@ -1,7 +1,7 @@
 package oxbowlug.soak
 
 import kotlinx.coroutines.delay
-import oxbowlug.core.Invariant
+import oxbowlug.port.Invariant
 import oxbowlug.scale.LoopbackRun
 import oxbowlug.scale.ScaleOptions
 import java.io.File
--- a/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
@@ -1,6 +1,6 @@
 package oxbowlug.standin
 
-import oxbowlug.core.RentalOutcome
+import oxbowlug.port.RentalOutcome
 import oxbowlug.wire.ListedMachine
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MachineState
--- a/src/scale/kotlin/oxbowlug/standin/SimStore.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimStore.kt
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper
 import oxbowlug.config.WriteLimits
-import oxbowlug.core.ChangesOutcome
-import oxbowlug.core.CommitOutcome
-import oxbowlug.core.TouchOutcome
+import oxbowlug.port.ChangesOutcome
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.TouchOutcome
 import oxbowlug.record.Keys
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.Change
--- a/src/test/kotlin/oxbowlug/core/AuthorityTest.kt
+++ b/src/test/kotlin/oxbowlug/core/AuthorityTest.kt
@@ -5,6 +5,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
+import oxbowlug.port.ChangesOutcome
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.StatePort
+import oxbowlug.port.TouchOutcome
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
 import oxbowlug.record.View
--- a/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
@@ -5,6 +5,12 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.config.Address
 import oxbowlug.config.SettingsFile
+import oxbowlug.port.CancellationNotice
+import oxbowlug.port.CloudPort
+import oxbowlug.port.DirectOutcome
+import oxbowlug.port.PeerPort
+import oxbowlug.port.RentalOutcome
+import oxbowlug.port.WorkerPort
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
--- a/src/test/kotlin/oxbowlug/core/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/core/DependenciesTest.kt
@@ -4,6 +4,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
+import oxbowlug.port.ChangesOutcome
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.StatePort
+import oxbowlug.port.TouchOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
--- a/src/test/kotlin/oxbowlug/core/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/core/FleetTest.kt
@@ -8,6 +8,8 @@
 import oxbowlug.config.Policy
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.Team
+import oxbowlug.port.CloudPort
+import oxbowlug.port.RentalOutcome
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Member
 import oxbowlug.record.Names
--- a/src/test/kotlin/oxbowlug/core/JobRequestsTest.kt
+++ b/src/test/kotlin/oxbowlug/core/JobRequestsTest.kt
@@ -4,6 +4,7 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
+import oxbowlug.port.CommitOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
--- a/src/test/kotlin/oxbowlug/core/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/core/LateAnswersTest.kt
@@ -4,6 +4,8 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
+import oxbowlug.port.ChangesOutcome
+import oxbowlug.port.TouchOutcome
 import oxbowlug.record.Member
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
--- a/src/test/kotlin/oxbowlug/core/PeerHealthTest.kt
+++ b/src/test/kotlin/oxbowlug/core/PeerHealthTest.kt
@@ -3,6 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
+import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.Member
 import kotlin.random.Random
 
--- a/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
@@ -5,6 +5,12 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
+import oxbowlug.port.ChangesOutcome
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.HeartbeatEcho
+import oxbowlug.port.PeerHeartbeat
+import oxbowlug.port.StatePort
+import oxbowlug.port.TouchOutcome
 import oxbowlug.record.DelegateAssignments
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
--- a/src/test/kotlin/oxbowlug/core/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/core/TestDoubles.kt
@@ -1,5 +1,12 @@
 package oxbowlug.core
 
+import oxbowlug.port.ChangesOutcome
+import oxbowlug.port.Clock
+import oxbowlug.port.CommitOutcome
+import oxbowlug.port.Invariant
+import oxbowlug.port.Meters
+import oxbowlug.port.StatePort
+import oxbowlug.port.TouchOutcome
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
 import oxbowlug.standin.SimStore
--- a/src/test/kotlin/oxbowlug/peer/PeerFramesTest.kt
+++ b/src/test/kotlin/oxbowlug/peer/PeerFramesTest.kt
@@ -4,11 +4,11 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
-import oxbowlug.core.Acknowledgement
-import oxbowlug.core.Cancellation
-import oxbowlug.core.CancellationNotice
-import oxbowlug.core.HeartbeatEcho
-import oxbowlug.core.PeerHeartbeat
+import oxbowlug.port.Acknowledgement
+import oxbowlug.port.Cancellation
+import oxbowlug.port.CancellationNotice
+import oxbowlug.port.HeartbeatEcho
+import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Member
 import oxbowlug.record.Phase
--- a/src/test/kotlin/oxbowlug/sim/DriftingClock.kt
+++ b/src/test/kotlin/oxbowlug/sim/DriftingClock.kt
@@ -1,6 +1,6 @@
 package oxbowlug.sim
 
-import oxbowlug.core.Clock
+import oxbowlug.port.Clock
 import oxbowlug.standin.World
 
 /** A node's clocks: its steady one drifts, its time of day is off by a constant. */
