--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -15,13 +15,13 @@
 import oxbowlug.config.Settings
 import oxbowlug.core.Command
 import oxbowlug.core.Core
-import oxbowlug.core.Timing
 import oxbowlug.http.HttpCaller
 import oxbowlug.peer.PeerLink
 import oxbowlug.peer.PeerMessage
 import oxbowlug.port.Clock
 import oxbowlug.record.Member
 import oxbowlug.state.StateClient
+import oxbowlug.timing.Timing
 import oxbowlug.worker.WorkerClient
 import java.io.File
 import java.nio.ByteBuffer
--- a/src/main/kotlin/oxbowlug/core/Authority.kt
+++ b/src/main/kotlin/oxbowlug/core/Authority.kt
@@ -10,6 +10,7 @@
 import oxbowlug.record.Member
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.Token
--- a/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
@@ -8,6 +8,8 @@
 import oxbowlug.port.DirectOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.record.Member
+import oxbowlug.timing.RateBudget
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/core/CancellationFreshness.kt
@@ -4,6 +4,7 @@
 import oxbowlug.port.Clock
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.Member
+import oxbowlug.timing.Timing
 
 /**
  * Up to when this controller surely knows every cancellation that was confirmed anywhere. One that keeps leases alive
--- a/src/main/kotlin/oxbowlug/core/Cancellations.kt
+++ b/src/main/kotlin/oxbowlug/core/Cancellations.kt
@@ -10,6 +10,7 @@
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Member
 import oxbowlug.record.Phase
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/Commits.kt
+++ b/src/main/kotlin/oxbowlug/core/Commits.kt
@@ -15,6 +15,8 @@
 import oxbowlug.record.StoredForm
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
+import oxbowlug.timing.RateBudget
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.Transaction
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -15,6 +15,8 @@
 import oxbowlug.record.Names
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
+import oxbowlug.timing.RateBudget
+import oxbowlug.timing.Timing
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/Fleet.kt
+++ b/src/main/kotlin/oxbowlug/core/Fleet.kt
@@ -7,6 +7,7 @@
 import oxbowlug.port.Invariant
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.ExitCause
 import oxbowlug.wire.ImageName
--- a/src/main/kotlin/oxbowlug/core/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/core/FormatUpgrade.kt
@@ -8,6 +8,7 @@
 import oxbowlug.record.Keys
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.Transaction
--- a/src/main/kotlin/oxbowlug/core/HeartbeatCounts.kt
+++ b/src/main/kotlin/oxbowlug/core/HeartbeatCounts.kt
@@ -1,5 +1,6 @@
 package oxbowlug.core
 
+import oxbowlug.timing.Timing
 import oxbowlug.wire.MachineState
 import oxbowlug.wire.Zone
 
--- a/src/main/kotlin/oxbowlug/core/JobRequests.kt
+++ b/src/main/kotlin/oxbowlug/core/JobRequests.kt
@@ -14,6 +14,8 @@
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.StoredForm
 import oxbowlug.record.WritableFormat
+import oxbowlug.timing.RateBudget
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.JobId
--- a/src/main/kotlin/oxbowlug/core/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/core/PeerHealth.kt
@@ -3,6 +3,7 @@
 import oxbowlug.port.Clock
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.Member
+import oxbowlug.timing.Timing
 
 /**
  * How the other controllers fare. In an outage of the state service they are all without it, and if all then called
--- a/src/main/kotlin/oxbowlug/core/Planning.kt
+++ b/src/main/kotlin/oxbowlug/core/Planning.kt
@@ -16,6 +16,7 @@
 import oxbowlug.record.Ranges
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.WritableFormat
+import oxbowlug.timing.Timing
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobKind
--- a/src/main/kotlin/oxbowlug/core/RenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/core/RenewalDelegate.kt
@@ -5,6 +5,7 @@
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.Member
 import oxbowlug.region.Regions
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Token
 import oxbowlug.wire.WorkerReport
 import oxbowlug.wire.Zone
--- a/src/main/kotlin/oxbowlug/core/RenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/core/RenewalDelegates.kt
@@ -12,6 +12,7 @@
 import oxbowlug.record.View
 import oxbowlug.region.DelegateChoice
 import oxbowlug.region.DelegateChoice.Candidate
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.Transaction
--- a/src/main/kotlin/oxbowlug/core/Rentals.kt
+++ b/src/main/kotlin/oxbowlug/core/Rentals.kt
@@ -9,6 +9,8 @@
 import oxbowlug.port.CloudPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.record.Names
+import oxbowlug.timing.RateBudget
+import oxbowlug.timing.Timing
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.ListedMachine
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/Replica.kt
+++ b/src/main/kotlin/oxbowlug/core/Replica.kt
@@ -12,6 +12,7 @@
 import oxbowlug.record.Phase
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Entry
 import oxbowlug.wire.Event
 import oxbowlug.wire.InvalidField
--- a/src/main/kotlin/oxbowlug/core/TeamLimits.kt
+++ b/src/main/kotlin/oxbowlug/core/TeamLimits.kt
@@ -2,6 +2,7 @@
 
 import oxbowlug.config.Team
 import oxbowlug.plan.Amounts
+import oxbowlug.timing.Timing
 import oxbowlug.wire.TeamName
 
 /**
--- a/src/main/kotlin/oxbowlug/core/TokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/core/TokenPropagation.kt
@@ -1,6 +1,7 @@
 package oxbowlug.core
 
 import oxbowlug.port.WorkerPort
+import oxbowlug.timing.Timing
 import oxbowlug.wire.MachineState
 
 /**
--- a/src/main/kotlin/oxbowlug/core/RateBudget.kt
+++ b/src/main/kotlin/oxbowlug/timing/RateBudget.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.timing
 
 /** A token bucket that holds one second's worth: this controller's share of a published rate. */
 class RateBudget(private var perSecond: Double) {
--- a/src/main/kotlin/oxbowlug/core/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.timing
 
 import oxbowlug.config.Settings
 import kotlin.random.Random
--- a/src/test/kotlin/oxbowlug/core/AuthorityTest.kt
+++ b/src/test/kotlin/oxbowlug/core/AuthorityTest.kt
@@ -16,6 +16,7 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.timing.Timing
 import oxbowlug.wire.JobId
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.Transaction
--- a/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
@@ -18,6 +18,8 @@
 import oxbowlug.record.Placement
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.timing.RateBudget
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.Change
 import oxbowlug.wire.JobId
--- a/src/test/kotlin/oxbowlug/core/CommitsTest.kt
+++ b/src/test/kotlin/oxbowlug/core/CommitsTest.kt
@@ -18,6 +18,8 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.timing.RateBudget
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.Change
 import oxbowlug.wire.JobId
--- a/src/test/kotlin/oxbowlug/core/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/core/DependenciesTest.kt
@@ -18,6 +18,7 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.World
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.Changes
 import oxbowlug.wire.Event
--- a/src/test/kotlin/oxbowlug/core/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/core/FleetTest.kt
@@ -16,6 +16,8 @@
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
 import oxbowlug.record.WritableFormat
+import oxbowlug.timing.RateBudget
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.ExitCause
--- a/src/test/kotlin/oxbowlug/core/JobRequestsTest.kt
+++ b/src/test/kotlin/oxbowlug/core/JobRequestsTest.kt
@@ -16,6 +16,8 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.timing.RateBudget
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobKind
--- a/src/test/kotlin/oxbowlug/core/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/core/LateAnswersTest.kt
@@ -9,6 +9,7 @@
 import oxbowlug.record.Member
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Transaction
 import kotlin.random.Random
--- a/src/test/kotlin/oxbowlug/core/PeerHealthTest.kt
+++ b/src/test/kotlin/oxbowlug/core/PeerHealthTest.kt
@@ -5,6 +5,7 @@
 import oxbowlug.config.SettingsFile
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.Member
+import oxbowlug.timing.Timing
 import kotlin.random.Random
 
 class PeerHealthTest {
--- a/src/test/kotlin/oxbowlug/core/PresentBasisTest.kt
+++ b/src/test/kotlin/oxbowlug/core/PresentBasisTest.kt
@@ -9,6 +9,7 @@
 import oxbowlug.record.View
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Token
 import oxbowlug.wire.Transaction
--- a/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
@@ -18,6 +18,7 @@
 import oxbowlug.region.Regions
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.ReadPage
--- a/src/test/kotlin/oxbowlug/core/TornCopyTest.kt
+++ b/src/test/kotlin/oxbowlug/core/TornCopyTest.kt
@@ -13,6 +13,7 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.JobId
