--- a/src/main/kotlin/oxbowlug/core/Replica.kt
+++ b/src/main/kotlin/oxbowlug/cache/Replica.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.cache
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap
 import org.slf4j.LoggerFactory
@@ -18,21 +18,6 @@
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobId
 
-interface ReplicaListener {
-    /** The view and the members have been read whole; the jobs are asked for right after this. */
-    fun onRoster()
-
-    fun onView(view: View)
-
-    /** [value] is the record as it is stored, also of a job whose record the copy doesn't keep. */
-    fun onJob(id: JobId, job: StoredJob, value: Map<String, Any?>)
-
-    /** One of the jobs that it needs is done or cancelled, by whatever road that is known. */
-    fun onDependencyChanged(id: JobId)
-
-    fun onWritableFormat(format: WritableFormat)
-}
-
 /**
  * This controller's copy of everything under [Keys.ROOT]: read whole once, then kept by a watch. A catch-up read
  * asks for all changes up to now; one such read answers every query that was waiting when it was sent, so that a
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/cache/ReplicaListener.kt
@@ -0,0 +1,20 @@
+package oxbowlug.cache
+
+import oxbowlug.record.View
+import oxbowlug.record.WritableFormat
+import oxbowlug.wire.JobId
+
+interface ReplicaListener {
+    /** The view and the members have been read whole; the jobs are asked for right after this. */
+    fun onRoster()
+
+    fun onView(view: View)
+
+    /** [value] is the record as it is stored, also of a job whose record the copy doesn't keep. */
+    fun onJob(id: JobId, job: StoredJob, value: Map<String, Any?>)
+
+    /** One of the jobs that it needs is done or cancelled, by whatever road that is known. */
+    fun onDependencyChanged(id: JobId)
+
+    fun onWritableFormat(format: WritableFormat)
+}
--- a/src/main/kotlin/oxbowlug/core/StoredJob.kt
+++ b/src/main/kotlin/oxbowlug/cache/StoredJob.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.cache
 
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
--- a/src/main/kotlin/oxbowlug/core/StoredParts.kt
+++ b/src/main/kotlin/oxbowlug/cache/StoredParts.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.cache
 
 import oxbowlug.record.Keys
 import oxbowlug.record.RecordLayout
--- a/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
@@ -1,6 +1,7 @@
 package oxbowlug.core
 
 import org.slf4j.LoggerFactory
+import oxbowlug.cache.Replica
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
 import oxbowlug.port.Clock
--- a/src/main/kotlin/oxbowlug/core/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/core/CancellationFreshness.kt
@@ -1,5 +1,6 @@
 package oxbowlug.core
 
+import oxbowlug.cache.Replica
 import oxbowlug.config.Settings
 import oxbowlug.port.Clock
 import oxbowlug.port.PeerHeartbeat
--- a/src/main/kotlin/oxbowlug/core/Cancellations.kt
+++ b/src/main/kotlin/oxbowlug/core/Cancellations.kt
@@ -1,6 +1,8 @@
 package oxbowlug.core
 
 import org.slf4j.LoggerFactory
+import oxbowlug.cache.Replica
+import oxbowlug.cache.StoredJob
 import oxbowlug.config.Settings
 import oxbowlug.port.Acknowledgement
 import oxbowlug.port.Cancellation
@@ -15,16 +17,8 @@
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.TaskId
-import oxbowlug.wire.TaskState
-import oxbowlug.wire.WorkerCommand
-import oxbowlug.wire.WorkerReport
 import oxbowlug.wire.fields
 
-/** What has to be stopped whoever leads: tasks of jobs that are cancelled for good. */
-fun Replica.cancelledWork(report: WorkerReport): List<WorkerCommand.Stop> = report.tasks
-    .filter { it.state != TaskState.EXITED && job(it.attempt.task.job)?.phase == Phase.CANCELLED }
-    .map { WorkerCommand.Stop(it.attempt, 0.0) }
-
 /**
  * Cancelled jobs whose attempts aren't proven gone. A cancellation that is committed may be unknown to the controller
  * that keeps the workers' leases alive: the state service refused that one alone, and is then down for all. So whoever
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -2,6 +2,9 @@
 
 import org.agrona.concurrent.ManyToOneConcurrentArrayQueue
 import org.slf4j.LoggerFactory
+import oxbowlug.cache.Replica
+import oxbowlug.cache.ReplicaListener
+import oxbowlug.cache.StoredJob
 import oxbowlug.config.Settings
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
--- a/src/main/kotlin/oxbowlug/core/Fleet.kt
+++ b/src/main/kotlin/oxbowlug/core/Fleet.kt
@@ -1,6 +1,9 @@
 package oxbowlug.core
 
 import org.slf4j.LoggerFactory
+import oxbowlug.cache.DependencyState
+import oxbowlug.cache.Replica
+import oxbowlug.cache.StoredJob
 import oxbowlug.config.Address
 import oxbowlug.config.Team
 import oxbowlug.port.Clock
--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -1,6 +1,8 @@
 package oxbowlug.core
 
 import org.slf4j.LoggerFactory
+import oxbowlug.cache.Replica
+import oxbowlug.cache.cancelledWork
 import oxbowlug.config.Settings
 import oxbowlug.plan.Plan
 import oxbowlug.plan.Planner
--- a/src/main/kotlin/oxbowlug/core/RenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/core/RenewalDelegate.kt
@@ -1,5 +1,6 @@
 package oxbowlug.core
 
+import oxbowlug.cache.Replica
 import oxbowlug.port.Clock
 import oxbowlug.port.HeartbeatEcho
 import oxbowlug.port.PeerHeartbeat
--- a/src/test/kotlin/oxbowlug/core/TornCopyTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornCopyTest.kt
@@ -1,10 +1,13 @@
-package oxbowlug.core
+package oxbowlug.cache
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
+import oxbowlug.core.IgnoringListener
+import oxbowlug.core.ImmediateStatePort
+import oxbowlug.core.SettingsTexts
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
 import oxbowlug.record.Phase
--- a/src/test/kotlin/oxbowlug/core/AuthorityTest.kt
+++ b/src/test/kotlin/oxbowlug/core/AuthorityTest.kt
@@ -4,6 +4,9 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.Replica
+import oxbowlug.cache.ReplicaListener
+import oxbowlug.cache.StoredJob
 import oxbowlug.config.SettingsFile
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
--- a/src/test/kotlin/oxbowlug/core/CommitsTest.kt
+++ b/src/test/kotlin/oxbowlug/core/CommitsTest.kt
@@ -3,6 +3,8 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.Replica
+import oxbowlug.cache.StoredJob
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
 import oxbowlug.port.CommitOutcome
--- a/src/test/kotlin/oxbowlug/core/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/core/DependenciesTest.kt
@@ -3,6 +3,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.DependencyState
+import oxbowlug.cache.Replica
+import oxbowlug.cache.ReplicaListener
+import oxbowlug.cache.StoredJob
 import oxbowlug.config.SettingsFile
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
--- a/src/test/kotlin/oxbowlug/core/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/core/FleetTest.kt
@@ -5,6 +5,8 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.DependencyState
+import oxbowlug.cache.StoredJob
 import oxbowlug.config.Policy
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.Team
--- a/src/test/kotlin/oxbowlug/core/JobRequestsTest.kt
+++ b/src/test/kotlin/oxbowlug/core/JobRequestsTest.kt
@@ -2,6 +2,7 @@
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.Replica
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
 import oxbowlug.port.CommitOutcome
--- a/src/test/kotlin/oxbowlug/core/PresentBasisTest.kt
+++ b/src/test/kotlin/oxbowlug/core/PresentBasisTest.kt
@@ -3,6 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.Replica
 import oxbowlug.config.SettingsFile
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
--- a/src/test/kotlin/oxbowlug/core/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/core/ProductionDataTest.kt
@@ -4,6 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertArrayEquals
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.StoredJob
 import oxbowlug.peer.PeerFrames
 import oxbowlug.peer.PeerMessage
 import oxbowlug.record.DelegateAssignments
--- a/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
@@ -4,6 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.Replica
 import oxbowlug.config.SettingsFile
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
--- a/src/test/kotlin/oxbowlug/core/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/core/TestDoubles.kt
@@ -1,5 +1,7 @@
 package oxbowlug.core
 
+import oxbowlug.cache.ReplicaListener
+import oxbowlug.cache.StoredJob
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
