--- a/src/main/kotlin/oxbowlug/core/Commits.kt
+++ b/src/main/kotlin/oxbowlug/core/Commits.kt
@@ -4,6 +4,7 @@
 import oxbowlug.cache.Replica
 import oxbowlug.config.Settings
 import oxbowlug.config.WriteLimits
+import oxbowlug.invariant.DecisionBasis
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -6,6 +6,7 @@
 import oxbowlug.cache.ReplicaListener
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Settings
+import oxbowlug.invariant.Invariants
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
 import oxbowlug.port.Meters
--- a/src/main/kotlin/oxbowlug/core/JobRequests.kt
+++ b/src/main/kotlin/oxbowlug/core/JobRequests.kt
@@ -4,6 +4,7 @@
 import oxbowlug.cache.Replica
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Settings
+import oxbowlug.invariant.DecisionBasis
 import oxbowlug.plan.amounts
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
--- a/src/main/kotlin/oxbowlug/core/LeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/core/LeaseRenewals.kt
@@ -3,6 +3,7 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.Replica
 import oxbowlug.cache.cancelledWork
+import oxbowlug.invariant.DecisionBasis
 import oxbowlug.wire.Token
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerReport
--- a/src/main/kotlin/oxbowlug/core/Rentals.kt
+++ b/src/main/kotlin/oxbowlug/core/Rentals.kt
@@ -3,6 +3,7 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
+import oxbowlug.invariant.DecisionBasis
 import oxbowlug.plan.Kind
 import oxbowlug.plan.Refusal
 import oxbowlug.port.Clock
--- a/src/main/kotlin/oxbowlug/core/Invariants.kt
+++ b/src/main/kotlin/oxbowlug/invariant/Invariants.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.invariant
 
 import org.slf4j.LoggerFactory
 import oxbowlug.port.Invariant
--- a/src/test/kotlin/oxbowlug/core/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/core/TestDoubles.kt
@@ -2,6 +2,8 @@
 
 import oxbowlug.cache.ReplicaListener
 import oxbowlug.cache.StoredJob
+import oxbowlug.invariant.DecisionBasis
+import oxbowlug.invariant.Invariants
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
