--- a/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/core/CancellationEnforcer.kt
@@ -4,6 +4,7 @@
 import oxbowlug.cache.Replica
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
+import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
 import oxbowlug.port.DirectOutcome
--- a/src/main/kotlin/oxbowlug/core/Cancellations.kt
+++ b/src/main/kotlin/oxbowlug/core/Cancellations.kt
@@ -4,6 +4,7 @@
 import oxbowlug.cache.Replica
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Settings
+import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Acknowledgement
 import oxbowlug.port.Cancellation
 import oxbowlug.port.CancellationNotice
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -7,6 +7,7 @@
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Settings
 import oxbowlug.invariant.Invariants
+import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
 import oxbowlug.port.Meters
--- a/src/main/kotlin/oxbowlug/core/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.membership
 
 import oxbowlug.port.Clock
 import oxbowlug.port.PeerHeartbeat
--- a/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
@@ -8,6 +8,7 @@
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Address
 import oxbowlug.config.SettingsFile
+import oxbowlug.membership.PeerHealth
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.CloudPort
 import oxbowlug.port.DirectOutcome
