--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -6,6 +6,9 @@
 import oxbowlug.cache.ReplicaListener
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Settings
+import oxbowlug.election.Authority
+import oxbowlug.election.PresentBasis
+import oxbowlug.election.Role
 import oxbowlug.invariant.Invariants
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Clock
--- a/src/main/kotlin/oxbowlug/core/Authority.kt
+++ b/src/main/kotlin/oxbowlug/election/Authority.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.election
 
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.Replica
@@ -17,23 +17,6 @@
 import oxbowlug.wire.Token
 import oxbowlug.wire.Transaction
 
-/** What this controller may do now. */
-sealed interface Role {
-    /** Leads, and believes in its own lease: may place, start, stop, rent and return. */
-    data class Leader(val view: View) : Role
-
-    /**
-     * Led when it last heard from the state service, which it no longer reaches. It goes on answering reports, so
-     * that running replicas outlive an outage, but starts nothing, and ends this when it learns of a newer epoch.
-     */
-    data class RenewingOnly(val view: View) : Role
-
-    /** Another one leads, as far as known. */
-    data class Follower(val leader: Member) : Role
-
-    data object Unknown : Role
-}
-
 /**
  * This controller's lease, its member key, and the election. The view is changed by compare-and-set only, and only
  * while the former leader's member key is gone, which the same transaction checks.
--- a/src/main/kotlin/oxbowlug/core/DecisionBasis.kt
+++ b/src/main/kotlin/oxbowlug/election/PresentBasis.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.election
 
 import oxbowlug.cache.Replica
 import oxbowlug.invariant.DecisionBasis
--- a/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
@@ -4,11 +4,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
-import oxbowlug.core.Authority
 import oxbowlug.core.IgnoringListener
 import oxbowlug.core.ImmediateStatePort
 import oxbowlug.core.ManualClock
 import oxbowlug.core.SettingsTexts
+import oxbowlug.election.Authority
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.TouchOutcome
 import oxbowlug.record.Member
--- a/src/test/kotlin/oxbowlug/core/PresentBasisTest.kt
+++ b/src/test/kotlin/oxbowlug/election/PresentBasisTest.kt
@@ -1,10 +1,14 @@
-package oxbowlug.core
+package oxbowlug.election
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.cache.Replica
 import oxbowlug.config.SettingsFile
+import oxbowlug.core.IgnoringListener
+import oxbowlug.core.ImmediateStatePort
+import oxbowlug.core.ManualClock
+import oxbowlug.core.SettingsTexts
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
 import oxbowlug.record.View
