--- a/src/main/kotlin/oxbowlug/core/Command.kt
+++ b/src/main/kotlin/oxbowlug/core/Command.kt
@@ -1,13 +1,12 @@
 package oxbowlug.core
 
+import oxbowlug.lease.ReportAnswer
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.MachineId
-import oxbowlug.wire.Token
-import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerReport
 
 /** What adapters put into the owner's queue. */
@@ -34,11 +33,3 @@
 
     data object Tick : Command
 }
-
-sealed interface ReportAnswer {
-    data class Taken(val token: Token, val commands: List<WorkerCommand>) : ReportAnswer
-
-    data class Redirect(val label: String?) : ReportAnswer
-
-    data object Unavailable : ReportAnswer
-}
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -10,6 +10,9 @@
 import oxbowlug.election.PresentBasis
 import oxbowlug.election.Role
 import oxbowlug.invariant.Invariants
+import oxbowlug.lease.LeaseRenewals
+import oxbowlug.lease.RenewalDelegate
+import oxbowlug.lease.ReportAnswer
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -5,6 +5,9 @@
 import oxbowlug.cache.cancelledWork
 import oxbowlug.config.Settings
 import oxbowlug.invariant.Invariants
+import oxbowlug.lease.LeaseRenewals
+import oxbowlug.lease.RenewalDelegates
+import oxbowlug.lease.notAmong
 import oxbowlug.plan.Plan
 import oxbowlug.plan.Planner
 import oxbowlug.plan.Pricing
--- a/src/main/kotlin/oxbowlug/core/Machine.kt
+++ b/src/main/kotlin/oxbowlug/core/Machine.kt
@@ -1,6 +1,7 @@
 package oxbowlug.core
 
 import oxbowlug.config.Address
+import oxbowlug.lease.WorkerLease
 import oxbowlug.plan.Amounts
 import oxbowlug.plan.amounts
 import oxbowlug.wire.Attempt
--- a/src/main/kotlin/oxbowlug/core/RenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/RenewalDelegate.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.lease
 
 import oxbowlug.cache.Replica
 import oxbowlug.port.Clock
--- a/src/main/kotlin/oxbowlug/core/WorkerLease.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.lease
 
 /**
  * What a leader knows of one worker's lease under its own token. All times are milliseconds of the leader's steady
--- a/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
@@ -10,7 +10,7 @@
 import io.vertx.core.http.HttpConnectOptions
 import io.vertx.core.http.HttpMethod
 import io.vertx.core.http.RequestOptions
-import oxbowlug.core.ReportAnswer
+import oxbowlug.lease.ReportAnswer
 import oxbowlug.standin.ReportTarget
 import oxbowlug.standin.SimWorker
 import oxbowlug.wire.Cbor
--- a/src/scale/kotlin/oxbowlug/scale/Wire.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Wire.kt
@@ -1,6 +1,6 @@
 package oxbowlug.scale
 
-import oxbowlug.core.ReportAnswer
+import oxbowlug.lease.ReportAnswer
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
--- a/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
@@ -1,6 +1,6 @@
 package oxbowlug.standin
 
-import oxbowlug.core.ReportAnswer
+import oxbowlug.lease.ReportAnswer
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.ExitCause
 import oxbowlug.wire.JobKind
--- a/src/test/kotlin/oxbowlug/core/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/RenewalDelegateTest.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.lease
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -6,6 +6,9 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.cache.Replica
 import oxbowlug.config.SettingsFile
+import oxbowlug.core.IgnoringListener
+import oxbowlug.core.ManualClock
+import oxbowlug.core.SettingsTexts
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.HeartbeatEcho
--- a/src/test/kotlin/oxbowlug/scale/WireTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/WireTest.kt
@@ -2,7 +2,7 @@
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
-import oxbowlug.core.ReportAnswer
+import oxbowlug.lease.ReportAnswer
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.Change
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -1,8 +1,8 @@
 package oxbowlug.sim
 
 import oxbowlug.config.Address
-import oxbowlug.core.ReportAnswer
 import oxbowlug.core.UserAnswer
+import oxbowlug.lease.ReportAnswer
 import oxbowlug.peer.PeerFrames
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.ChangesOutcome
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -4,7 +4,7 @@
 import oxbowlug.config.Settings
 import oxbowlug.core.Command
 import oxbowlug.core.Core
-import oxbowlug.core.ReportAnswer
+import oxbowlug.lease.ReportAnswer
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CloudPort
--- a/src/test/kotlin/oxbowlug/standin/ReportPacingTest.kt
+++ b/src/test/kotlin/oxbowlug/standin/ReportPacingTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.core.ReportAnswer
+import oxbowlug.lease.ReportAnswer
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpec
