--- a/src/main/kotlin/oxbowlug/core/Job.kt
+++ b/src/main/kotlin/oxbowlug/core/Job.kt
@@ -1,9 +1,9 @@
 package oxbowlug.core
 
-import oxbowlug.plan.amounts
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
+import oxbowlug.resource.amounts
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/JobRequests.kt
+++ b/src/main/kotlin/oxbowlug/core/JobRequests.kt
@@ -5,7 +5,6 @@
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Settings
 import oxbowlug.invariant.DecisionBasis
-import oxbowlug.plan.amounts
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.Meters
@@ -17,6 +16,7 @@
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.StoredForm
 import oxbowlug.record.WritableFormat
+import oxbowlug.resource.amounts
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
--- a/src/main/kotlin/oxbowlug/core/Machine.kt
+++ b/src/main/kotlin/oxbowlug/core/Machine.kt
@@ -2,8 +2,8 @@
 
 import oxbowlug.config.Address
 import oxbowlug.lease.WorkerLease
-import oxbowlug.plan.Amounts
-import oxbowlug.plan.amounts
+import oxbowlug.resource.Amounts
+import oxbowlug.resource.amounts
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/core/Planning.kt
+++ b/src/main/kotlin/oxbowlug/core/Planning.kt
@@ -2,20 +2,20 @@
 
 import oxbowlug.config.Objective
 import oxbowlug.config.Settings
-import oxbowlug.plan.Amounts
 import oxbowlug.plan.Plan
 import oxbowlug.plan.PlanJob
 import oxbowlug.plan.PlanMachine
 import oxbowlug.plan.PlanTeam
 import oxbowlug.plan.Snapshot
 import oxbowlug.plan.Tenant
-import oxbowlug.plan.fetchS
 import oxbowlug.port.Clock
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.record.Ranges
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.WritableFormat
+import oxbowlug.resource.Amounts
+import oxbowlug.resource.fetchS
 import oxbowlug.timing.Timing
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.JobId
--- a/src/main/kotlin/oxbowlug/core/TeamLimits.kt
+++ b/src/main/kotlin/oxbowlug/core/TeamLimits.kt
@@ -1,7 +1,7 @@
 package oxbowlug.core
 
 import oxbowlug.config.Team
-import oxbowlug.plan.Amounts
+import oxbowlug.resource.Amounts
 import oxbowlug.timing.Timing
 import oxbowlug.wire.TeamName
 
--- a/src/main/kotlin/oxbowlug/plan/Consolidation.kt
+++ b/src/main/kotlin/oxbowlug/plan/Consolidation.kt
@@ -1,5 +1,7 @@
 package oxbowlug.plan
 
+import oxbowlug.resource.Amounts
+import oxbowlug.resource.share
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
--- a/src/main/kotlin/oxbowlug/plan/Offers.kt
+++ b/src/main/kotlin/oxbowlug/plan/Offers.kt
@@ -3,6 +3,8 @@
 import it.unimi.dsi.fastutil.ints.IntArrayList
 import oxbowlug.plan.index.ChangedMachines
 import oxbowlug.plan.index.CostHeap
+import oxbowlug.resource.Amounts
+import oxbowlug.resource.fetchS
 import oxbowlug.wire.Zone
 
 /** What one more task would cost at its cheapest place. */
--- a/src/main/kotlin/oxbowlug/plan/Planner.kt
+++ b/src/main/kotlin/oxbowlug/plan/Planner.kt
@@ -1,6 +1,9 @@
 package oxbowlug.plan
 
 import oxbowlug.plan.index.ChangedMachines
+import oxbowlug.resource.Amounts
+import oxbowlug.resource.amounts
+import oxbowlug.resource.fetchS
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.MachineId
--- a/src/main/kotlin/oxbowlug/plan/Preemption.kt
+++ b/src/main/kotlin/oxbowlug/plan/Preemption.kt
@@ -1,5 +1,7 @@
 package oxbowlug.plan
 
+import oxbowlug.resource.Amounts
+import oxbowlug.resource.fetchS
 import oxbowlug.wire.TeamName
 
 /**
--- a/src/main/kotlin/oxbowlug/plan/Relief.kt
+++ b/src/main/kotlin/oxbowlug/plan/Relief.kt
@@ -1,5 +1,6 @@
 package oxbowlug.plan
 
+import oxbowlug.resource.Amounts
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.Zone
 
--- a/src/main/kotlin/oxbowlug/plan/RentalPrices.kt
+++ b/src/main/kotlin/oxbowlug/plan/RentalPrices.kt
@@ -1,5 +1,9 @@
 package oxbowlug.plan
 
+import oxbowlug.resource.Amounts
+import oxbowlug.resource.amounts
+import oxbowlug.resource.fetchS
+import oxbowlug.resource.share
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.Zone
 
--- a/src/test/kotlin/oxbowlug/plan/OffersTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/OffersTest.kt
@@ -4,6 +4,8 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.plan.index.ChangedMachines
+import oxbowlug.resource.Amounts
+import oxbowlug.resource.amounts
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.ImageName
--- a/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
@@ -3,6 +3,8 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.resource.Amounts
+import oxbowlug.resource.amounts
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.ImageName
