--- a/src/main/kotlin/oxbowlug/core/Fleet.kt
+++ b/src/main/kotlin/oxbowlug/core/Fleet.kt
@@ -6,6 +6,7 @@
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Address
 import oxbowlug.config.Team
+import oxbowlug.forecast.Arrivals
 import oxbowlug.invariant.Invariants
 import oxbowlug.port.Clock
 import oxbowlug.port.Invariant
--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -4,6 +4,7 @@
 import oxbowlug.cache.Replica
 import oxbowlug.cache.cancelledWork
 import oxbowlug.config.Settings
+import oxbowlug.forecast.Arrivals
 import oxbowlug.invariant.Invariants
 import oxbowlug.lease.LeaseRenewals
 import oxbowlug.lease.RenewalDelegates
--- a/src/main/kotlin/oxbowlug/core/Arrivals.kt
+++ b/src/main/kotlin/oxbowlug/forecast/Arrivals.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.forecast
 
 import oxbowlug.config.Objective
 import oxbowlug.config.Settings
--- a/src/test/kotlin/oxbowlug/core/CommitsTest.kt
+++ b/src/test/kotlin/oxbowlug/core/CommitsTest.kt
@@ -7,6 +7,7 @@
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
+import oxbowlug.forecast.Arrivals
 import oxbowlug.port.CommitOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
--- a/src/test/kotlin/oxbowlug/core/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/core/FleetTest.kt
@@ -10,6 +10,7 @@
 import oxbowlug.config.Policy
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.Team
+import oxbowlug.forecast.Arrivals
 import oxbowlug.port.CloudPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.record.JobRecord
