--- /dev/null
+++ b/src/main/kotlin/oxbowlug/cluster/Failures.kt
@@ -0,0 +1,26 @@
+package oxbowlug.cluster
+
+import oxbowlug.timing.Timing
+
+/** Errors suspect the machine first; the same job failing on several machines suspects the job. */
+object Failures {
+    private const val JOBS_TO_SUSPECT_MACHINE = 2
+    private const val MACHINES_TO_SUSPECT_JOB = 3
+    private const val MAX_DOUBLINGS = 6
+
+    fun onError(host: Machine, job: Job, now: Long, timing: Timing) {
+        job.failures++
+        job.failedOn.add(host.id)
+        job.avoid[host.id] = now + timing.avoidMs
+        host.failedJobs.add(job.id.value)
+        if (host.failedJobs.size >= JOBS_TO_SUSPECT_MACHINE) host.quarantined = true
+        if (job.failedOn.size >= MACHINES_TO_SUSPECT_JOB) {
+            val doublings = (job.failedOn.size - MACHINES_TO_SUSPECT_JOB).coerceAtMost(MAX_DOUBLINGS)
+            job.holdUntil = now + minOf(timing.errorPauseMs shl doublings, timing.errorPauseMaxMs)
+        }
+    }
+
+    fun onRefused(host: Machine, job: Job, now: Long, timing: Timing) {
+        job.avoid[host.id] = now + timing.refusedPauseMs
+    }
+}
--- a/src/main/kotlin/oxbowlug/core/HeartbeatCounts.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatCounts.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.cluster
 
 import oxbowlug.timing.Timing
 import oxbowlug.wire.MachineState
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/cluster/Live.kt
@@ -0,0 +1,44 @@
+package oxbowlug.cluster
+
+import oxbowlug.record.Phase
+import oxbowlug.wire.Attempt
+import oxbowlug.wire.MachineId
+import oxbowlug.wire.TaskId
+import oxbowlug.wire.TaskState
+
+enum class StopReason { PREEMPTED, DRAINED }
+
+/** One attempt that is, or may be, on a machine. It counts for every limit until it is proven gone. */
+class Live(val job: Job, val task: Int, val machine: MachineId, val number: Long) {
+    val attempt = Attempt(TaskId(job.id, task), number)
+
+    /** Written to the state service: only then may it be started. */
+    var committed = false
+
+    /** Placed by an earlier leader, whose start may still be on its way until the worker shows our token. */
+    var inherited = false
+
+    /** The worker has shown it in some state. */
+    var seen: TaskState? = null
+    var seenRunningAt = 0L
+
+    /** A start went out in the answer to this report; a newer one that lacks the attempt shows it was dropped. */
+    var answeredAt: Stamp? = null
+    private var firstSentAt: Long? = null
+    var stop: StopReason? = null
+
+    /** Where it is to go on, if it was stopped only to be moved. */
+    var target: MachineId? = null
+    val isWanted: Boolean get() = stop == null && job.phase == Phase.ACTIVE
+
+    fun sentInAnswer(stamp: Stamp, now: Long) {
+        answeredAt = stamp
+        sentDirectly(now)
+    }
+
+    fun sentDirectly(now: Long) {
+        if (firstSentAt == null) firstSentAt = now
+    }
+
+    fun isOverdue(now: Long, patienceMs: Long): Boolean = firstSentAt?.let { now - it > patienceMs } ?: false
+}
--- a/src/main/kotlin/oxbowlug/core/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.cluster
 
 import oxbowlug.config.Address
 import oxbowlug.lease.WorkerLease
--- a/src/main/kotlin/oxbowlug/core/TeamLimits.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TeamLimits.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.cluster
 
 import oxbowlug.config.Team
 import oxbowlug.resource.Amounts
--- a/src/main/kotlin/oxbowlug/core/Commits.kt
+++ b/src/main/kotlin/oxbowlug/core/Commits.kt
@@ -2,6 +2,8 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.Replica
+import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.Job
 import oxbowlug.config.Settings
 import oxbowlug.config.WriteLimits
 import oxbowlug.invariant.DecisionBasis
@@ -12,7 +14,6 @@
 import oxbowlug.record.Keys
 import oxbowlug.record.Names
 import oxbowlug.record.Phase
-import oxbowlug.record.Ranges
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.StoredForm
 import oxbowlug.record.View
@@ -230,12 +231,3 @@
         val log = LoggerFactory.getLogger("commits")
     }
 }
-
-/** An upper bound of a record's size as a single value, in the form in which the state service counts it. */
-object RecordSize {
-    fun bound(job: Job): Int {
-        val machines = job.live.values.mapTo(HashSet()) { it.machine }.size
-        return JobRecord.SPEC_BOUND + Ranges.sizeBound(job.done) +
-            machines * JobRecord.MACHINE_BOUND + job.live.size * JobRecord.PLACEMENT_BOUND
-    }
-}
--- a/src/main/kotlin/oxbowlug/core/InheritedUrgency.kt
+++ b/src/main/kotlin/oxbowlug/core/InheritedUrgency.kt
@@ -1,5 +1,6 @@
 package oxbowlug.core
 
+import oxbowlug.cluster.Job
 import oxbowlug.record.Phase
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineType
--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -3,6 +3,11 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.Replica
 import oxbowlug.cache.cancelledWork
+import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.HeartbeatCounts
+import oxbowlug.cluster.Machine
+import oxbowlug.cluster.Stamp
+import oxbowlug.cluster.StopReason
 import oxbowlug.config.Settings
 import oxbowlug.forecast.Arrivals
 import oxbowlug.invariant.Invariants
--- a/src/main/kotlin/oxbowlug/core/Planning.kt
+++ b/src/main/kotlin/oxbowlug/core/Planning.kt
@@ -1,5 +1,10 @@
 package oxbowlug.core
 
+import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.Job
+import oxbowlug.cluster.Live
+import oxbowlug.cluster.Machine
+import oxbowlug.cluster.StopReason
 import oxbowlug.config.Objective
 import oxbowlug.config.Settings
 import oxbowlug.plan.Plan
--- a/src/main/kotlin/oxbowlug/core/Rentals.kt
+++ b/src/main/kotlin/oxbowlug/core/Rentals.kt
@@ -1,6 +1,8 @@
 package oxbowlug.core
 
 import org.slf4j.LoggerFactory
+import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.Machine
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
 import oxbowlug.invariant.DecisionBasis
--- a/src/main/kotlin/oxbowlug/core/TokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/core/TokenPropagation.kt
@@ -1,5 +1,7 @@
 package oxbowlug.core
 
+import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.Machine
 import oxbowlug.port.WorkerPort
 import oxbowlug.timing.Timing
 import oxbowlug.wire.MachineState
--- a/src/test/kotlin/oxbowlug/core/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.cluster
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -10,6 +10,13 @@
 import oxbowlug.config.Policy
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.Team
+import oxbowlug.core.ManualClock
+import oxbowlug.core.Planning
+import oxbowlug.core.Rentals
+import oxbowlug.core.SettingsTexts
+import oxbowlug.core.ZoneUses
+import oxbowlug.core.failingInvariants
+import oxbowlug.core.noBasis
 import oxbowlug.forecast.Arrivals
 import oxbowlug.port.CloudPort
 import oxbowlug.port.RentalOutcome
--- a/src/test/kotlin/oxbowlug/core/CommitsTest.kt
+++ b/src/test/kotlin/oxbowlug/core/CommitsTest.kt
@@ -5,6 +5,7 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.cache.Replica
 import oxbowlug.cache.StoredJob
+import oxbowlug.cluster.Fleet
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
 import oxbowlug.forecast.Arrivals
--- a/src/test/kotlin/oxbowlug/core/InheritedUrgencyTest.kt
+++ b/src/test/kotlin/oxbowlug/core/InheritedUrgencyTest.kt
@@ -2,6 +2,7 @@
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
+import oxbowlug.cluster.Job
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.wire.JobId
--- a/src/test/kotlin/oxbowlug/core/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/core/ProductionDataTest.kt
@@ -5,6 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import oxbowlug.cache.StoredJob
+import oxbowlug.cluster.Job
 import oxbowlug.peer.PeerFrames
 import oxbowlug.peer.PeerMessage
 import oxbowlug.record.DelegateAssignments
--- a/src/test/kotlin/oxbowlug/core/RecordsTest.kt
+++ b/src/test/kotlin/oxbowlug/core/RecordsTest.kt
@@ -3,6 +3,8 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.cluster.Job
+import oxbowlug.cluster.RecordSize
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
