--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -5,6 +5,7 @@
 import oxbowlug.cache.Replica
 import oxbowlug.cache.ReplicaListener
 import oxbowlug.cache.StoredJob
+import oxbowlug.commit.FormatUpgrade
 import oxbowlug.config.Settings
 import oxbowlug.election.Authority
 import oxbowlug.election.PresentBasis
--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -8,6 +8,7 @@
 import oxbowlug.cluster.Machine
 import oxbowlug.cluster.Stamp
 import oxbowlug.cluster.StopReason
+import oxbowlug.commit.Commits
 import oxbowlug.config.Settings
 import oxbowlug.forecast.Arrivals
 import oxbowlug.invariant.Invariants
--- a/src/test/kotlin/oxbowlug/core/CommitsTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/CommitsTest.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.commit
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -8,6 +8,11 @@
 import oxbowlug.cluster.Fleet
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
+import oxbowlug.core.IgnoringListener
+import oxbowlug.core.ImmediateStatePort
+import oxbowlug.core.SettingsTexts
+import oxbowlug.core.failingInvariants
+import oxbowlug.core.noBasis
 import oxbowlug.forecast.Arrivals
 import oxbowlug.port.CommitOutcome
 import oxbowlug.record.DataFormat
