--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -28,6 +28,7 @@
 import oxbowlug.record.Names
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
+import oxbowlug.scaling.Rentals
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.ImageName
--- a/src/main/kotlin/oxbowlug/core/Planning.kt
+++ b/src/main/kotlin/oxbowlug/core/Planning.kt
@@ -21,6 +21,8 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.resource.Amounts
 import oxbowlug.resource.fetchS
+import oxbowlug.scaling.Ordered
+import oxbowlug.scaling.Rentals
 import oxbowlug.timing.Timing
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.JobId
--- a/src/main/kotlin/oxbowlug/core/Rentals.kt
+++ b/src/main/kotlin/oxbowlug/scaling/Rentals.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.scaling
 
 import org.slf4j.LoggerFactory
 import oxbowlug.cluster.Fleet
@@ -23,9 +23,6 @@
 import oxbowlug.wire.TypeName
 import kotlin.math.pow
 
-/** A rental whose answer is awaited: its machines count as coming. */
-class Ordered(val request: RentalRequest, val orderedAt: Long, var asking: Boolean, var askAgainAt: Long)
-
 /** The leader's dealings with the cloud: the list, rentals as planned, returns, and which kinds refuse. */
 class Rentals(
     private val names: Names,
--- a/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
@@ -12,7 +12,6 @@
 import oxbowlug.config.Team
 import oxbowlug.core.ManualClock
 import oxbowlug.core.Planning
-import oxbowlug.core.Rentals
 import oxbowlug.core.SettingsTexts
 import oxbowlug.core.ZoneUses
 import oxbowlug.core.failingInvariants
@@ -26,6 +25,7 @@
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
 import oxbowlug.record.WritableFormat
+import oxbowlug.scaling.Rentals
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
