--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/core/Leader.kt
@@ -29,6 +29,7 @@
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
 import oxbowlug.scaling.Rentals
+import oxbowlug.scheduling.Planning
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.ImageName
--- a/src/main/kotlin/oxbowlug/core/InheritedUrgency.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/InheritedUrgency.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.scheduling
 
 import oxbowlug.cluster.Job
 import oxbowlug.record.Phase
--- a/src/main/kotlin/oxbowlug/core/Planning.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/Planning.kt
@@ -1,11 +1,10 @@
-package oxbowlug.core
+package oxbowlug.scheduling
 
 import oxbowlug.cluster.Fleet
 import oxbowlug.cluster.Job
 import oxbowlug.cluster.Live
 import oxbowlug.cluster.Machine
 import oxbowlug.cluster.StopReason
-import oxbowlug.config.Objective
 import oxbowlug.config.Settings
 import oxbowlug.plan.Plan
 import oxbowlug.plan.PlanJob
@@ -24,7 +23,6 @@
 import oxbowlug.scaling.Ordered
 import oxbowlug.scaling.Rentals
 import oxbowlug.timing.Timing
-import oxbowlug.wire.ClassName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.MachineId
@@ -33,7 +31,6 @@
 import oxbowlug.wire.Priority
 import oxbowlug.wire.TaskState
 import oxbowlug.wire.TypeName
-import oxbowlug.wire.Zone
 
 /** Turns the model into the planner's snapshot. */
 class Planning(
@@ -333,46 +330,3 @@
         const val SPARE = 2.0
     }
 }
-
-/** Where the tasks of each job are, counted once a plan: tenants of one job on many machines all ask for it. */
-class ZoneUses(private val fleet: Fleet, private val zones: List<Zone>) {
-    private val known = HashMap<JobId, Map<Zone, Int>>()
-
-    /** A new leader may know from the records of a machine that it hasn't heard and that no list shows yet. */
-    fun isKnown(job: Job): Boolean = job.live.values.all { zoneOf(it) != null }
-
-    /** What is somewhere unknown may be in any zone, so it counts in each: left out, it would break the job's rule. */
-    fun of(job: Job): Map<Zone, Int> = known.getOrPut(job.id) {
-        val use = HashMap<Zone, Int>()
-        for (placed in job.live.values) {
-            val zone = zoneOf(placed)
-            if (zone != null) use.merge(zone, 1, Int::plus) else zones.forEach { use.merge(it, 1, Int::plus) }
-        }
-        use
-    }
-
-    private fun zoneOf(placed: Live): Zone? = fleet.machines[placed.machine]?.zone
-}
-
-/** Tardiness weights: the shorter the wait that the objectives allow a class, the dearer each second of it. */
-class ClassWeights(settings: Settings) {
-    private val weights = HashMap<ClassName, Double>()
-
-    /** Of work that a guarantee covers, whatever its class. */
-    var guarantee = 0.0
-        private set
-
-    init {
-        for (objective in settings.objectives) {
-            when (objective) {
-                is Objective.Wait ->
-                    weights[objective.className] = maxOf(1.0, settings.policy.replanS / objective.withinS)
-                is Objective.Guarantee -> guarantee = maxOf(1.0, settings.policy.replanS / objective.withinS)
-                is Objective.Deadline -> Unit
-            }
-        }
-        weights.putAll(settings.policy.classWeights)
-    }
-
-    fun of(name: ClassName): Double = weights[name] ?: 1.0
-}
--- a/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
@@ -11,9 +11,7 @@
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.Team
 import oxbowlug.core.ManualClock
-import oxbowlug.core.Planning
 import oxbowlug.core.SettingsTexts
-import oxbowlug.core.ZoneUses
 import oxbowlug.core.failingInvariants
 import oxbowlug.core.noBasis
 import oxbowlug.forecast.Arrivals
@@ -26,6 +24,8 @@
 import oxbowlug.record.Placement
 import oxbowlug.record.WritableFormat
 import oxbowlug.scaling.Rentals
+import oxbowlug.scheduling.Planning
+import oxbowlug.scheduling.ZoneUses
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
