--- a/src/main/kotlin/oxbowlug/core/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.cancellation
 
 import oxbowlug.cache.Replica
 import oxbowlug.config.Settings
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -5,6 +5,9 @@
 import oxbowlug.cache.Replica
 import oxbowlug.cache.ReplicaListener
 import oxbowlug.cache.StoredJob
+import oxbowlug.cancellation.CancellationEnforcer
+import oxbowlug.cancellation.CancellationFreshness
+import oxbowlug.cancellation.Cancellations
 import oxbowlug.commit.FormatUpgrade
 import oxbowlug.config.Settings
 import oxbowlug.election.Authority
--- a/src/test/kotlin/oxbowlug/core/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.cancellation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -8,6 +8,10 @@
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Address
 import oxbowlug.config.SettingsFile
+import oxbowlug.core.IgnoringListener
+import oxbowlug.core.ImmediateStatePort
+import oxbowlug.core.ManualClock
+import oxbowlug.core.SettingsTexts
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.CloudPort
