--- a/src/main/kotlin/oxbowlug/api/ClientServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ClientServer.kt
@@ -11,8 +11,8 @@
 import oxbowlug.config.Settings
 import oxbowlug.core.Command
 import oxbowlug.core.Core
-import oxbowlug.core.UserAnswer
 import oxbowlug.lease.ReportAnswer
+import oxbowlug.request.UserAnswer
 import oxbowlug.wire.AnswerCodec
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.InvalidField
--- a/src/main/kotlin/oxbowlug/core/Command.kt
+++ b/src/main/kotlin/oxbowlug/core/Command.kt
@@ -3,6 +3,7 @@
 import oxbowlug.lease.ReportAnswer
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.PeerHeartbeat
+import oxbowlug.request.UserAnswer
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpec
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -30,6 +30,7 @@
 import oxbowlug.record.Names
 import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
+import oxbowlug.request.JobRequests
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.ImageName
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/request/Admission.kt
@@ -0,0 +1,27 @@
+package oxbowlug.request
+
+import oxbowlug.config.Settings
+import oxbowlug.resource.amounts
+import oxbowlug.wire.JobKind
+import oxbowlug.wire.JobSpec
+import oxbowlug.wire.MachineType
+import oxbowlug.wire.TypeName
+
+/** What can never run, and so is refused for good. */
+object Admission {
+    fun problem(spec: JobSpec, settings: Settings, types: Map<TypeName, MachineType>): String? {
+        val team = settings.teams[spec.team] ?: return "yoke: is not a known team"
+        val need = spec.amounts()
+        val fits = types.values.any { type ->
+            (spec.types == null || type.name in spec.types) && (spec.zone == null || spec.zone in type.zones) &&
+                need.fitsIn(type.amounts())
+        }
+        if (!fits) return "a task fits no allowed machine type"
+        if (spec.kind != JobKind.ARRAY && spec.oneZone && spec.zoneCap < spec.tasks) {
+            return "its tasks have to be in one zone, and at most half of them may be"
+        }
+        val atOnce = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
+        val overLimit = spec.cores * atOnce > team.maxCores || spec.gpus * atOnce > team.maxGpus
+        return if (overLimit) "needs more than the team's limit" else null
+    }
+}
--- a/src/main/kotlin/oxbowlug/core/AdmissionLimit.kt
+++ b/src/main/kotlin/oxbowlug/request/AdmissionLimit.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.request
 
 import kotlin.math.sqrt
 
--- a/src/main/kotlin/oxbowlug/core/JobRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/JobRequests.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.request
 
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.Replica
@@ -16,7 +16,6 @@
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.StoredForm
 import oxbowlug.record.WritableFormat
-import oxbowlug.resource.amounts
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
@@ -32,26 +31,6 @@
 import oxbowlug.wire.TypeName
 import java.util.BitSet
 
-sealed interface UserAnswer {
-    data class Accepted(val view: JobView) : UserAnswer
-
-    data class Known(val view: JobView) : UserAnswer
-
-    /** Can never run. */
-    data class Rejected(val problem: String) : UserAnswer
-
-    /** A field that is missing, mistyped or larger than the service can store. */
-    data class Malformed(val problem: String) : UserAnswer
-
-    data object NotFound : UserAnswer
-
-    /** Can't be decided now: come back after [retryAfterS]. */
-    data class Unavailable(val retryAfterS: Int, val why: String) : UserAnswer
-
-    /** More is asked than can be done. */
-    data class Overloaded(val retryAfterS: Int) : UserAnswer
-}
-
 /** Answers users. Every controller does, each with the same answers, because each first catches up with the store. */
 class JobRequests(
     private val names: Names,
@@ -300,22 +279,3 @@
         const val CANCEL_TRIES = 5
     }
 }
-
-/** What can never run, and so is refused for good. */
-object Admission {
-    fun problem(spec: JobSpec, settings: Settings, types: Map<TypeName, MachineType>): String? {
-        val team = settings.teams[spec.team] ?: return "yoke: is not a known team"
-        val need = spec.amounts()
-        val fits = types.values.any { type ->
-            (spec.types == null || type.name in spec.types) && (spec.zone == null || spec.zone in type.zones) &&
-                need.fitsIn(type.amounts())
-        }
-        if (!fits) return "a task fits no allowed machine type"
-        if (spec.kind != JobKind.ARRAY && spec.oneZone && spec.zoneCap < spec.tasks) {
-            return "its tasks have to be in one zone, and at most half of them may be"
-        }
-        val atOnce = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
-        val overLimit = spec.cores * atOnce > team.maxCores || spec.gpus * atOnce > team.maxGpus
-        return if (overLimit) "needs more than the team's limit" else null
-    }
-}
--- a/src/scale/kotlin/oxbowlug/scale/Users.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Users.kt
@@ -7,7 +7,7 @@
 import io.vertx.core.http.HttpMethod
 import io.vertx.core.http.PoolOptions
 import io.vertx.core.http.RequestOptions
-import oxbowlug.core.UserAnswer
+import oxbowlug.request.UserAnswer
 import oxbowlug.standin.Rules
 import oxbowlug.standin.World
 import oxbowlug.wire.Cbor
--- a/src/scale/kotlin/oxbowlug/standin/Rules.kt
+++ b/src/scale/kotlin/oxbowlug/standin/Rules.kt
@@ -1,6 +1,6 @@
 package oxbowlug.standin
 
-import oxbowlug.core.UserAnswer
+import oxbowlug.request.UserAnswer
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
--- a/src/test/kotlin/oxbowlug/core/AdmissionLimitTest.kt
+++ b/src/test/kotlin/oxbowlug/request/AdmissionLimitTest.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.request
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
--- a/src/test/kotlin/oxbowlug/core/JobRequestsTest.kt
+++ b/src/test/kotlin/oxbowlug/request/JobRequestsTest.kt
@@ -1,10 +1,15 @@
-package oxbowlug.core
+package oxbowlug.request
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import oxbowlug.cache.Replica
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
+import oxbowlug.core.FailingMeters
+import oxbowlug.core.IgnoringListener
+import oxbowlug.core.ImmediateStatePort
+import oxbowlug.core.SettingsTexts
+import oxbowlug.core.noBasis
 import oxbowlug.port.CommitOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -1,7 +1,6 @@
 package oxbowlug.sim
 
 import oxbowlug.config.Address
-import oxbowlug.core.UserAnswer
 import oxbowlug.lease.ReportAnswer
 import oxbowlug.peer.PeerFrames
 import oxbowlug.port.CancellationNotice
@@ -15,6 +14,7 @@
 import oxbowlug.port.StatePort
 import oxbowlug.port.TouchOutcome
 import oxbowlug.port.WorkerPort
+import oxbowlug.request.UserAnswer
 import oxbowlug.standin.World
 import oxbowlug.wire.AnswerCodec
 import oxbowlug.wire.Cbor
--- a/src/test/kotlin/oxbowlug/sim/RulesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RulesTest.kt
@@ -2,7 +2,7 @@
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
-import oxbowlug.core.UserAnswer
+import oxbowlug.request.UserAnswer
 import oxbowlug.standin.JobBook
 import oxbowlug.standin.ReportPacing
 import oxbowlug.standin.Rules
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -11,8 +11,8 @@
 import oxbowlug.config.WorkerSettings
 import oxbowlug.config.WriteLimits
 import oxbowlug.core.Command
-import oxbowlug.core.UserAnswer
 import oxbowlug.record.Keys
+import oxbowlug.request.UserAnswer
 import oxbowlug.standin.JobBook
 import oxbowlug.standin.ReportPacing
 import oxbowlug.standin.Rules
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -7,9 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 import org.junit.jupiter.params.provider.ValueSource
-import oxbowlug.core.UserAnswer
 import oxbowlug.lease.ReportAnswer
 import oxbowlug.record.Keys
+import oxbowlug.request.UserAnswer
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.JobKind
 
