--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/core/Core.kt
@@ -14,6 +14,8 @@
 import oxbowlug.election.PresentBasis
 import oxbowlug.election.Role
 import oxbowlug.invariant.Invariants
+import oxbowlug.leader.Leader
+import oxbowlug.leader.Load
 import oxbowlug.lease.LeaseRenewals
 import oxbowlug.lease.RenewalDelegate
 import oxbowlug.lease.ReportAnswer
--- a/src/main/kotlin/oxbowlug/core/Leader.kt
+++ b/src/main/kotlin/oxbowlug/leader/Leader.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.leader
 
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.Replica
--- a/src/main/kotlin/oxbowlug/core/TokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/TokenPropagation.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.leader
 
 import oxbowlug.cluster.Fleet
 import oxbowlug.cluster.Machine
--- a/src/test/kotlin/oxbowlug/core/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.leader
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -8,6 +8,7 @@
 import oxbowlug.cache.ReplicaListener
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.SettingsFile
+import oxbowlug.core.SettingsTexts
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
