--- a/src/main/kotlin/oxbowlug/api/ClientServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ClientServer.kt
@@ -9,8 +9,8 @@
 import io.vertx.core.http.HttpServerRequest
 import org.slf4j.LoggerFactory
 import oxbowlug.config.Settings
-import oxbowlug.core.Command
-import oxbowlug.core.Core
+import oxbowlug.controller.Command
+import oxbowlug.controller.Core
 import oxbowlug.lease.ReportAnswer
 import oxbowlug.request.UserAnswer
 import oxbowlug.wire.AnswerCodec
--- a/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
+++ b/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
@@ -5,7 +5,7 @@
 import io.micrometer.core.instrument.Gauge
 import io.micrometer.core.instrument.Meter
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
-import oxbowlug.core.Core
+import oxbowlug.controller.Core
 import oxbowlug.port.Invariant
 import oxbowlug.port.Meters
 import java.util.EnumMap
--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -13,8 +13,8 @@
 import oxbowlug.api.ServiceMetrics
 import oxbowlug.cloud.CloudClient
 import oxbowlug.config.Settings
-import oxbowlug.core.Command
-import oxbowlug.core.Core
+import oxbowlug.controller.Command
+import oxbowlug.controller.Core
 import oxbowlug.http.HttpCaller
 import oxbowlug.peer.PeerLink
 import oxbowlug.peer.PeerMessage
--- a/src/main/kotlin/oxbowlug/core/Command.kt
+++ b/src/main/kotlin/oxbowlug/controller/Command.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.controller
 
 import oxbowlug.lease.ReportAnswer
 import oxbowlug.port.CancellationNotice
--- a/src/main/kotlin/oxbowlug/core/Core.kt
+++ b/src/main/kotlin/oxbowlug/controller/Core.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.controller
 
 import org.agrona.concurrent.ManyToOneConcurrentArrayQueue
 import org.slf4j.LoggerFactory
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -2,8 +2,8 @@
 
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
-import oxbowlug.core.Command
-import oxbowlug.core.Core
+import oxbowlug.controller.Command
+import oxbowlug.controller.Core
 import oxbowlug.lease.ReportAnswer
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.ChangesOutcome
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -10,7 +10,7 @@
 import oxbowlug.config.Team
 import oxbowlug.config.WorkerSettings
 import oxbowlug.config.WriteLimits
-import oxbowlug.core.Command
+import oxbowlug.controller.Command
 import oxbowlug.record.Keys
 import oxbowlug.request.UserAnswer
 import oxbowlug.standin.JobBook
