--- a/src/test/kotlin/oxbowlug/cache/TornCopyTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornCopyTest.kt
@@ -5,9 +5,6 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
-import oxbowlug.core.IgnoringListener
-import oxbowlug.core.ImmediateStatePort
-import oxbowlug.core.SettingsTexts
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
 import oxbowlug.record.Phase
@@ -16,6 +13,9 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.ImmediateStatePort
+import oxbowlug.testing.SettingsTexts
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -8,10 +8,6 @@
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.Address
 import oxbowlug.config.SettingsFile
-import oxbowlug.core.IgnoringListener
-import oxbowlug.core.ImmediateStatePort
-import oxbowlug.core.ManualClock
-import oxbowlug.core.SettingsTexts
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.CloudPort
@@ -26,6 +22,10 @@
 import oxbowlug.record.Placement
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.ImmediateStatePort
+import oxbowlug.testing.ManualClock
+import oxbowlug.testing.SettingsTexts
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
--- a/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
@@ -10,10 +10,6 @@
 import oxbowlug.config.Policy
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.Team
-import oxbowlug.core.ManualClock
-import oxbowlug.core.SettingsTexts
-import oxbowlug.core.failingInvariants
-import oxbowlug.core.noBasis
 import oxbowlug.forecast.Arrivals
 import oxbowlug.port.CloudPort
 import oxbowlug.port.RentalOutcome
@@ -26,6 +22,10 @@
 import oxbowlug.scaling.Rentals
 import oxbowlug.scheduling.Planning
 import oxbowlug.scheduling.ZoneUses
+import oxbowlug.testing.ManualClock
+import oxbowlug.testing.SettingsTexts
+import oxbowlug.testing.failingInvariants
+import oxbowlug.testing.noBasis
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
--- a/src/test/kotlin/oxbowlug/commit/CommitsTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/CommitsTest.kt
@@ -8,11 +8,6 @@
 import oxbowlug.cluster.Fleet
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
-import oxbowlug.core.IgnoringListener
-import oxbowlug.core.ImmediateStatePort
-import oxbowlug.core.SettingsTexts
-import oxbowlug.core.failingInvariants
-import oxbowlug.core.noBasis
 import oxbowlug.forecast.Arrivals
 import oxbowlug.port.CommitOutcome
 import oxbowlug.record.DataFormat
@@ -27,6 +22,11 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.ImmediateStatePort
+import oxbowlug.testing.SettingsTexts
+import oxbowlug.testing.failingInvariants
+import oxbowlug.testing.noBasis
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Cbor
--- a/src/test/kotlin/oxbowlug/config/ConfigTest.kt
+++ b/src/test/kotlin/oxbowlug/config/ConfigTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.core.SettingsTexts
+import oxbowlug.testing.SettingsTexts
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.TeamName
 
--- a/src/test/kotlin/oxbowlug/election/AuthorityTest.kt
+++ b/src/test/kotlin/oxbowlug/election/AuthorityTest.kt
@@ -8,7 +8,6 @@
 import oxbowlug.cache.ReplicaListener
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.SettingsFile
-import oxbowlug.core.SettingsTexts
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
@@ -20,6 +19,7 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.testing.SettingsTexts
 import oxbowlug.timing.Timing
 import oxbowlug.wire.JobId
 import oxbowlug.wire.ReadPage
--- a/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -8,7 +8,6 @@
 import oxbowlug.cache.ReplicaListener
 import oxbowlug.cache.StoredJob
 import oxbowlug.config.SettingsFile
-import oxbowlug.core.SettingsTexts
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
@@ -23,6 +22,7 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.World
+import oxbowlug.testing.SettingsTexts
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.Changes
--- a/src/test/kotlin/oxbowlug/lease/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/RenewalDelegateTest.kt
@@ -6,9 +6,6 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.cache.Replica
 import oxbowlug.config.SettingsFile
-import oxbowlug.core.IgnoringListener
-import oxbowlug.core.ManualClock
-import oxbowlug.core.SettingsTexts
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.HeartbeatEcho
@@ -22,6 +19,9 @@
 import oxbowlug.region.Regions
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.ManualClock
+import oxbowlug.testing.SettingsTexts
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.MachineId
--- a/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
+++ b/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
@@ -3,10 +3,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
-import oxbowlug.core.ManualClock
-import oxbowlug.core.SettingsTexts
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.record.Member
+import oxbowlug.testing.ManualClock
+import oxbowlug.testing.SettingsTexts
 import oxbowlug.timing.Timing
 import kotlin.random.Random
 
--- a/src/test/kotlin/oxbowlug/region/RegionsTest.kt
+++ b/src/test/kotlin/oxbowlug/region/RegionsTest.kt
@@ -8,8 +8,8 @@
 import oxbowlug.config.InvalidSettings
 import oxbowlug.config.PolicyFile
 import oxbowlug.config.SettingsFile
-import oxbowlug.core.SettingsTexts
 import oxbowlug.record.Member
+import oxbowlug.testing.SettingsTexts
 import oxbowlug.wire.Zone
 import java.io.File
 
--- a/src/test/kotlin/oxbowlug/request/AdmissionTest.kt
+++ b/src/test/kotlin/oxbowlug/request/AdmissionTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
-import oxbowlug.core.SettingsTexts
+import oxbowlug.testing.SettingsTexts
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.JobSpecCodec
--- a/src/test/kotlin/oxbowlug/request/JobRequestsTest.kt
+++ b/src/test/kotlin/oxbowlug/request/JobRequestsTest.kt
@@ -5,11 +5,6 @@
 import oxbowlug.cache.Replica
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
-import oxbowlug.core.FailingMeters
-import oxbowlug.core.IgnoringListener
-import oxbowlug.core.ImmediateStatePort
-import oxbowlug.core.SettingsTexts
-import oxbowlug.core.noBasis
 import oxbowlug.port.CommitOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
@@ -22,6 +17,11 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
+import oxbowlug.testing.FailingMeters
+import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.ImmediateStatePort
+import oxbowlug.testing.SettingsTexts
+import oxbowlug.testing.noBasis
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
--- a/src/test/kotlin/oxbowlug/core/SettingsTexts.kt
+++ b/src/test/kotlin/oxbowlug/testing/SettingsTexts.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.testing
 
 /** A small valid settings file, which tests change line by line. */
 object SettingsTexts {
--- a/src/test/kotlin/oxbowlug/core/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.testing
 
 import oxbowlug.cache.ReplicaListener
 import oxbowlug.cache.StoredJob
