--- a/src/test/kotlin/oxbowlug/core/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
@@ -1,4 +1,4 @@
-package oxbowlug.core
+package oxbowlug.record
 
 import okio.Buffer
 import org.junit.jupiter.api.Assertions.assertArrayEquals
@@ -8,12 +8,6 @@
 import oxbowlug.cluster.Job
 import oxbowlug.peer.PeerFrames
 import oxbowlug.peer.PeerMessage
-import oxbowlug.record.DelegateAssignments
-import oxbowlug.record.JobRecord
-import oxbowlug.record.Member
-import oxbowlug.record.Phase
-import oxbowlug.record.Placement
-import oxbowlug.record.View
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.JobSpecCodecTest
--- a/src/test/kotlin/oxbowlug/core/RecordsTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordsTest.kt
@@ -1,14 +1,10 @@
-package oxbowlug.core
+package oxbowlug.record
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.cluster.Job
 import oxbowlug.cluster.RecordSize
-import oxbowlug.record.JobRecord
-import oxbowlug.record.Phase
-import oxbowlug.record.Placement
-import oxbowlug.record.Ranges
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.JobSpecCodecTest
