--- a/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
+++ b/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
@@ -66,8 +66,8 @@
         gauges["leading"] = { if (core.isLeading) 1 else 0 }
         gauges["token"] = { core.token }
         gauges["lease.left.ms"] = { core.leaseLeftMs }
-        gauges["copy.age.ms"] = { core.copyAgeMs }
-        gauges["copy.whole.reads"] = { core.wholeReads }
+        gauges["copy.age.ms"] = { core.stalenessMs }
+        gauges["copy.whole.reads"] = { core.fullResyncs }
     }
 
     /** Every meter's present values, a line each. */
--- a/src/main/kotlin/oxbowlug/cache/StoredJob.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJob.kt
@@ -12,7 +12,7 @@
 import oxbowlug.wire.fields
 
 /** A job as the state service has it. [value] is kept only while the job isn't final. */
-class StoredJob(
+class CachedJob(
     val phase: Phase,
     val version: Long,
     val tasks: Int,
@@ -33,21 +33,21 @@
         Phase.ACTIVE -> JobView(id, if (placed > 0) ShownState.RUNNING else ShownState.QUEUED, done, placed)
     }
 
-    fun cancelledByPredecessor() = StoredJob(
+    fun cancelledByPredecessor() = CachedJob(
         Phase.CANCELLED, version, tasks, done, placed, value, kind, waitsOn, isCancelledByPredecessor = true,
     )
 
     companion object {
-        fun unreadable(version: Long) = StoredJob(Phase.ACTIVE, version, 0, 0, 0, null, isUnreadable = true)
+        fun unreadable(version: Long) = CachedJob(Phase.ACTIVE, version, 0, 0, 0, null, isUnreadable = true)
 
         /** Counts tasks without unfolding ranges into objects. Throws [InvalidField] if the record can't be read. */
-        fun read(value: Map<String, Any?>, version: Long): StoredJob = try {
+        fun read(value: Map<String, Any?>, version: Long): CachedJob = try {
             readFields(value, version)
         } catch (e: RuntimeException) {
             throw InvalidField("record", e.toString())
         }
 
-        private fun readFields(value: Map<String, Any?>, version: Long): StoredJob {
+        private fun readFields(value: Map<String, Any?>, version: Long): CachedJob {
             val fields = value.fields()
             val phase = JobRecord.phaseOf(fields)
             val done = Ranges.decode(fields.textOrNull("done", Int.MAX_VALUE).orEmpty()).cardinality()
@@ -57,7 +57,7 @@
             }
             val spec = fields.map("spec").fields()
             val keep = !phase.isFinal || placed > 0
-            return StoredJob(
+            return CachedJob(
                 phase = phase,
                 version = version,
                 tasks = spec.count("furrows").toInt(),
--- a/src/main/kotlin/oxbowlug/cache/CancelledWork.kt
+++ b/src/main/kotlin/oxbowlug/cache/CancelledWork.kt
@@ -6,6 +6,6 @@
 import oxbowlug.wire.WorkerReport
 
 /** What has to be stopped whoever leads: tasks of jobs that are cancelled for good. */
-fun Replica.cancelledWork(report: WorkerReport): List<WorkerCommand.Stop> = report.tasks
+fun StateCache.cancelledWork(report: WorkerReport): List<WorkerCommand.Stop> = report.tasks
     .filter { it.state != TaskState.EXITED && job(it.attempt.task.job)?.phase == Phase.CANCELLED }
     .map { WorkerCommand.Stop(it.attempt, 0.0) }
--- a/src/main/kotlin/oxbowlug/cache/Replica.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCache.kt
@@ -23,16 +23,16 @@
  * asks for all changes up to now; one such read answers every query that was waiting when it was sent, so that a
  * node never gives an answer older than what another node may have told, at a bounded rate of reads.
  */
-class Replica(
+class StateCache(
     private val state: StatePort,
     private val clock: Clock,
     private val timing: Timing,
-    private val listener: ReplicaListener,
+    private val listener: StateCacheListener,
     /** The leader takes changes up at once, since starts wait for them. */
     private val isLeading: () -> Boolean = { true },
 ) {
-    private val jobs = Object2ObjectOpenHashMap<String, StoredJob>()
-    private val parts = StoredParts()
+    private val jobs = Object2ObjectOpenHashMap<String, CachedJob>()
+    private val parts = CachedParts()
     private val dependents = Dependents()
     private val members = HashSet<String>()
 
@@ -45,17 +45,17 @@
     private var nextWatchAt = 0L
     private var nextCatchUpAt = 0L
     private var nextReadAt = 0L
-    private var firstReadMs = clock.steadyMs()
-    private var readBecause = "this life began"
+    private var createdAtMs = clock.steadyMs()
+    private var resyncReason = "this life began"
 
     /** All changes up to this revision are in the copy. */
     var revision = 0L
         private set
-    var synced = false
+    var isSynced = false
         private set
 
     /** The members are known, though perhaps not the jobs yet. */
-    var knowsRoster = false
+    var knowsMembers = false
         private set
     var view: View? = null
         private set
@@ -80,20 +80,20 @@
     }
 
     /** Up to then, by our clock, every change in the state service is in the copy. */
-    var readUpToMs = Long.MIN_VALUE / 2
+    var freshAsOfMs = Long.MIN_VALUE / 2
         private set
 
     /** How often everything was read, the first time included. */
-    var wholeReads = 0L
+    var fullResyncs = 0L
         private set
 
     /** The newest reading of all changes was sent so long ago. */
-    fun copyAgeMs(now: Long): Long = now - readUpToMs.coerceAtLeast(firstReadMs)
+    fun stalenessMs(now: Long): Long = now - freshAsOfMs.coerceAtLeast(createdAtMs)
 
     /** A whole record that a controller has seen in the state service; an older one changes nothing. */
-    fun hear(id: JobId, version: Long, value: Map<String, Any?>) = takeRecord(id, version) { value }
+    fun applyRecord(id: JobId, version: Long, value: Map<String, Any?>) = applyIfNewer(id, version) { value }
 
-    fun job(id: JobId): StoredJob? = jobs[id.value]
+    fun job(id: JobId): CachedJob? = jobs[id.value]
 
     fun formatOf(label: String): Long? = formats[label]
 
@@ -109,7 +109,7 @@
 
     fun members(): List<Member> = members.mapNotNull(Keys::memberOf)
 
-    fun forEachActive(action: (JobId, StoredJob) -> Unit) {
+    fun forEachActive(action: (JobId, CachedJob) -> Unit) {
         for ((id, job) in jobs) {
             if (!job.phase.isFinal || job.placed > 0 || job.isCancelledByPredecessor) action(JobId(id), job)
         }
@@ -117,7 +117,7 @@
 
     fun tick() {
         val now = clock.steadyMs()
-        if (!synced) {
+        if (!isSynced) {
             if (!reading && now >= nextReadAt) readAll()
             return
         }
@@ -127,7 +127,7 @@
 
     /** [waiter] is told true once the copy holds everything that was committed before this call. */
     fun catchUp(waiter: (Boolean) -> Unit) {
-        if (!synced) {
+        if (!isSynced) {
             waiter(false)
             return
         }
@@ -144,7 +144,7 @@
         val from = revision
         state.changes(Keys.ROOT, from, 0) { outcome ->
             catchingUp = false
-            val ok = take(outcome, from, sentAt)
+            val ok = applyOutcome(outcome, from, sentAt)
             for (waiter in group) waiter(ok)
         }
     }
@@ -155,17 +155,17 @@
         val from = revision
         state.changes(Keys.ROOT, from, timing.watchMs) { outcome ->
             watching = false
-            val ok = take(outcome, from, sentAt)
+            val ok = applyOutcome(outcome, from, sentAt)
             nextWatchAt = clock.steadyMs() + if (ok) watchGapMs() else timing.retryMs()
         }
     }
 
     private fun watchGapMs(): Long = if (isLeading()) timing.watchGapMs else timing.followGapMs
 
-    private fun take(outcome: ChangesOutcome, from: Long, sentAt: Long): Boolean = when (outcome) {
+    private fun applyOutcome(outcome: ChangesOutcome, from: Long, sentAt: Long): Boolean = when (outcome) {
         is ChangesOutcome.Read -> {
             contacted(sentAt)
-            readUpToMs = maxOf(readUpToMs, sentAt)
+            freshAsOfMs = maxOf(freshAsOfMs, sentAt)
             val before = revision
             if (outcome.changes.revision > before) {
                 revision = outcome.changes.revision
@@ -177,10 +177,10 @@
         ChangesOutcome.TooOld -> {
             // Asked before everything was read anew, it says nothing of the present copy: taken for that, all would be
             // read once more, and nobody answered meanwhile.
-            if (revision == from && synced) {
-                readBecause = "changes since revision $from are gone"
-                log.info("reading everything again: {}", readBecause)
-                synced = false
+            if (revision == from && isSynced) {
+                resyncReason = "changes since revision $from are gone"
+                log.info("reading everything again: {}", resyncReason)
+                isSynced = false
             }
             false
         }
@@ -193,19 +193,19 @@
      */
     private fun readAll() {
         reading = true
-        wholeReads++
+        fullResyncs++
         val beganAt = clock.steadyMs()
-        readPage(Keys.ROSTER, null, ArrayList(), -1L) { entries, from ->
+        readPage(Keys.MEMBERSHIP, null, ArrayList(), -1L) { entries, from ->
             for (entry in entries) if (entry.key == Keys.VIEW) applyView(Event(entry.key, entry.value, entry.version))
             members.clear()
             entries.forEach { if (it.key.startsWith(Keys.MEMBERS)) members.add(it.key) }
-            knowsRoster = true
-            listener.onRoster()
+            knowsMembers = true
+            listener.onMembersRead()
             readPage(Keys.ROOT, null, ArrayList(), from) { all, first ->
                 reading = false
                 reset(all, first)
                 val tookMs = clock.steadyMs() - beganAt
-                log.info("read {} entries from revision {} on in {} ms, since {}", all.size, first, tookMs, readBecause)
+                log.info("read {} entries from revision {} on in {} ms, since {}", all.size, first, tookMs, resyncReason)
             }
         }
     }
@@ -240,7 +240,7 @@
 
     private fun reset(entries: List<Entry>, from: Long) {
         revision = from
-        synced = true
+        isSynced = true
         members.clear()
         val present = entries.mapTo(HashSet(entries.size * 2)) { it.key }
         // One that was accepted after its page was read is known from elsewhere, and a change brings it soon.
@@ -318,15 +318,15 @@
     private fun applyJob(event: Event) {
         val head = event.value ?: return
         val id = JobId(event.key.substring(Keys.JOBS.length))
-        takeRecord(id, event.version) { parts.whole(id, head, event.version) }
+        applyIfNewer(id, event.version) { parts.whole(id, head, event.version) }
     }
 
-    private fun takeRecord(id: JobId, version: Long, whole: () -> Map<String, Any?>) {
+    private fun applyIfNewer(id: JobId, version: Long, whole: () -> Map<String, Any?>) {
         val present = jobs[id.value]
         if (present != null && present.version >= version) return
         try {
             val value = whole()
-            val stored = StoredJob.read(value, version)
+            val stored = CachedJob.read(value, version)
             put(id, present, stored)
             listener.onJob(id, stored, value)
             followDependencies(id, stored)
@@ -334,17 +334,17 @@
             // It must not look like a job that isn't there, nor like one that is done. Where it is only torn, the
             // change that explains it comes with the replay.
             log.warn("the record of {} at revision {} can't be read: {}", id, version, e.message)
-            if (present?.phase?.isFinal != true) jobs[id.value] = StoredJob.unreadable(version)
+            if (present?.phase?.isFinal != true) jobs[id.value] = CachedJob.unreadable(version)
         }
     }
 
-    private fun put(id: JobId, present: StoredJob?, stored: StoredJob) {
+    private fun put(id: JobId, present: CachedJob?, stored: CachedJob) {
         jobs[id.value] = stored
         if (present != null && present.waitsOn != stored.waitsOn) dependents.remove(id, present.waitsOn)
         if (stored.waitsOn.isNotEmpty()) dependents.add(id, stored.waitsOn)
     }
 
-    private fun followDependencies(id: JobId, stored: StoredJob) {
+    private fun followDependencies(id: JobId, stored: CachedJob) {
         val isCalledOff = !stored.phase.isFinal && dependencyState(stored.waitsOn) == DependencyState.CANCELLED
         if (isCalledOff) cancelByPredecessor(id)
         if (stored.phase == Phase.CANCELLED || isCalledOff) cancelDependents(id)
--- a/src/main/kotlin/oxbowlug/cache/ReplicaListener.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCacheListener.kt
@@ -4,14 +4,14 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.wire.JobId
 
-interface ReplicaListener {
+interface StateCacheListener {
     /** The view and the members have been read whole; the jobs are asked for right after this. */
-    fun onRoster()
+    fun onMembersRead()
 
     fun onView(view: View)
 
     /** [value] is the record as it is stored, also of a job whose record the copy doesn't keep. */
-    fun onJob(id: JobId, job: StoredJob, value: Map<String, Any?>)
+    fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>)
 
     /** One of the jobs that it needs is done or cancelled, by whatever road that is known. */
     fun onDependencyChanged(id: JobId)
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -1,7 +1,7 @@
 package oxbowlug.cancellation
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
 import oxbowlug.membership.PeerHealth
@@ -29,7 +29,7 @@
     private val settings: Settings,
     private val clock: Clock,
     private val timing: Timing,
-    private val replica: Replica,
+    private val cache: StateCache,
     private val cancellations: Cancellations,
     private val peerHealth: PeerHealth,
     private val cloud: CloudPort,
@@ -67,13 +67,13 @@
 
     /** Among those that don't lead, so that they act one after the other. */
     private fun rank(): Int {
-        val leader = replica.view?.leader?.label
+        val leader = cache.view?.leader?.label
         return (settings.peers.map { it.label } + self.label).filter { it != leader }.sorted().indexOf(self.label)
     }
 
     /** The leader knows of it and is heard: it has until the last moment. */
     private fun isInGoodHands(pending: Cancellations.PendingCancellation): Boolean {
-        val leader = replica.view?.leader ?: return false
+        val leader = cache.view?.leader ?: return false
         val isAlive = peerHealth.lifeOf(leader.label) == leader && peerHealth.isHeard(leader.label)
         return isAlive && leader in pending.acknowledged
     }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -1,6 +1,6 @@
 package oxbowlug.cancellation
 
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.config.Settings
 import oxbowlug.port.Clock
 import oxbowlug.port.PeerHeartbeat
@@ -21,7 +21,7 @@
     private val settings: Settings,
     private val clock: Clock,
     private val timing: Timing,
-    private val replica: Replica,
+    private val cache: StateCache,
 ) {
     private class Word(val life: Member) {
         /** All that it confirmed up to then is known here. */
@@ -60,11 +60,11 @@
     /** Whether leases may be renewed here although the state service is out of reach. */
     fun isSure(): Boolean {
         val limit = clock.steadyMs() - timing.blindRenewalMs
-        val readUpTo = replica.readUpToMs
+        val readUpTo = cache.freshAsOfMs
         if (readUpTo >= limit) return true
         doubts.values.removeIf { it <= readUpTo }
         if (doubts.isNotEmpty()) return false
-        val there = replica.members().mapTo(HashSet()) { it.label }
+        val there = cache.members().mapTo(HashSet()) { it.label }
         val expected = settings.peers.filter { it.label in words || it.label in there }
         if (expected.isEmpty()) return true
         val (heard, silent) = expected.partition { (words[it.label]?.sureAt ?: limit) >= limit }
--- a/src/main/kotlin/oxbowlug/cancellation/Cancellations.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/Cancellations.kt
@@ -1,8 +1,8 @@
 package oxbowlug.cancellation
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.CachedJob
+import oxbowlug.cache.StateCache
 import oxbowlug.config.Settings
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Acknowledgement
@@ -31,7 +31,7 @@
     private val settings: Settings,
     private val clock: Clock,
     private val timing: Timing,
-    private val replica: Replica,
+    private val cache: StateCache,
     private val peerHealth: PeerHealth,
     private val peers: PeerPort,
     /** What the leader here, if there is one, knows of the job's attempts; null: not its affair, or not known. */
@@ -80,18 +80,18 @@
 
     /** Whether the leader doesn't yet know of one that was confirmed here. */
     fun hasUnacknowledged(): Boolean {
-        val leader = replica.view?.leader ?: return false
+        val leader = cache.view?.leader ?: return false
         return leader != self && pendingById.values.any { it.isOwn && !it.hasEnded && leader !in it.acknowledged }
     }
 
     /** Committed here, and about to be told to its user: an end of this process right after must not lose it. */
     fun confirmed(id: JobId, version: Long, value: Map<String, Any?>) {
         take(Cancellation(id, version, value), isOwn = true)
-        replica.hear(id, version, value)
+        cache.applyRecord(id, version, value)
     }
 
     /** The copy has a newer record of a job, by whatever road it came. */
-    fun learned(id: JobId, stored: StoredJob, value: Map<String, Any?>) {
+    fun learned(id: JobId, stored: CachedJob, value: Map<String, Any?>) {
         if (!stored.phase.isFinal) return
         if (stored.phase == Phase.CANCELLED && stored.placed > 0) {
             take(Cancellation(id, stored.version, value), isOwn = false)
@@ -123,7 +123,7 @@
     }
 
     private fun announce(pending: PendingCancellation) {
-        val leader = replica.view?.leader
+        val leader = cache.view?.leader
         if (pending.isOwn || pending.hasEnded || leader in pending.acknowledged) return
         pending.isOwn = true
         sendToAll(pending)
@@ -147,7 +147,7 @@
         for (peer in settings.peers) {
             val present = peerHealth.lifeOf(peer.label)
             val knows = present != null && present in pending.acknowledged
-            val isLeader = replica.view?.leader?.label == peer.label
+            val isLeader = cache.view?.leader?.label == peer.label
             val due = when {
                 // The leader is asked again whether it has ended: only then need nobody else see to it.
                 knows -> isLeader && now - pending.learnedAt > timing.enforceAfterMs
@@ -165,21 +165,21 @@
             is CancellationNotice.Acknowledged -> for (item in word.items) {
                 val pending = pendingById[item.id] ?: continue
                 pending.acknowledged.add(word.sender)
-                if (item.hasEnded && word.sender == replica.view?.leader) pending.ended(by = word.sender)
+                if (item.hasEnded && word.sender == cache.view?.leader) pending.ended(by = word.sender)
             }
         }
     }
 
     private fun hearCancelled(word: CancellationNotice.Cancelled) {
         val said = word.cancellation
-        val present = replica.job(said.id)
+        val present = cache.job(said.id)
         val isFinal = JobRecord.phaseOf(said.value.fields()) == Phase.CANCELLED
         if (!isFinal || present?.phase == Phase.DONE) {
             log.error("refused a cancellation of {} by {}", said.id, word.sender.label)
             return
         }
-        replica.hear(said.id, said.version, said.value)
-        val hasEnded = replica.job(said.id)?.placed == 0 || hasEndedHere(said.id) == true
+        cache.applyRecord(said.id, said.version, said.value)
+        val hasEnded = cache.job(said.id)?.placed == 0 || hasEndedHere(said.id) == true
         peers.send(word.sender.label, CancellationNotice.Acknowledged(self, listOf(Acknowledgement(said.id, hasEnded))))
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/Fleet.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Fleet.kt
@@ -1,9 +1,9 @@
 package oxbowlug.cluster
 
 import org.slf4j.LoggerFactory
+import oxbowlug.cache.CachedJob
 import oxbowlug.cache.DependencyState
-import oxbowlug.cache.Replica
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.StateCache
 import oxbowlug.config.Address
 import oxbowlug.config.Team
 import oxbowlug.forecast.Arrivals
@@ -69,7 +69,7 @@
         }
     }
 
-    fun takeJob(id: JobId, stored: StoredJob, value: Map<String, Any?>) {
+    fun takeJob(id: JobId, stored: CachedJob, value: Map<String, Any?>) {
         val present = jobs[id]
         val now = clock.steadyMs()
         if (present == null) {
@@ -396,10 +396,10 @@
     }
 
     /** Not before the copy has caught up with our last write: an older event would bring the job back to life. */
-    fun forgetFinished(replica: Replica) {
+    fun forgetFinished(cache: StateCache) {
         jobs.values.removeIf { job ->
             job.phase.isFinal && job.live.isEmpty() && job.dirtySince == null && !job.isWriting &&
-                (replica.job(job.id)?.version ?: 0) >= job.version
+                (cache.job(job.id)?.version ?: 0) >= job.version
         }
     }
 
--- a/src/main/kotlin/oxbowlug/commit/Commits.kt
+++ b/src/main/kotlin/oxbowlug/commit/Commits.kt
@@ -1,7 +1,7 @@
 package oxbowlug.commit
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.cluster.Fleet
 import oxbowlug.cluster.Job
 import oxbowlug.config.Settings
@@ -37,7 +37,7 @@
     private val clock: Clock,
     private val timing: Timing,
     private val budget: RateBudget,
-    private val replica: Replica,
+    private val cache: StateCache,
     private val fleet: Fleet,
     private val basis: DecisionBasis,
 ) {
@@ -70,7 +70,7 @@
     }
 
     private fun nextGroup(now: Long): List<Prepared> {
-        if (fleet.dirty.isEmpty() || replica.writableFormat == WritableFormat.NONE) return emptyList()
+        if (fleet.dirty.isEmpty() || cache.writableFormat == WritableFormat.NONE) return emptyList()
         val limits = writeLimits()
         val tokens = budget.available(now)
         if (tokens < 1.0) return emptyList()
@@ -111,11 +111,11 @@
 
     /** What values and transactions are built for now. */
     private fun writeLimits(): WriteLimits =
-        if (replica.writableFormat == WritableFormat.HEAD_AND_PARTS) settings.state.lowest else settings.state.present
+        if (cache.writableFormat == WritableFormat.HEAD_AND_PARTS) settings.state.lowest else settings.state.present
 
     /** Null: it has to shrink first. */
     private fun prepare(job: Job, limits: WriteLimits, now: Long): Prepared? {
-        val isDivided = replica.writableFormat == WritableFormat.HEAD_AND_PARTS
+        val isDivided = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
         val record = job.record(names.next(), isBrief = isDivided)
         val whole = record.encode()
         val form = if (isDivided) RecordLayout(limits).split(whole) else StoredForm(whole, emptyList())
@@ -180,7 +180,7 @@
                 }
                 writeAgain(group, now)
                 notBefore = now + timing.catchUpGapMs
-                replica.catchUp {}
+                cache.catchUp {}
             }
             CommitOutcome.Refused -> {
                 writeAgain(group, now)
@@ -188,7 +188,7 @@
             }
             CommitOutcome.Invalid, CommitOutcome.LeaseOver -> refuseSize(group, now)
             // It may have been applied, or may be later: read, then write again under the same versions.
-            CommitOutcome.Unanswered -> replica.catchUp { writeAgain(group, clock.steadyMs()) }
+            CommitOutcome.Unanswered -> cache.catchUp { writeAgain(group, clock.steadyMs()) }
         }
     }
 
@@ -196,7 +196,7 @@
     private fun summary(group: List<Prepared>): String = group.joinToString { prepared ->
         val record = prepared.record
         val needs = if (record.placements.isEmpty()) emptyList() else prepared.job.spec.waitsOn
-        val known = needs.joinToString { "$it@${replica.job(it)?.version}" }
+        val known = needs.joinToString { "$it@${cache.job(it)?.version}" }
         val after = if (needs.isEmpty()) "" else " after $known"
         "${prepared.job.id} ${record.phase.wire}, ${record.placements.size} placed$after"
     }
@@ -215,7 +215,7 @@
     private fun refuseSize(group: List<Prepared>, now: Long) {
         writeAgain(group, now)
         // Written whole just before the format was switched on, they are divided the next time.
-        val isOutdated = replica.writableFormat == WritableFormat.HEAD_AND_PARTS && group.none { it.isDivided }
+        val isOutdated = cache.writableFormat == WritableFormat.HEAD_AND_PARTS && group.none { it.isDivided }
         if (isOutdated) return
         if (group.size > 1) {
             log.error("the state service refused a transaction of {} records for its size", group.size)
--- a/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
@@ -1,7 +1,7 @@
 package oxbowlug.commit
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.config.Settings
 import oxbowlug.port.Clock
 import oxbowlug.port.StatePort
@@ -24,7 +24,7 @@
     private val state: StatePort,
     private val clock: Clock,
     private val timing: Timing,
-    private val replica: Replica,
+    private val cache: StateCache,
 ) {
     private var isWriting = false
     private var notBefore = 0L
@@ -33,17 +33,17 @@
     /** [view] is the view under which this controller leads, or null. */
     fun tick(view: View?) {
         val now = clock.steadyMs()
-        if (!replica.synced || isWriting || now < notBefore) return
-        if ((replica.formatOf(settings.label) ?: 0) < DataFormat.NEWEST) {
+        if (!cache.isSynced || isWriting || now < notBefore) return
+        if ((cache.formatOf(settings.label) ?: 0) < DataFormat.NEWEST) {
             write(now, emptyList(), Change.Put(Keys.format(settings.label), DataFormat.encode(DataFormat.NEWEST)))
-        } else if (view != null && replica.writableFormat == WritableFormat.SINGLE_VALUE && allRead()) {
+        } else if (view != null && cache.writableFormat == WritableFormat.SINGLE_VALUE && allRead()) {
             log.info("all {} controllers read data format {}, switching it on", labels.size, DataFormat.NEWEST)
             val conditions = listOf(Condition(Keys.VIEW, view.version), Condition(Keys.FORMAT, 0))
             write(now, conditions, Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))
         }
     }
 
-    private fun allRead(): Boolean = labels.all { (replica.formatOf(it) ?: 0) >= DataFormat.NEWEST }
+    private fun allRead(): Boolean = labels.all { (cache.formatOf(it) ?: 0) >= DataFormat.NEWEST }
 
     private fun write(now: Long, conditions: List<Condition>, change: Change) {
         isWriting = true
--- a/src/main/kotlin/oxbowlug/controller/Core.kt
+++ b/src/main/kotlin/oxbowlug/controller/Core.kt
@@ -2,9 +2,9 @@
 
 import org.agrona.concurrent.ManyToOneConcurrentArrayQueue
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
-import oxbowlug.cache.ReplicaListener
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.CachedJob
+import oxbowlug.cache.StateCache
+import oxbowlug.cache.StateCacheListener
 import oxbowlug.cancellation.CancellationEnforcer
 import oxbowlug.cancellation.CancellationFreshness
 import oxbowlug.cancellation.Cancellations
@@ -62,12 +62,12 @@
     val timing = Timing(settings, random)
     private val load = Load(meters, timing.tickMs, (settings.policy.replanS * 1000).toLong())
     private val queue = ManyToOneConcurrentArrayQueue<Command>(capacity(settings))
-    private val replica = Replica(state, clock, timing, Listener()) { isOurView() }
-    private val authority = Authority(self, state, clock, timing, replica, settings.state.lowest.txnOps)
-    private val basis = PresentBasis(clock, authority, replica)
+    private val cache = StateCache(state, clock, timing, Listener()) { isOurView() }
+    private val authority = Authority(self, state, clock, timing, cache, settings.state.lowest.txnOps)
+    private val basis = PresentBasis(clock, authority, cache)
     private val invariants = Invariants(basis, meters)
-    private val renewals = LeaseRenewals(replica, basis)
-    private val formatUpgrade = FormatUpgrade(settings, state, clock, timing, replica)
+    private val renewals = LeaseRenewals(cache, basis)
+    private val formatUpgrade = FormatUpgrade(settings, state, clock, timing, cache)
 
     // Half of the write rate is for accepting and cancelling. A controller may use all of that half, since users are
     // rarely everywhere at once; where they are, the state service refuses the surplus and it is tried again.
@@ -75,17 +75,17 @@
     private val ownWrites = RateBudget(settings.state.writeRps * (1 - LEADER_SHARE))
     private val cloudBudget = RateBudget(settings.cloud.rps * 0.8)
     private val names = Names(self)
-    private val delegate = RenewalDelegate(self, settings.zone, settings.policy.regions, clock, timing, replica)
+    private val delegate = RenewalDelegate(self, settings.zone, settings.policy.regions, clock, timing, cache)
     private val peerHealth = PeerHealth(settings.peers.size, clock, timing)
     private val cancellations = Cancellations(
-        self, settings, clock, timing, replica, peerHealth, peers, ::hasEnded,
+        self, settings, clock, timing, cache, peerHealth, peers, ::hasEnded,
     )
     private val cancellationEnforcer = CancellationEnforcer(
-        self, settings, clock, timing, replica, cancellations, peerHealth, cloud, workers, cloudBudget,
+        self, settings, clock, timing, cache, cancellations, peerHealth, cloud, workers, cloudBudget,
     )
-    private val freshness = CancellationFreshness(self, settings, clock, timing, replica)
+    private val freshness = CancellationFreshness(self, settings, clock, timing, cache)
     private val jobRequests = JobRequests(
-        names, settings, state, clock, timing, replica, ownWrites, meters, cancellations::confirmed,
+        names, settings, state, clock, timing, cache, ownWrites, meters, cancellations::confirmed,
         cancellations::told, basis,
     )
     private var types: Map<TypeName, MachineType> = emptyMap()
@@ -106,12 +106,12 @@
     val writesLeft: Double get() = leaderWrites.available(clock.steadyMs())
     val cloudCallsLeft: Double get() = cloudBudget.available(clock.steadyMs())
     val openCancellations: Int get() = cancellations.open.count { !it.hasEnded }
-    val epoch: Long get() = replica.view?.epoch ?: 0
+    val epoch: Long get() = cache.view?.epoch ?: 0
     val isLeading: Boolean get() = authority.role() is Role.Leader
     val leaseLeftMs: Long get() = authority.leaseLeftMs()
-    val copyAgeMs: Long get() = replica.copyAgeMs(clock.steadyMs())
-    val wholeReads: Long get() = replica.wholeReads
-    val token: Long get() = replica.view?.token?.value ?: 0
+    val stalenessMs: Long get() = cache.stalenessMs(clock.steadyMs())
+    val fullResyncs: Long get() = cache.fullResyncs
+    val token: Long get() = cache.view?.token?.value ?: 0
 
     /** False when the queue is full: the caller answers "unavailable" itself. */
     fun offer(command: Command): Boolean {
@@ -143,16 +143,16 @@
 
     /** Whether users and workers can be served here, or at least no worse than elsewhere. */
     fun isHealthy(): Boolean =
-        replica.synced && types.isNotEmpty() && (seesState() || !peerHealth.someoneElseSeesState())
+        cache.isSynced && types.isNotEmpty() && (seesState() || !peerHealth.someoneElseSeesState())
 
-    private fun isOurView(): Boolean = replica.view?.leader == self
+    private fun isOurView(): Boolean = cache.view?.leader == self
 
-    private fun seesState() = clock.steadyMs() - replica.lastContactMs < timing.stateAwayMs * 2
+    private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateAwayMs * 2
 
     fun heartbeat(): PeerHeartbeat = PeerHeartbeat(
-        self, replica.view?.epoch ?: 0, replica.view?.leader, seesState(), clock.steadyMs(), delegate.echo(),
+        self, cache.view?.epoch ?: 0, cache.view?.leader, seesState(), clock.steadyMs(), delegate.echo(),
         hasUnacknowledged = cancellations.hasUnacknowledged(),
-        mayConfirm = clock.steadyMs() - replica.lastContactMs < timing.confirmsMs,
+        mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.confirmsMs,
     )
 
     /** Whether all attempts of a job are proven gone, as far as this controller has it in its account. */
@@ -224,8 +224,8 @@
     /** The view still names a leader whose lease is over: workers sent to it would come back a second later. */
     private fun isLeaderGone(): Boolean {
         val role = authority.role()
-        return role is Role.Follower && role.leader == replica.view?.leader && replica.knowsRoster &&
-            !replica.hasMember(Keys.member(role.leader))
+        return role is Role.Follower && role.leader == cache.view?.leader && cache.knowsMembers &&
+            !cache.hasMember(Keys.member(role.leader))
     }
 
     /** Sent on to a leader that is out of reach, a worker would lose a third of its lease for nothing. */
@@ -237,7 +237,7 @@
 
     private fun onReport(report: WorkerReport): ReportAnswer {
         val role = authority.role()
-        val view = replica.view
+        val view = cache.view
         if (view != null && report.token > view.token) authority.hearOfEpoch(report.token.value, null)
         if (role is Role.Follower && role.leader == view?.leader) {
             delegate.renew(report)?.let { return renewals.renew(report, it) }
@@ -259,13 +259,13 @@
      * while they are read. After the end of all controllers there are a few seconds left for that, no more.
      */
     private fun answerEarly(report: WorkerReport, role: Role): ReportAnswer =
-        if (role is Role.Leader && !replica.synced && report.token <= role.view.token)
+        if (role is Role.Leader && !cache.isSynced && report.token <= role.view.token)
             renewals.renew(report, role.view.token)
         else
             ReportAnswer.Unavailable
 
     private fun tick() {
-        replica.tick()
+        cache.tick()
         authority.tick()
         val now = clock.steadyMs()
         load.ticked(now)
@@ -273,14 +273,14 @@
         answerWaiting()
         if (!fetchingTypes && now >= nextTypesAt) fetchTypes()
         cancellations.tick()
-        formatUpgrade.tick(replica.view?.takeIf { isLeading })
+        formatUpgrade.tick(cache.view?.takeIf { isLeading })
         val role = authority.role()
         val leading = leading()
         if (leading == null || role !is Role.Leader && role !is Role.RenewingOnly) return cancellationEnforcer.tick()
         if (role is Role.RenewingOnly) return leading.endCancelledWork()
         leading.tick(types)
         // Cut from the workers alone, a leader would send them all to itself until their leases are over.
-        if (leading.hasLostItsWorkers(now) && replica.memberCount() > 1) {
+        if (leading.hasLostItsWorkers(now) && cache.memberCount() > 1) {
             log.info("no worker reaches this leader any more")
             authority.resign()
         }
@@ -296,18 +296,18 @@
 
     /** The leader's model under the present view; made once the copy holds all that was committed before it. */
     private fun leading(): Leader? {
-        val view = replica.view
+        val view = cache.view
         val present = leader
-        val mayWrite = replica.writableFormat != WritableFormat.NONE
+        val mayWrite = cache.writableFormat != WritableFormat.NONE
         if (view == null || view.leader != self || authority.role() is Role.Follower || !mayWrite) {
             leader = null
             return null
         }
         if (present != null && present.view.version == view.version) return if (present.deposed) null else present
-        if (!replica.synced || replica.revision < view.version) return null
+        if (!cache.isSynced || cache.revision < view.version) return null
         log.info("leading at epoch {}", view.epoch)
         val next = Leader(
-            view, names, settings, state, cloud, workers, clock, timing, replica, invariants, leaderWrites,
+            view, names, settings, state, cloud, workers, clock, timing, cache, invariants, leaderWrites,
             cloudBudget, load, rememberedImages, ::mayFormerLeaderAnswer,
         )
         leader = next
@@ -316,10 +316,10 @@
 
     /** One that has a later life has ended, and one that is heard hears of its successor as well. */
     private fun mayFormerLeaderAnswer(): Boolean {
-        val former = replica.formerLeader ?: return false
+        val former = cache.formerLeader ?: return false
         val life = peerHealth.lifeOf(former.label)
         val hasEnded = former.label == self.label || life != null && life != former ||
-            replica.members().any { it.label == former.label && it != former }
+            cache.members().any { it.label == former.label && it != former }
         return !hasEnded && !peerHealth.isHeard(former.label)
     }
 
@@ -338,8 +338,8 @@
         }
     }
 
-    private inner class Listener : ReplicaListener {
-        override fun onRoster() = authority.registerOrStand(clock.steadyMs())
+    private inner class Listener : StateCacheListener {
+        override fun onMembersRead() = authority.registerOrStand(clock.steadyMs())
 
         override fun onView(view: View) {
             log.info("epoch {} is led by {}", view.epoch, view.leader.label)
@@ -347,7 +347,7 @@
             peers.heartbeatChanged()
         }
 
-        override fun onJob(id: JobId, job: StoredJob, value: Map<String, Any?>) {
+        override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) {
             leader?.fleet?.takeJob(id, job, value)
             cancellations.learned(id, job, value)
         }
--- a/src/main/kotlin/oxbowlug/election/Authority.kt
+++ b/src/main/kotlin/oxbowlug/election/Authority.kt
@@ -1,7 +1,7 @@
 package oxbowlug.election
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
@@ -26,7 +26,7 @@
     private val state: StatePort,
     private val clock: Clock,
     private val timing: Timing,
-    private val replica: Replica,
+    private val cache: StateCache,
     private val changesPerTransaction: Int,
 ) {
     private val memberKey = Keys.member(self)
@@ -43,7 +43,7 @@
     private var rumouredLeader: Member? = null
 
     fun role(): Role {
-        val view = replica.view ?: return rumouredLeader?.let { Role.Follower(it) } ?: Role.Unknown
+        val view = cache.view ?: return rumouredLeader?.let { Role.Follower(it) } ?: Role.Unknown
         if (newestEpoch > view.epoch) {
             val leader = rumouredLeader
             return if (leader == null || leader == self) Role.Unknown else Role.Follower(leader)
@@ -59,7 +59,7 @@
 
     /** A peer or a worker's token shows that [epoch] was reached; [leader] may be unknown. */
     fun hearOfEpoch(epoch: Long, leader: Member?) {
-        val known = maxOf(newestEpoch, replica.view?.epoch ?: 0)
+        val known = maxOf(newestEpoch, cache.view?.epoch ?: 0)
         if (epoch < known || (epoch == known && leader == null)) return
         newestEpoch = epoch
         if (leader != null) rumouredLeader = leader
@@ -74,12 +74,12 @@
     /** Registers this life, stands for election, or both in one transaction, as soon as what is needed is known. */
     fun registerOrStand(now: Long) {
         val held = lease ?: return
-        val mayWrite = replica.writableFormat != WritableFormat.NONE
+        val mayWrite = cache.writableFormat != WritableFormat.NONE
         val mayStand = !electing && mayWrite && now >= nextElectionAt && isLeaderMissing()
         when {
             registered -> if (mayStand) standForElection(now, joining = null)
             // Registered before the view is known, this life would have to stand in a transaction of its own.
-            registering || electing || !replica.knowsRoster || now < nextRegistrationAt -> Unit
+            registering || electing || !cache.knowsMembers || now < nextRegistrationAt -> Unit
             // After the end of all controllers the workers' leases have little time left: one call less counts.
             mayStand && changesPerTransaction > 1 -> standForElection(now, joining = held)
             else -> register(held)
@@ -87,9 +87,9 @@
     }
 
     private fun isLeaderMissing(): Boolean {
-        if (!replica.knowsRoster) return false
-        val leader = replica.view?.leader ?: return true
-        return leader != self && !replica.hasMember(Keys.member(leader))
+        if (!cache.knowsMembers) return false
+        val leader = cache.view?.leader ?: return true
+        return leader != self && !cache.hasMember(Keys.member(leader))
     }
 
     private fun renew(now: Long) {
@@ -118,7 +118,7 @@
                 TouchOutcome.RENEWED -> {
                     // Counted from when the renewal was sent: the service may have done it at once.
                     believedUntil = maxOf(believedUntil, now + timing.leaseBeliefMs)
-                    replica.contacted(now)
+                    cache.contacted(now)
                     nextRenewalAt = now + timing.leaseTouchMs
                 }
                 TouchOutcome.OVER -> {
@@ -155,7 +155,7 @@
 
     /** [joining] is the lease under which the same transaction registers this life, unless it is registered. */
     private fun standForElection(now: Long, joining: Long?) {
-        val view = replica.view
+        val view = cache.view
         electing = true
         // The jitter lets one candidate win without the others' writes being spent on the same key.
         nextElectionAt = now + timing.retryMs()
@@ -172,7 +172,7 @@
             if (outcome is CommitOutcome.Applied) {
                 if (joining != null && lease == joining) registered = true
                 log.info("elected at epoch {}", next.epoch)
-                replica.adopt(next.copy(version = outcome.revision))
+                cache.adopt(next.copy(version = outcome.revision))
             } else {
                 // Won or lost unseen: the watch tells, and a view that names us is taken up from there.
                 nextElectionAt = clock.steadyMs() + timing.retryMs()
--- a/src/main/kotlin/oxbowlug/election/PresentBasis.kt
+++ b/src/main/kotlin/oxbowlug/election/PresentBasis.kt
@@ -1,6 +1,6 @@
 package oxbowlug.election
 
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.invariant.DecisionBasis
 import oxbowlug.port.Clock
 
@@ -8,7 +8,7 @@
 class PresentBasis(
     private val clock: Clock,
     private val authority: Authority,
-    private val replica: Replica,
+    private val cache: StateCache,
 ) : DecisionBasis {
     override val mayDecide: Boolean get() = authority.role() is Role.Leader
 
@@ -20,6 +20,6 @@
             Role.Unknown -> "of no known role"
         }
         return "$role, lease believed for ${authority.leaseLeftMs()} ms, " +
-            "copy of revision ${replica.revision}, ${replica.copyAgeMs(clock.steadyMs())} ms old"
+            "copy of revision ${cache.revision}, ${cache.stalenessMs(clock.steadyMs())} ms old"
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/Leader.kt
+++ b/src/main/kotlin/oxbowlug/leader/Leader.kt
@@ -1,7 +1,7 @@
 package oxbowlug.leader
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.cache.cancelledWork
 import oxbowlug.cluster.Fleet
 import oxbowlug.cluster.HeartbeatCounts
@@ -52,7 +52,7 @@
     private val workers: WorkerPort,
     private val clock: Clock,
     private val timing: Timing,
-    private val replica: Replica,
+    private val cache: StateCache,
     private val invariants: Invariants,
     writeBudget: RateBudget,
     cloudBudget: RateBudget,
@@ -64,12 +64,12 @@
     private val startedAt = clock.steadyMs()
     val fleet = Fleet(
         view.token, clock, timing, Arrivals(settings, timing.arrivalsMs), rememberedImages, settings.teams,
-        replica::dependencyState, invariants,
+        cache::dependencyState, invariants,
     )
-    val delegates = RenewalDelegates(view, settings, state, clock, timing, replica)
-    private val commits = Commits(view, names, settings, state, clock, timing, writeBudget, replica, fleet, basis)
+    val delegates = RenewalDelegates(view, settings, state, clock, timing, cache)
+    private val commits = Commits(view, names, settings, state, clock, timing, writeBudget, cache, fleet, basis)
     private val rentals = Rentals(names, settings, cloud, clock, timing, cloudBudget, fleet, basis)
-    private val planning = Planning(settings, clock, timing, fleet, rentals, startedAt) { replica.writableFormat }
+    private val planning = Planning(settings, clock, timing, fleet, rentals, startedAt) { cache.writableFormat }
     private val tokenPropagation =
         TokenPropagation(fleet, workers, timing, startedAt, settings.limits.maxSockets / SPREAD_SHARE, mayBeAnswered)
     private var nextPlanAt = 0L
@@ -83,14 +83,14 @@
     val waitingTasks: Int get() = unplaced
 
     init {
-        replica.forEachActive { id, stored -> stored.value?.let { fleet.takeJob(id, stored, it) } }
+        cache.forEachActive { id, stored -> stored.value?.let { fleet.takeJob(id, stored, it) } }
     }
 
     /** Large records are looked for once, when a lease's time has passed: a new leader has more urgent things to do. */
     private var divideAt = startedAt + timing.workerLeaseRawMs
 
     private fun divideWhenDue(now: Long) {
-        val isDue = now >= divideAt && replica.writableFormat == WritableFormat.HEAD_AND_PARTS
+        val isDue = now >= divideAt && cache.writableFormat == WritableFormat.HEAD_AND_PARTS
         if (!isDue) return
         divideAt = Long.MAX_VALUE
         if (settings.state.next != null) divideLargeRecords()
@@ -155,7 +155,7 @@
         rentals.tick(types)
         if (types.isNotEmpty() && (now >= nextRoundAt || (fleet.planWanted && now >= nextPlanAt))) plan(types, now)
         flush()
-        fleet.forgetFinished(replica)
+        fleet.forgetFinished(cache)
     }
 
     /**
@@ -288,7 +288,7 @@
 
     /** The account and the copy have to agree on what is cancelled, or one of them lacks it. */
     private fun requireStops(report: WorkerReport, commands: List<WorkerCommand>) {
-        val missing = replica.cancelledWork(report).notAmong(commands)
+        val missing = cache.cancelledWork(report).notAmong(commands)
         if (missing.isEmpty()) return
         invariants.violated(Invariant.CANCELLED_WORK_IS_STOPPED, "${missing.map { it.attempt }} on ${report.machine}")
     }
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewals.kt
@@ -1,7 +1,7 @@
 package oxbowlug.lease
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.cache.cancelledWork
 import oxbowlug.invariant.DecisionBasis
 import oxbowlug.wire.Token
@@ -13,7 +13,7 @@
  * by one that hasn't read the jobs yet, and by a renewal delegate. A path of its own for one of them renewed cancelled
  * work without stopping it, for ever.
  */
-class LeaseRenewals(private val replica: Replica, private val basis: DecisionBasis) {
+class LeaseRenewals(private val cache: StateCache, private val basis: DecisionBasis) {
     /**
      * Adds the stops of cancelled work to [commands], which are a leader's own; whoever decides nothing has none. They
      * are wanting where the report is older than a direct command's answer, and then they change nothing.
@@ -23,7 +23,7 @@
         token: Token,
         commands: List<WorkerCommand> = emptyList(),
     ): ReportAnswer.Taken {
-        val all = commands + replica.cancelledWork(report).notAmong(commands)
+        val all = commands + cache.cancelledWork(report).notAmong(commands)
         if (log.isDebugEnabled) {
             log.debug(
                 "{} is renewed in session {}, report {}, which showed token {}, with {} commands: {}",
--- a/src/main/kotlin/oxbowlug/lease/RenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/RenewalDelegate.kt
@@ -1,6 +1,6 @@
 package oxbowlug.lease
 
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.port.Clock
 import oxbowlug.port.HeartbeatEcho
 import oxbowlug.port.PeerHeartbeat
@@ -23,7 +23,7 @@
     private val regions: Regions,
     private val clock: Clock,
     private val timing: Timing,
-    private val replica: Replica,
+    private val cache: StateCache,
 ) {
     private class Heard(val leader: Member, val itsMs: Long, val atMs: Long)
 
@@ -38,7 +38,7 @@
         if (present != null && present.leader == heartbeat.sender && heartbeat.atMs < present.itsMs) return
         // One that was started in an outage knows no view yet, but its word is needed as much
         // ([CancellationFreshness]).
-        val leader = replica.view?.leader ?: heartbeat.leader
+        val leader = cache.view?.leader ?: heartbeat.leader
         if (heartbeat.sender == leader) heard = Heard(heartbeat.sender, heartbeat.atMs, clock.steadyMs())
     }
 
@@ -46,9 +46,9 @@
     fun echo(): HeartbeatEcho? = heard?.let { HeartbeatEcho(it.leader, it.itsMs, renewals) }
 
     private fun aloneMs(): Long {
-        val leader = replica.view?.leader
-        val heardAt = heard?.takeIf { it.leader == leader }?.atMs ?: replica.lastContactMs
-        return clock.steadyMs() - maxOf(heardAt, replica.lastContactMs)
+        val leader = cache.view?.leader
+        val heardAt = heard?.takeIf { it.leader == leader }?.atMs ?: cache.lastContactMs
+        return clock.steadyMs() - maxOf(heardAt, cache.lastContactMs)
     }
 
     /**
@@ -56,8 +56,8 @@
      * that it is cut off.
      */
     fun named(report: WorkerReport): Member? {
-        val view = replica.view ?: return null
-        val delegates = replica.delegates ?: return null
+        val view = cache.view ?: return null
+        val delegates = cache.delegates ?: return null
         val isNear = regions.areTogether(report.zone, zone)
         val isForUs = delegates.token == view.token && isNear && report.token <= view.token
         return if (isForUs && aloneMs() >= timing.delegateAfterMs) delegates.byZone[report.zone] else null
@@ -65,7 +65,7 @@
 
     /** Neither the leader nor the state service was heard for a while: it may soon be certain. */
     fun isLosingTouch(): Boolean {
-        val delegates = replica.delegates
+        val delegates = cache.delegates
         val isSoon = aloneMs() in timing.delegateAfterMs / 2 until timing.delegateAfterMs
         return delegates != null && isSoon && delegates.byZone.keys.any { regions.areTogether(it, zone) }
     }
@@ -74,6 +74,6 @@
     fun renew(report: WorkerReport): Token? {
         if (named(report) != self) return null
         renewals++
-        return replica.view?.token
+        return cache.view?.token
     }
 }
--- a/src/main/kotlin/oxbowlug/lease/RenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/RenewalDelegates.kt
@@ -1,7 +1,7 @@
 package oxbowlug.lease
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.config.Settings
 import oxbowlug.port.Clock
 import oxbowlug.port.HeartbeatEcho
@@ -29,7 +29,7 @@
     private val state: StatePort,
     private val clock: Clock,
     private val timing: Timing,
-    private val replica: Replica,
+    private val cache: StateCache,
 ) {
     private class Named(val member: Member) {
         var renewals: Long? = null
@@ -48,10 +48,10 @@
 
     fun tick(now: Long) {
         if (writing || now < nextWriteAt) return
-        val members = replica.members()
+        val members = cache.members()
         for (zone in settings.zones) name(zone, members)
         val wanted = named.mapValues { it.value.member }
-        val stored = replica.delegates
+        val stored = cache.delegates
         if (wanted.isEmpty() || stored != null && stored.token == view.token && stored.byZone == wanted) return
         write(wanted, stored)
     }
--- a/src/main/kotlin/oxbowlug/record/Keys.kt
+++ b/src/main/kotlin/oxbowlug/record/Keys.kt
@@ -6,7 +6,7 @@
     const val JOBS = "ox/j/"
 
     /** The view and the members, so that one read brings both. */
-    const val ROSTER = "ox/r/"
+    const val MEMBERSHIP = "ox/r/"
     const val VIEW = "ox/r/view"
     const val MEMBERS = "ox/r/m/"
     const val DELEGATES = "ox/r/deputies"
--- a/src/main/kotlin/oxbowlug/request/JobRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/JobRequests.kt
@@ -1,8 +1,8 @@
 package oxbowlug.request
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cache.Replica
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.CachedJob
+import oxbowlug.cache.StateCache
 import oxbowlug.config.Settings
 import oxbowlug.invariant.DecisionBasis
 import oxbowlug.port.Clock
@@ -38,7 +38,7 @@
     private val state: StatePort,
     private val clock: Clock,
     private val timing: Timing,
-    private val replica: Replica,
+    private val cache: StateCache,
     private val budget: RateBudget,
     private val meters: Meters,
     /** Told of each cancellation before its user is. */
@@ -54,10 +54,10 @@
 
     fun submit(spec: JobSpec, types: Map<TypeName, MachineType>, answer: (UserAnswer) -> Unit) {
         val now = clock.steadyMs()
-        if (!replica.synced || !stateReachable(now)) return answer(unavailable("the state service is away"))
+        if (!cache.isSynced || !stateReachable(now)) return answer(unavailable("the state service is away"))
         // A repeated submission is answered whatever has changed since: it was accepted.
-        if (replica.job(spec.id) != null) return answerKnown(spec.id, answer)
-        if (replica.writableFormat == WritableFormat.NONE) return answer(unavailable("the data is of a newer version"))
+        if (cache.job(spec.id) != null) return answerKnown(spec.id, answer)
+        if (cache.writableFormat == WritableFormat.NONE) return answer(unavailable("the data is of a newer version"))
         if (types.isEmpty()) return answer(unavailable("the machine types are not known yet"))
         val form = layout.split(newRecord(spec, "").encode())
         if (form == null) return answer(UserAnswer.Malformed("${largestList(spec)}: is larger than can be stored"))
@@ -66,7 +66,7 @@
         }
         if (spec.waitsOn.isNotEmpty()) {
             // Controllers of the version before would drop what it waits for, and start it.
-            if (replica.writableFormat != WritableFormat.HEAD_AND_PARTS) {
+            if (cache.writableFormat != WritableFormat.HEAD_AND_PARTS) {
                 return answer(unavailable("not all controllers can take jobs that wait for others yet"))
             }
             if (predecessorProblem(spec) != null) return submitWhenKnown(spec, answer)
@@ -76,17 +76,17 @@
 
     /** Malformed, but a repeated submission of an accepted job is never told so. */
     fun submitMalformed(id: JobId, problem: String, answer: (UserAnswer) -> Unit) {
-        if (replica.job(id) != null) answerKnown(id, answer) else answer(UserAnswer.Malformed(problem))
+        if (cache.job(id) != null) answerKnown(id, answer) else answer(UserAnswer.Malformed(problem))
     }
 
     /** Another controller may have accepted what it names a moment ago, so the copy catches up before it is refused. */
     private fun submitWhenKnown(spec: JobSpec, answer: (UserAnswer) -> Unit) {
-        replica.catchUp { ok ->
+        cache.catchUp { ok ->
             val problem = predecessorProblem(spec)
             when {
                 !ok -> answer(unavailable("the state service is away"))
-                replica.job(spec.id) != null -> answer(known(spec.id))
-                spec.waitsOn.any { replica.job(it)?.isUnreadable == true } ->
+                cache.job(spec.id) != null -> answer(known(spec.id))
+                spec.waitsOn.any { cache.job(it)?.isUnreadable == true } ->
                     answer(unavailable("a job that it waits for can't be read"))
                 problem != null -> answer(UserAnswer.Rejected(problem))
                 else -> take(spec, clock.steadyMs(), answer)
@@ -97,7 +97,7 @@
     /** Null when all the jobs that it names were accepted and can end. */
     private fun predecessorProblem(spec: JobSpec): String? {
         for (predecessor in spec.waitsOn) {
-            val stored = replica.job(predecessor)
+            val stored = cache.job(predecessor)
             val problem = when {
                 predecessor == spec.id -> "is the job itself"
                 stored == null -> "was never submitted"
@@ -112,10 +112,10 @@
 
     /** Never told of a job that another controller accepted, perhaps under older types. */
     private fun rejectUnlessKnown(id: JobId, answer: (UserAnswer) -> Unit, problem: () -> String) {
-        replica.catchUp { ok ->
+        cache.catchUp { ok ->
             when {
                 !ok -> answer(unavailable("the state service is away"))
-                replica.job(id) != null -> answer(known(id))
+                cache.job(id) != null -> answer(known(id))
                 else -> answer(UserAnswer.Rejected(problem()))
             }
         }
@@ -158,7 +158,7 @@
 
     private fun changes(id: JobId, record: Map<String, Any?>): List<Change> {
         val whole = StoredForm(record, emptyList())
-        val isDivided = replica.writableFormat == WritableFormat.HEAD_AND_PARTS
+        val isDivided = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
         val form = if (isDivided) layout.split(record) ?: whole else whole
         return listOf(Change.Put(Keys.job(id.value), form.head)) +
             form.parts.mapIndexed { index, part -> Change.Put(Keys.part(id.value, index), part) }
@@ -166,7 +166,7 @@
 
     /** Its answer may have been slow, and another controller may have confirmed the job's cancellation meanwhile. */
     private fun answerAccepted(id: JobId, answer: (UserAnswer) -> Unit) {
-        val stored = replica.job(id)
+        val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal)
             answer(known(id, stored))
         else
@@ -174,10 +174,10 @@
     }
 
     private fun answerKnown(id: JobId, answer: (UserAnswer) -> Unit) {
-        val stored = replica.job(id)
+        val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) return answer(known(id, stored))
-        replica.catchUp { ok ->
-            if (ok && replica.job(id) != null)
+        cache.catchUp { ok ->
+            if (ok && cache.job(id) != null)
                 answer(known(id))
             else
                 answer(unavailable("the state service is away"))
@@ -185,12 +185,12 @@
     }
 
     fun poll(id: JobId, answer: (UserAnswer) -> Unit) {
-        val stored = replica.job(id)
+        val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) return answer(known(id, stored))
-        replica.catchUp { ok ->
+        cache.catchUp { ok ->
             when {
                 !ok -> answer(unavailable("the state service is away"))
-                replica.job(id) != null -> answer(known(id))
+                cache.job(id) != null -> answer(known(id))
                 else -> answer(UserAnswer.NotFound)
             }
         }
@@ -198,7 +198,7 @@
 
     fun cancel(id: JobId, answer: (UserAnswer) -> Unit) {
         // Final is final: that can be told also while the state service is away.
-        val stored = replica.job(id)
+        val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal)
             answer(known(id, stored))
         else
@@ -207,14 +207,14 @@
 
     /** The cancellation is committed first and answered next; only then does the leader act on it. */
     private fun cancel(id: JobId, triesLeft: Int, answer: (UserAnswer) -> Unit) {
-        replica.catchUp { ok ->
-            val stored = replica.job(id)
+        cache.catchUp { ok ->
+            val stored = cache.job(id)
             val value = stored?.value
             when {
                 !ok -> answer(unavailable("the state service is away"))
                 stored == null -> answer(UserAnswer.NotFound)
                 stored.phase.isFinal || stored.isUnreadable || value == null -> answer(known(id, stored))
-                replica.writableFormat == WritableFormat.NONE -> answer(unavailable("the data is of a newer version"))
+                cache.writableFormat == WritableFormat.NONE -> answer(unavailable("the data is of a newer version"))
                 triesLeft == 0 -> answer(unavailable("the job keeps changing"))
                 else -> commitCancel(id, stored, value, triesLeft, answer)
             }
@@ -223,7 +223,7 @@
 
     private fun commitCancel(
         id: JobId,
-        stored: StoredJob,
+        stored: CachedJob,
         value: Map<String, Any?>,
         triesLeft: Int,
         answer: (UserAnswer) -> Unit,
@@ -257,15 +257,15 @@
         }
     }
 
-    private fun known(id: JobId): UserAnswer = known(id, replica.job(id) ?: error("$id was just there"))
+    private fun known(id: JobId): UserAnswer = known(id, cache.job(id) ?: error("$id was just there"))
 
-    private fun known(id: JobId, stored: StoredJob): UserAnswer {
+    private fun known(id: JobId, stored: CachedJob): UserAnswer {
         if (stored.isUnreadable) return unavailable("the job's record can't be read")
         if (stored.phase == Phase.CANCELLED) onAnsweredCancelled(id)
         return UserAnswer.Known(stored.view(id))
     }
 
-    private fun stateReachable(now: Long): Boolean = now - replica.lastContactMs < timing.stateAwayMs
+    private fun stateReachable(now: Long): Boolean = now - cache.lastContactMs < timing.stateAwayMs
 
     private fun unavailable(why: String): UserAnswer {
         log.debug("refused: {}", why)
--- a/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
@@ -44,33 +44,33 @@
         }
     }
 
-    private val replica = Replica(Port(), clock, timing, IgnoringListener)
-    private val authority = Authority(Member("n0", "x"), Port(), clock, timing, replica, changesPerTransaction = 16)
+    private val cache = StateCache(Port(), clock, timing, IgnoringListener)
+    private val authority = Authority(Member("n0", "x"), Port(), clock, timing, cache, changesPerTransaction = 16)
 
     private fun put(key: String) = store.commit(Transaction(emptyList(), listOf(Change.Put(key, mapOf("x" to 1L)))))
 
     private fun tick() {
         clock.now += timing.leaseTouchMs
-        replica.tick()
+        cache.tick()
         authority.tick()
     }
 
     @Test
     fun `that changes before a whole read are gone doesn't cause another one`() {
-        replica.tick()
-        replica.tick()
+        cache.tick()
+        cache.tick()
         assertEquals(1, watches.size)
         repeat(3) { put("ox/x$it") }
-        replica.catchUp {}
-        replica.tick()
-        assertEquals(2, replica.wholeReads)
+        cache.catchUp {}
+        cache.tick()
+        assertEquals(2, cache.fullResyncs)
         watches[0](ChangesOutcome.TooOld)
         var isCaughtUp = false
         clock.now += timing.catchUpGapMs
-        replica.catchUp { isCaughtUp = it }
+        cache.catchUp { isCaughtUp = it }
         assertTrue(isCaughtUp, "users are answered")
-        replica.tick()
-        assertEquals(2, replica.wholeReads)
+        cache.tick()
+        assertEquals(2, cache.fullResyncs)
     }
 
     @Test
--- a/src/test/kotlin/oxbowlug/cache/TornCopyTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -33,7 +33,7 @@
  * A copy that is read in small pages while jobs are accepted, placed, cancelled and ended: whatever it says of a job at
  * a revision is what was stored at that revision.
  */
-class TornCopyTest {
+class TornRecordTest {
     private val world = World(1)
     private val clock = DriftingClock(world, 0.0, 0)
     private val timing = Timing(SettingsFile.parse(SettingsTexts.valid), Random(1))
@@ -116,8 +116,8 @@
 
     private class Copied(val id: JobId, val version: Long, val value: Map<String, Any?>)
 
-    private inner class Listener(private val copied: MutableList<Copied>) : ReplicaListener by IgnoringListener {
-        override fun onJob(id: JobId, job: StoredJob, value: Map<String, Any?>) {
+    private inner class Listener(private val copied: MutableList<Copied>) : StateCacheListener by IgnoringListener {
+        override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) {
             copied.add(Copied(id, job.version, value))
         }
     }
@@ -129,10 +129,10 @@
             val writer = Writer(store, Random(seed), spec)
             repeat(WRITES_BEFORE) { writer.step() }
             val copied = ArrayList<Copied>()
-            val replica = Replica(Port(store, writer), clock, timing, Listener(copied))
-            replica.tick()
+            val cache = StateCache(Port(store, writer), clock, timing, Listener(copied))
+            cache.tick()
             val atReset = copied.size
-            replica.catchUp {}
+            cache.catchUp {}
             assertTrue(copied.size > atReset, "changes were replayed")
             for (one in copied) {
                 val stored = writer.truth.getValue(one.id.value to one.version)
@@ -142,7 +142,7 @@
                 if (stored.phase == Phase.ACTIVE) assertEquals(stored.spec.waitsOn, read.spec.waitsOn, what)
             }
             for ((id, revisions) in writer.truth.keys.groupBy({ it.first }, { it.second })) {
-                val job = replica.job(JobId(id))
+                val job = cache.job(JobId(id))
                 assertEquals(revisions.max(), job?.version, "seed $seed, $id in the end")
                 assertEquals(false, job?.isUnreadable, "seed $seed, $id in the end")
             }
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -3,9 +3,9 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.cache.Replica
-import oxbowlug.cache.ReplicaListener
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.CachedJob
+import oxbowlug.cache.StateCache
+import oxbowlug.cache.StateCacheListener
 import oxbowlug.config.Address
 import oxbowlug.config.SettingsFile
 import oxbowlug.membership.PeerHealth
@@ -110,16 +110,16 @@
         override fun heartbeatChanged() = Unit
     }
 
-    private inner class Listener : ReplicaListener by IgnoringListener {
-        override fun onJob(id: JobId, job: StoredJob, value: Map<String, Any?>) = cancellations.learned(id, job, value)
+    private inner class Listener : StateCacheListener by IgnoringListener {
+        override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = cancellations.learned(id, job, value)
     }
 
-    private val replica = Replica(ImmediateStatePort(store), clock, timing, Listener())
+    private val cache = StateCache(ImmediateStatePort(store), clock, timing, Listener())
     private val peerHealth = PeerHealth(settings.peers.size, clock, timing)
     private val cancellations: Cancellations =
-        Cancellations(self, settings, clock, timing, replica, peerHealth, peers) { null }
+        Cancellations(self, settings, clock, timing, cache, peerHealth, peers) { null }
     private val enforcer = CancellationEnforcer(
-        self, settings, clock, timing, replica, cancellations, peerHealth, cloud, workers, RateBudget(10.0),
+        self, settings, clock, timing, cache, cancellations, peerHealth, cloud, workers, RateBudget(10.0),
     )
 
     private fun attempt(job: JobId) = Attempt(TaskId(job, 0), 1)
@@ -144,8 +144,8 @@
     private fun pass(ms: Long) {
         val endMs = clock.now + ms
         while (clock.now < endMs) {
-            replica.tick()
-            replica.catchUp {}
+            cache.tick()
+            cache.catchUp {}
             enforcer.tick()
             clock.now += timing.tickMs
         }
--- a/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.CachedJob
 import oxbowlug.cache.DependencyState
-import oxbowlug.cache.StoredJob
 import oxbowlug.config.Policy
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.Team
@@ -67,7 +67,7 @@
 
     private fun take(record: JobRecord, version: Long) {
         val value = Cbor.decode(Cbor.encode(record.encode()))
-        val stored = StoredJob(record.phase, version, spec.tasks, 0, record.placements.size, value)
+        val stored = CachedJob(record.phase, version, spec.tasks, 0, record.placements.size, value)
         fleet.takeJob(spec.id, stored, value)
     }
 
@@ -100,7 +100,7 @@
         )
         val needy = spec.copy(waitsOn = listOf(JobId("run-needed")))
         val value = Cbor.decode(Cbor.encode(JobRecord(needy, 0, Phase.ACTIVE, BitSet(), 1, emptyMap(), "w").encode()))
-        waiting.takeJob(spec.id, StoredJob(Phase.ACTIVE, 1, spec.tasks, 0, 0, value), value)
+        waiting.takeJob(spec.id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 0, value), value)
         val host = waiting.machine(machine) ?: error("it is there")
         val needyJob = waiting.jobs.getValue(spec.id)
         assertThrows(IllegalStateException::class.java) { waiting.place(needyJob, 0, host) }
@@ -134,7 +134,7 @@
                     spec.copy(id = id), 0, Phase.ACTIVE, BitSet(), 2, mapOf(0 to Placement(machine, 1)), "w-$id",
                 )
                 val value = Cbor.decode(Cbor.encode(stored.encode()))
-                here.takeJob(id, StoredJob(Phase.ACTIVE, 1, spec.tasks, 0, 1, value), value)
+                here.takeJob(id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 1, value), value)
             }
             val other = ReportedTask(Attempt(TaskId(JobId("run-000999"), 0), 1), TaskState.RUNNING, null, false)
             val start = WorkerCommand.Start(attempt)
@@ -342,7 +342,7 @@
         // Found on the bench: a leader elected during a cut counted the time allowed from its own start.
         val told = record(Phase.CANCELLED)
         val value = Cbor.decode(Cbor.encode(told.encode() + (JobRecord.CANCELLED_AT to clock.now - 12_000)))
-        fleet.takeJob(spec.id, StoredJob(told.phase, 1, spec.tasks, 0, 1, value), value)
+        fleet.takeJob(spec.id, CachedJob(told.phase, 1, spec.tasks, 0, 1, value), value)
         assertEquals(clock.now - 12_000, job.cancelledAt)
         assertEquals(clock.now - 12_000, job.begin("w2").cancelledMs)
     }
--- a/src/test/kotlin/oxbowlug/commit/CommitsTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/CommitsTest.kt
@@ -3,8 +3,8 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.cache.Replica
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.CachedJob
+import oxbowlug.cache.StateCache
 import oxbowlug.cluster.Fleet
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
@@ -76,12 +76,12 @@
         put(Keys.VIEW, view.encode())
         if (isSwitchedOn) put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST))
         for (record in records) put(Keys.job(record.spec.id.value), record.encode())
-        val replica = Replica(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val cache = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
         val version = store.entry(Keys.VIEW)?.version ?: error("it was just written")
-        replica.forEachActive { id, stored -> stored.value?.let { fleet.takeJob(id, stored, it) } }
+        cache.forEachActive { id, stored -> stored.value?.let { fleet.takeJob(id, stored, it) } }
         commits = Commits(
             view.copy(version = version), Names(view.leader), settings, Port(), clock, timing, RateBudget(rate),
-            replica, fleet, noBasis,
+            cache, fleet, noBasis,
         )
     }
 
@@ -188,7 +188,7 @@
     private fun watchBrings(id: String) {
         val head = store.entry(Keys.job(id)) ?: error("$id is stored")
         val whole = RecordLayout.merge(head.value) { store.entry(Keys.part(id, it))?.value }
-        fleet.takeJob(JobId(id), StoredJob.read(whole, head.version), whole)
+        fleet.takeJob(JobId(id), CachedJob.read(whole, head.version), whole)
     }
 
     @Test
--- a/src/test/kotlin/oxbowlug/election/AuthorityTest.kt
+++ b/src/test/kotlin/oxbowlug/election/AuthorityTest.kt
@@ -4,9 +4,9 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.cache.Replica
-import oxbowlug.cache.ReplicaListener
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.CachedJob
+import oxbowlug.cache.StateCache
+import oxbowlug.cache.StateCacheListener
 import oxbowlug.config.SettingsFile
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
@@ -53,7 +53,7 @@
             }.also { calls++ }
 
         override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) {
-            if (prefix == Keys.ROSTER) calls++
+            if (prefix == Keys.MEMBERSHIP) calls++
             val slowMs = if (prefix == Keys.ROOT) readingJobsMs else 0
             world.after(slowMs) { answer(null, done) { store.read(prefix, after, 100) } }
         }
@@ -74,18 +74,18 @@
         private val clock = DriftingClock(world, 0.0, 0)
         private val timing = Timing(SettingsFile.parse(SettingsTexts.valid), Random(2))
         private val port = Port()
-        private val replica = Replica(port, clock, timing, Listener())
-        private val authority = Authority(Member(label, life), port, clock, timing, replica, changesPerTransaction)
+        private val cache = StateCache(port, clock, timing, Listener())
+        private val authority = Authority(Member(label, life), port, clock, timing, cache, changesPerTransaction)
         private var alive = true
         val role: Role get() = authority.role()
         val calls: Int get() = port.calls
 
-        private inner class Listener : ReplicaListener {
-            override fun onRoster() = authority.registerOrStand(clock.steadyMs())
+        private inner class Listener : StateCacheListener {
+            override fun onMembersRead() = authority.registerOrStand(clock.steadyMs())
 
             override fun onView(view: View) = Unit
 
-            override fun onJob(id: JobId, job: StoredJob, value: Map<String, Any?>) = Unit
+            override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = Unit
 
             override fun onDependencyChanged(id: JobId) = Unit
 
@@ -98,7 +98,7 @@
 
         private fun tick() {
             if (!alive) return
-            replica.tick()
+            cache.tick()
             authority.tick()
             world.after(20) { tick() }
         }
@@ -115,7 +115,7 @@
             port.reachable = false
         }
 
-        val hasJobs: Boolean get() = replica.synced
+        val hasJobs: Boolean get() = cache.isSynced
 
         fun hears(epoch: Long, leader: Member?) = authority.hearOfEpoch(epoch, leader)
     }
--- a/src/test/kotlin/oxbowlug/election/PresentBasisTest.kt
+++ b/src/test/kotlin/oxbowlug/election/PresentBasisTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.config.SettingsFile
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
@@ -31,9 +31,9 @@
         override fun grant(lifeMs: Long, done: (Long?) -> Unit) = done(store.grant(lifeMs))
     }
 
-    private val replica = Replica(Port(), clock, timing, IgnoringListener)
-    private val authority = Authority(self, Port(), clock, timing, replica, changesPerTransaction = 1)
-    private val basis = PresentBasis(clock, authority, replica)
+    private val cache = StateCache(Port(), clock, timing, IgnoringListener)
+    private val authority = Authority(self, Port(), clock, timing, cache, changesPerTransaction = 1)
+    private val basis = PresentBasis(clock, authority, cache)
 
     private fun put(key: String) = store.commit(Transaction(emptyList(), listOf(Change.Put(key, mapOf("x" to 1L)))))
 
@@ -41,12 +41,12 @@
     fun `it names the role, the token, the lease's rest and the age of the copy`() {
         assertEquals("of no known role, lease believed for 0 ms, copy of revision 0, 0 ms old", basis.describe())
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.VIEW, View(7, Token(5), self, 0).encode()))))
-        replica.tick()
+        cache.tick()
         authority.tick()
-        replica.catchUp {}
+        cache.catchUp {}
         clock.now += 250
         val leftMs = timing.leaseBeliefMs - 250
-        val copy = "copy of revision ${replica.revision}, 250 ms old"
+        val copy = "copy of revision ${cache.revision}, 250 ms old"
         assertEquals("leader of epoch 7 under token 5, lease believed for $leftMs ms, $copy", basis.describe())
         clock.now += timing.leaseLifeMs
         assertTrue(basis.describe().startsWith("renewing only, epoch 7 under token 5, lease believed for 0 ms"))
@@ -54,16 +54,16 @@
 
     @Test
     fun `a whole read is counted, and the copy stays as old as it was until changes are read`() {
-        replica.tick()
+        cache.tick()
         repeat(3) { put("ox/x$it") }
         clock.now += 1_000
-        replica.catchUp {}
-        assertEquals(1, replica.wholeReads)
-        replica.tick()
-        assertEquals(2, replica.wholeReads)
-        assertEquals(1_000, replica.copyAgeMs(clock.now))
+        cache.catchUp {}
+        assertEquals(1, cache.fullResyncs)
+        cache.tick()
+        assertEquals(2, cache.fullResyncs)
+        assertEquals(1_000, cache.stalenessMs(clock.now))
         clock.now += 1_000
-        replica.catchUp {}
-        assertEquals(0, replica.copyAgeMs(clock.now))
+        cache.catchUp {}
+        assertEquals(0, cache.stalenessMs(clock.now))
     }
 }
--- a/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -3,10 +3,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import oxbowlug.cache.CachedJob
 import oxbowlug.cache.DependencyState
-import oxbowlug.cache.Replica
-import oxbowlug.cache.ReplicaListener
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.StateCache
+import oxbowlug.cache.StateCacheListener
 import oxbowlug.config.SettingsFile
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
@@ -66,12 +66,12 @@
         override fun release(lease: Long) = Unit
     }
 
-    private inner class Listener : ReplicaListener {
-        override fun onRoster() = Unit
+    private inner class Listener : StateCacheListener {
+        override fun onMembersRead() = Unit
 
         override fun onView(view: View) = Unit
 
-        override fun onJob(id: JobId, job: StoredJob, value: Map<String, Any?>) = Unit
+        override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = Unit
 
         override fun onDependencyChanged(id: JobId) {
             changed.add(id.value)
@@ -81,7 +81,7 @@
     }
 
     private val timing = Timing(SettingsFile.parse(SettingsTexts.valid), Random(1))
-    private val replica = Replica(Port(), clock, timing, Listener()).apply { tick() }
+    private val cache = StateCache(Port(), clock, timing, Listener()).apply { tick() }
 
     private fun asStored(value: Map<String, Any?>) = Cbor.decode(Cbor.encode(value))
 
@@ -98,16 +98,16 @@
 
     /** Reads are paced, so time has to pass. */
     private fun catchUp() {
-        replica.catchUp {}
+        cache.catchUp {}
         world.after(1_000) {}
         world.runUntil(world.nowMs + 1_000)
-        replica.tick()
+        cache.tick()
     }
 
     private fun shown(vararg ids: String): List<ShownState?> =
-        ids.map { id -> replica.job(JobId(id))?.view(JobId(id))?.state }
+        ids.map { id -> cache.job(JobId(id))?.view(JobId(id))?.state }
 
-    private fun state(id: String) = replica.dependencyState(replica.job(JobId(id))?.waitsOn.orEmpty())
+    private fun state(id: String) = cache.dependencyState(cache.job(JobId(id))?.waitsOn.orEmpty())
 
     @Test
     fun `a job is ready once all that it needs are done`() {
@@ -141,7 +141,7 @@
         assertEquals(List(5) { ShownState.CANCELLED }, shown("a", "b", "c", "d", "f"))
         assertEquals(List(2) { ShownState.QUEUED }, shown("other", "e"))
         val open = ArrayList<String>()
-        replica.forEachActive { id, _ -> open.add(id.value) }
+        cache.forEachActive { id, _ -> open.add(id.value) }
         assertTrue(open.containsAll(listOf("b", "c", "d", "f")), "their records still have to say so")
     }
 
@@ -159,7 +159,7 @@
         write("a")
         write("b", Phase.ACTIVE, "a")
         catchUp()
-        replica.hear(JobId("a"), revision + 1, value("a", Phase.CANCELLED, emptyList()))
+        cache.applyRecord(JobId("a"), revision + 1, value("a", Phase.CANCELLED, emptyList()))
         assertEquals(listOf(ShownState.CANCELLED), shown("b"))
     }
 
@@ -188,7 +188,7 @@
         val torn = value("c", Phase.ACTIVE, emptyList()) + ("run" to mapOf("host-1" to 3L))
         pending.add(Event(Keys.job("c"), torn, revision))
         catchUp()
-        for (id in listOf("a", "b", "c")) assertEquals(true, replica.job(JobId(id))?.isUnreadable, id)
+        for (id in listOf("a", "b", "c")) assertEquals(true, cache.job(JobId(id))?.isUnreadable, id)
         write("d", Phase.ACTIVE, "b")
         catchUp()
         assertEquals(DependencyState.WAITING, state("d"))
@@ -209,7 +209,7 @@
         revision++
         for (index in form.parts.indices) pending.add(Event(Keys.part("a", index), null, revision))
         catchUp()
-        assertEquals(240, replica.job(JobId("a"))?.placed)
+        assertEquals(240, cache.job(JobId("a"))?.placed)
     }
 
     @Test
--- a/src/test/kotlin/oxbowlug/lease/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/RenewalDelegateTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.config.SettingsFile
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
@@ -67,17 +67,17 @@
         store.commit(Transaction(emptyList(), listOf(Change.Put(key, value))))
     }
 
-    private fun replica(): Replica {
+    private fun cache(): StateCache {
         put(Keys.member(leader), emptyMap())
         put(Keys.member(delegate), emptyMap())
         put(Keys.VIEW, View(3, Token(3), leader, 0).encode())
-        return Replica(Port(), clock, timing, IgnoringListener).apply { tick() }
+        return StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
     }
 
     private fun named(): RenewalDelegates {
-        val replica = replica()
-        val view = replica.view ?: error("the view was read")
-        return RenewalDelegates(view, settings, Port(), clock, timing, replica).apply { tick(clock.now) }
+        val cache = cache()
+        val view = cache.view ?: error("the view was read")
+        return RenewalDelegates(view, settings, Port(), clock, timing, cache).apply { tick(clock.now) }
     }
 
     /** A word of the deputy: that it last heard the leader at [heardAt], and how much it has renewed. */
@@ -119,15 +119,15 @@
 
     @Test
     fun `one that is gone stays named until a later life of it is there`() {
-        val replica = replica()
-        val delegates = RenewalDelegates(replica.view ?: error("read"), settings, Port(), clock, timing, replica)
+        val cache = cache()
+        val delegates = RenewalDelegates(cache.view ?: error("read"), settings, Port(), clock, timing, cache)
         delegates.tick(clock.now)
         assertEquals(delegate, DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1).byZone[zone])
         store.commit(Transaction(emptyList(), listOf(Change.Delete(Keys.member(delegate)))))
         put(Keys.member(Member("n1", "z")), emptyMap())
         repeat(2) {
             clock.now += 60_000
-            replica.catchUp {}
+            cache.catchUp {}
             delegates.tick(clock.now)
         }
         val assigned = DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1)
@@ -138,8 +138,8 @@
     @Test
     fun `a deputy renews only while it hears neither the leader nor the state service`() {
         put(Keys.DELEGATES, DelegateAssignments(Token(3), mapOf(zone to delegate), 0).encode())
-        val replica = replica()
-        val here = RenewalDelegate(delegate, zone, Regions(), clock, timing, replica)
+        val cache = cache()
+        val here = RenewalDelegate(delegate, zone, Regions(), clock, timing, cache)
         val report = report(zone, 3)
         isAway = true
         here.hear(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
@@ -153,7 +153,7 @@
         assertNull(here.renew(report), "the leader is heard again")
         clock.now += timing.delegateAfterMs
         isAway = false
-        replica.catchUp {}
+        cache.catchUp {}
         assertNull(here.renew(report), "the state service answers")
     }
 
@@ -163,7 +163,7 @@
     fun `a deputy renews for the zones of its region that it is named for`() {
         val byZone = mapOf(zone to delegate, Zone("c") to delegate, Zone("d") to leader, Zone("e") to delegate)
         put(Keys.DELEGATES, DelegateAssignments(Token(3), byZone, 0).encode())
-        val here = RenewalDelegate(delegate, zone, regional, clock, timing, replica())
+        val here = RenewalDelegate(delegate, zone, regional, clock, timing, cache())
         isAway = true
         here.hear(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
         clock.now += timing.delegateAfterMs
@@ -181,9 +181,9 @@
             zones = listOf(Zone("a"), zone, Zone("c")),
             policy = settings.policy.copy(regions = regional),
         )
-        val replica = replica()
-        val view = replica.view ?: error("the view was read")
-        val delegates = RenewalDelegates(view, wider, Port(), clock, timing, replica).apply { tick(clock.now) }
+        val cache = cache()
+        val view = cache.view ?: error("the view was read")
+        val delegates = RenewalDelegates(view, wider, Port(), clock, timing, cache).apply { tick(clock.now) }
         val assigned = DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1).byZone
         assertEquals(mapOf(zone to delegate, Zone("c") to delegate), assigned)
         val answeredAt = clock.now
--- a/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertArrayEquals
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.CachedJob
 import oxbowlug.cluster.Job
 import oxbowlug.peer.PeerFrames
 import oxbowlug.peer.PeerMessage
@@ -55,7 +55,7 @@
             val read = JobRecord.decode(Cbor.decode(stored))
             assertEquals(record.placements, read.placements, name)
             assertArrayEquals(stored, Cbor.encode(read.encode()), name)
-            assertEquals(record.phase, StoredJob.read(Cbor.decode(stored), 1).phase, name)
+            assertEquals(record.phase, CachedJob.read(Cbor.decode(stored), 1).phase, name)
         }
     }
 
--- a/src/test/kotlin/oxbowlug/request/JobRequestsTest.kt
+++ b/src/test/kotlin/oxbowlug/request/JobRequestsTest.kt
@@ -2,7 +2,7 @@
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
-import oxbowlug.cache.Replica
+import oxbowlug.cache.StateCache
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
 import oxbowlug.port.CommitOutcome
@@ -69,10 +69,10 @@
     }
 
     private val timing = Timing(settings, Random(1))
-    private val replica = Replica(Port(), clock, timing, IgnoringListener)
+    private val cache = StateCache(Port(), clock, timing, IgnoringListener)
     private val told = ArrayList<String>()
 
-    private fun jobRequests(copy: Replica) = JobRequests(
+    private fun jobRequests(copy: StateCache) = JobRequests(
         Names(Member("n0", "x")), settings, Port(), clock, timing, copy, RateBudget(10.0), FailingMeters,
         onCancelled = { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") },
         onAnsweredCancelled = { told.add("told $it") },
@@ -114,7 +114,7 @@
             write(Phase.ACTIVE, listOf("host-1"))
             // A new copy for each, since final states are remembered for good.
             val answers = ArrayList<UserAnswer>()
-            val fresh = Replica(Port(), clock, timing, IgnoringListener).apply { tick() }
+            val fresh = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
             meanwhile = case.meanwhile
             jobRequests(fresh).cancel(spec.id) { answers.add(it) }
             world.runUntil(world.nowMs + 1_000)
@@ -138,7 +138,7 @@
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))))
     }
 
-    private fun answerTo(copy: Replica, spec: JobSpec): UserAnswer {
+    private fun answerTo(copy: StateCache, spec: JobSpec): UserAnswer {
         val answers = ArrayList<UserAnswer>()
         jobRequests(copy).submit(spec, types) { answers.add(it) }
         world.runUntil(world.nowMs + 1_000)
@@ -168,7 +168,7 @@
             val torn = mapOf<String, Any?>("phase" to "unheard of")
             store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job("run-torn"), torn))))
             store.commit(Transaction(emptyList(), listOf(Change.Delete(key))))
-            val copy = Replica(Port(), clock, timing, IgnoringListener).apply { tick() }
+            val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
             case.meanwhile()
             val answer = answerTo(copy, spec.copy(waitsOn = listOf(JobId(case.waitsOn))))
             assertEquals(case.expected, answer::class.simpleName, case.name)
@@ -178,7 +178,7 @@
     @Test
     fun `while a controller may be of the version before, jobs that wait for others are sent away for a while`() {
         accept("run-a")
-        val copy = Replica(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
         val answer = answerTo(copy, spec.copy(waitsOn = listOf(JobId("run-a"))))
         assertEquals(true, answer is UserAnswer.Unavailable && answer.retryAfterS > 0)
         assertEquals(true, answerTo(copy, spec) is UserAnswer.Accepted, "others are taken")
@@ -188,7 +188,7 @@
     fun `nothing is written under a newer version's marker`() {
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(99)))))
         accept("run-a")
-        val copy = Replica(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
         val before = store.revision
         assertEquals(true, answerTo(copy, spec) is UserAnswer.Unavailable)
         jobRequests(copy).cancel(JobId("run-a")) { assertEquals(true, it is UserAnswer.Unavailable) }
@@ -198,7 +198,7 @@
     @Test
     fun `a repeated submission gets the job's present state, whatever its list says`() {
         accept("run-a")
-        val copy = Replica(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
         val never = spec.copy(id = JobId("run-a"), waitsOn = listOf(JobId("run-never")))
         assertEquals(true, answerTo(copy, never) is UserAnswer.Known)
         for ((id, expected) in listOf("run-a" to "Known", "run-b" to "Malformed")) {
@@ -216,7 +216,7 @@
         val names = List(120) { "a".repeat(90) + it }
         names.forEach { accept(it) }
         val small = settings.state.copy(next = WriteLimits(15.0, 2.0, 4))
-        val copy = Replica(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
         val jobRequests = JobRequests(
             Names(Member("n0", "x")), settings.copy(state = small), Port(), clock, timing, copy, RateBudget(10.0),
             FailingMeters, { _, _, _ -> }, {}, noBasis,
@@ -240,7 +240,7 @@
             store.limits = null
             switchFormatOn()
             store.commit(Transaction(emptyList(), changes))
-            val copy = Replica(Port(), clock, timing, IgnoringListener).apply { tick() }
+            val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
             store.limits = limits
             world.runUntil(world.nowMs + 2_000)
             told.clear()
@@ -254,7 +254,7 @@
             world.runUntil(world.nowMs + 1_000)
             assertEquals(ShownState.CANCELLED, (answers.single() as UserAnswer.Known).view.state)
             assertEquals(listOf("confirmed ${spec.id} of 240 machines"), told)
-            val read = Replica(Port(), clock, timing, IgnoringListener).apply { tick() }.job(spec.id)
+            val read = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }.job(spec.id)
             assertEquals(240, read?.placed, "whoever reads it knows every machine")
             store.limits = null
         }
@@ -262,13 +262,13 @@
 
     @Test
     fun `a slow answer to an accepted job doesn't speak over its cancellation`() {
-        replica.tick()
+        cache.tick()
         beforeAnswer = {
             write(Phase.CANCELLED, emptyList())
-            replica.catchUp {}
+            cache.catchUp {}
         }
         val answers = ArrayList<UserAnswer>()
-        jobRequests(replica).submit(spec, types) { answers.add(it) }
+        jobRequests(cache).submit(spec, types) { answers.add(it) }
         assertEquals(listOf(UserAnswer.Known(JobView(spec.id, ShownState.CANCELLED, 0, 0))), answers)
     }
 }
--- a/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
@@ -1,7 +1,7 @@
 package oxbowlug.testing
 
-import oxbowlug.cache.ReplicaListener
-import oxbowlug.cache.StoredJob
+import oxbowlug.cache.CachedJob
+import oxbowlug.cache.StateCacheListener
 import oxbowlug.invariant.DecisionBasis
 import oxbowlug.invariant.Invariants
 import oxbowlug.port.ChangesOutcome
@@ -19,12 +19,12 @@
 import oxbowlug.wire.Transaction
 
 /** Whoever tests a copy of the store without anything that depends on it. */
-object IgnoringListener : ReplicaListener {
-    override fun onRoster() = Unit
+object IgnoringListener : StateCacheListener {
+    override fun onMembersRead() = Unit
 
     override fun onView(view: View) = Unit
 
-    override fun onJob(id: JobId, job: StoredJob, value: Map<String, Any?>) = Unit
+    override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = Unit
 
     override fun onDependencyChanged(id: JobId) = Unit
 
