--- a/src/main/kotlin/oxbowlug/api/ClientServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ClientServer.kt
@@ -89,8 +89,8 @@
 
     private fun answer(request: HttpServerRequest, answer: UserAnswer) {
         when (answer) {
-            is UserAnswer.Accepted -> reply(request, 201, AnswerCodec.accepted(answer.view))
-            is UserAnswer.Known -> reply(request, 200, AnswerCodec.polled(answer.view))
+            is UserAnswer.Accepted -> reply(request, 201, AnswerCodec.accepted(answer.status))
+            is UserAnswer.Known -> reply(request, 200, AnswerCodec.polled(answer.status))
             is UserAnswer.Malformed -> reply(request, 400, AnswerCodec.problem(answer.problem))
             is UserAnswer.Rejected -> reply(request, 422, AnswerCodec.problem(answer.problem))
             UserAnswer.NotFound -> reply(request, 404, AnswerCodec.problem("no such job"))
@@ -101,7 +101,7 @@
 
     private fun answerCancel(request: HttpServerRequest, answer: UserAnswer) {
         if (answer !is UserAnswer.Known) return answer(request, answer)
-        reply(request, 200, AnswerCodec.accepted(answer.view))
+        reply(request, 200, AnswerCodec.accepted(answer.status))
     }
 
     private fun later(request: HttpServerRequest, status: Int, afterS: Int, why: String) {
--- a/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
+++ b/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
@@ -65,7 +65,7 @@
         gauges["epoch"] = { core.epoch }
         gauges["leading"] = { if (core.isLeading) 1 else 0 }
         gauges["token"] = { core.token }
-        gauges["lease.left.ms"] = { core.leaseLeftMs }
+        gauges["lease.left.ms"] = { core.leaseRemainingMs }
         gauges["copy.age.ms"] = { core.stalenessMs }
         gauges["copy.whole.reads"] = { core.fullResyncs }
     }
--- a/src/main/kotlin/oxbowlug/cache/CachedJob.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJob.kt
@@ -2,13 +2,13 @@
 
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
-import oxbowlug.record.Ranges
+import oxbowlug.record.TaskRanges
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpecCodec
-import oxbowlug.wire.JobView
-import oxbowlug.wire.ShownState
+import oxbowlug.wire.JobState
+import oxbowlug.wire.JobStatus
 import oxbowlug.wire.fields
 
 /** A job as the state service has it. [value] is kept only while the job isn't final. */
@@ -27,10 +27,10 @@
     /** Its record can't be read: it is known, and nothing else is said of it. */
     val isUnreadable: Boolean = false,
 ) {
-    fun view(id: JobId): JobView = when (phase) {
-        Phase.DONE -> JobView(id, ShownState.DONE, tasks, 0)
-        Phase.CANCELLED -> JobView(id, ShownState.CANCELLED, done, 0)
-        Phase.ACTIVE -> JobView(id, if (placed > 0) ShownState.RUNNING else ShownState.QUEUED, done, placed)
+    fun status(id: JobId): JobStatus = when (phase) {
+        Phase.DONE -> JobStatus(id, JobState.DONE, tasks, 0)
+        Phase.CANCELLED -> JobStatus(id, JobState.CANCELLED, done, 0)
+        Phase.ACTIVE -> JobStatus(id, if (placed > 0) JobState.RUNNING else JobState.QUEUED, done, placed)
     }
 
     fun cancelledByPredecessor() = CachedJob(
@@ -50,10 +50,10 @@
         private fun readFields(value: Map<String, Any?>, version: Long): CachedJob {
             val fields = value.fields()
             val phase = JobRecord.phaseOf(fields)
-            val done = Ranges.decode(fields.textOrNull("done", Int.MAX_VALUE).orEmpty()).cardinality()
+            val done = TaskRanges.decode(fields.textOrNull("done", Int.MAX_VALUE).orEmpty()).cardinality()
             val run = if (fields.has("run")) fields.map("run") else emptyMap()
             val placed = run.values.sumOf { text ->
-                (text as String).split(';').sumOf { Ranges.decode(it.substring(it.indexOf(':') + 1)).cardinality() }
+                (text as String).split(';').sumOf { TaskRanges.decode(it.substring(it.indexOf(':') + 1)).cardinality() }
             }
             val spec = fields.map("spec").fields()
             val keep = !phase.isFinal || placed > 0
--- a/src/main/kotlin/oxbowlug/cache/StateCache.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCache.kt
@@ -8,9 +8,9 @@
 import oxbowlug.record.DataFormat
 import oxbowlug.record.DelegateAssignments
 import oxbowlug.record.Keys
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
 import oxbowlug.record.Phase
-import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Entry
@@ -57,7 +57,7 @@
     /** The members are known, though perhaps not the jobs yet. */
     var knowsMembers = false
         private set
-    var view: View? = null
+    var leadership: LeadershipRecord? = null
         private set
     var delegates: DelegateAssignments? = null
         private set
@@ -196,7 +196,7 @@
         fullResyncs++
         val beganAt = clock.steadyMs()
         readPage(Keys.MEMBERSHIP, null, ArrayList(), -1L) { entries, from ->
-            for (entry in entries) if (entry.key == Keys.VIEW) applyView(Event(entry.key, entry.value, entry.version))
+            for (entry in entries) if (entry.key == Keys.LEADERSHIP) applyLeadership(Event(entry.key, entry.value, entry.version))
             members.clear()
             entries.forEach { if (it.key.startsWith(Keys.MEMBERS)) members.add(it.key) }
             knowsMembers = true
@@ -269,7 +269,7 @@
     private fun apply(event: Event) {
         try {
             when {
-                event.key == Keys.VIEW -> applyView(event)
+                event.key == Keys.LEADERSHIP -> applyLeadership(event)
                 event.key == Keys.DELEGATES -> event.value?.let {
                     delegates = DelegateAssignments.decode(it, event.version)
                 }
@@ -288,18 +288,18 @@
         }
     }
 
-    private fun applyView(event: Event) {
+    private fun applyLeadership(event: Event) {
         val value = event.value ?: return
-        adopt(View.decode(value, event.version))
+        adopt(LeadershipRecord.decode(value, event.version))
     }
 
     /** A view that is surely in the store, read there or just written. */
-    fun adopt(next: View) {
-        val present = view
+    fun adopt(next: LeadershipRecord) {
+        val present = leadership
         if (present == null || next.epoch > present.epoch) {
             if (present != null && present.leader != next.leader) formerLeader = present.leader
-            view = next
-            listener.onView(next)
+            leadership = next
+            listener.onLeaderChanged(next)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/cache/StateCacheListener.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCacheListener.kt
@@ -1,6 +1,6 @@
 package oxbowlug.cache
 
-import oxbowlug.record.View
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.WritableFormat
 import oxbowlug.wire.JobId
 
@@ -8,7 +8,7 @@
     /** The view and the members have been read whole; the jobs are asked for right after this. */
     fun onMembersRead()
 
-    fun onView(view: View)
+    fun onLeaderChanged(leadership: LeadershipRecord)
 
     /** [value] is the record as it is stored, also of a job whose record the copy doesn't keep. */
     fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>)
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -67,13 +67,13 @@
 
     /** Among those that don't lead, so that they act one after the other. */
     private fun rank(): Int {
-        val leader = cache.view?.leader?.label
+        val leader = cache.leadership?.leader?.label
         return (settings.peers.map { it.label } + self.label).filter { it != leader }.sorted().indexOf(self.label)
     }
 
     /** The leader knows of it and is heard: it has until the last moment. */
     private fun isInGoodHands(pending: Cancellations.PendingCancellation): Boolean {
-        val leader = cache.view?.leader ?: return false
+        val leader = cache.leadership?.leader ?: return false
         val isAlive = peerHealth.lifeOf(leader.label) == leader && peerHealth.isHeard(leader.label)
         return isAlive && leader in pending.acknowledged
     }
--- a/src/main/kotlin/oxbowlug/cancellation/Cancellations.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/Cancellations.kt
@@ -80,7 +80,7 @@
 
     /** Whether the leader doesn't yet know of one that was confirmed here. */
     fun hasUnacknowledged(): Boolean {
-        val leader = cache.view?.leader ?: return false
+        val leader = cache.leadership?.leader ?: return false
         return leader != self && pendingById.values.any { it.isOwn && !it.hasEnded && leader !in it.acknowledged }
     }
 
@@ -123,7 +123,7 @@
     }
 
     private fun announce(pending: PendingCancellation) {
-        val leader = cache.view?.leader
+        val leader = cache.leadership?.leader
         if (pending.isOwn || pending.hasEnded || leader in pending.acknowledged) return
         pending.isOwn = true
         sendToAll(pending)
@@ -147,7 +147,7 @@
         for (peer in settings.peers) {
             val present = peerHealth.lifeOf(peer.label)
             val knows = present != null && present in pending.acknowledged
-            val isLeader = cache.view?.leader?.label == peer.label
+            val isLeader = cache.leadership?.leader?.label == peer.label
             val due = when {
                 // The leader is asked again whether it has ended: only then need nobody else see to it.
                 knows -> isLeader && now - pending.learnedAt > timing.enforceAfterMs
@@ -165,7 +165,7 @@
             is CancellationNotice.Acknowledged -> for (item in word.items) {
                 val pending = pendingById[item.id] ?: continue
                 pending.acknowledged.add(word.sender)
-                if (item.hasEnded && word.sender == cache.view?.leader) pending.ended(by = word.sender)
+                if (item.hasEnded && word.sender == cache.leadership?.leader) pending.ended(by = word.sender)
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/commit/Commits.kt
+++ b/src/main/kotlin/oxbowlug/commit/Commits.kt
@@ -6,17 +6,17 @@
 import oxbowlug.cluster.Job
 import oxbowlug.config.Settings
 import oxbowlug.config.WriteLimits
-import oxbowlug.invariant.DecisionBasis
+import oxbowlug.invariant.DecisionContext
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
-import oxbowlug.record.Names
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Phase
 import oxbowlug.record.RecordLayout
+import oxbowlug.record.RequestIds
 import oxbowlug.record.StoredForm
-import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
@@ -30,8 +30,8 @@
  * earlier leader can't apply. Lesser changes wait a little, so that several ends of one job become one write.
  */
 class Commits(
-    private val view: View,
-    private val names: Names,
+    private val leadership: LeadershipRecord,
+    private val requestIds: RequestIds,
     private val settings: Settings,
     private val state: StatePort,
     private val clock: Clock,
@@ -39,7 +39,7 @@
     private val budget: RateBudget,
     private val cache: StateCache,
     private val fleet: Fleet,
-    private val basis: DecisionBasis,
+    private val decisions: DecisionContext,
 ) {
     private var inFlight = 0
     private var notBefore = 0L
@@ -116,7 +116,7 @@
     /** Null: it has to shrink first. */
     private fun prepare(job: Job, limits: WriteLimits, now: Long): Prepared? {
         val isDivided = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
-        val record = job.record(names.next(), isBrief = isDivided)
+        val record = job.record(requestIds.next(), isBrief = isDivided)
         val whole = record.encode()
         val form = if (isDivided) RecordLayout(limits).split(whole) else StoredForm(whole, emptyList())
         if (form == null) {
@@ -149,7 +149,7 @@
         val changes = group.flatMap { it.changes }
         budget.take(changes.size.toDouble(), now)
         val conditions = ArrayList<Condition>(group.size + 1)
-        conditions.add(Condition(Keys.VIEW, view.version))
+        conditions.add(Condition(Keys.LEADERSHIP, leadership.version))
         for (prepared in group) {
             val job = prepared.job
             conditions.add(Condition(Keys.job(job.id.value), job.version))
@@ -166,7 +166,7 @@
         val now = clock.steadyMs()
         when (outcome) {
             is CommitOutcome.Applied -> {
-                log.info("stored at {}: {}; {}", outcome.revision, summary(group), basis.describe())
+                log.info("stored at {}: {}; {}", outcome.revision, summary(group), decisions.describe())
                 for (prepared in group) {
                     // The watch may have brought the write before its answer did.
                     prepared.job.written(prepared.record, outcome.revision)
@@ -174,7 +174,7 @@
                 }
             }
             is CommitOutcome.Conflict -> {
-                if (Keys.VIEW in outcome.failed) {
+                if (Keys.LEADERSHIP in outcome.failed) {
                     log.info("the view has changed, this leader is deposed")
                     deposed = true
                 }
--- a/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
@@ -7,7 +7,7 @@
 import oxbowlug.port.StatePort
 import oxbowlug.record.DataFormat
 import oxbowlug.record.Keys
-import oxbowlug.record.View
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.WritableFormat
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
@@ -30,15 +30,15 @@
     private var notBefore = 0L
     private val labels = settings.peers.map { it.label } + settings.label
 
-    /** [view] is the view under which this controller leads, or null. */
-    fun tick(view: View?) {
+    /** [leadership] is the view under which this controller leads, or null. */
+    fun tick(leadership: LeadershipRecord?) {
         val now = clock.steadyMs()
         if (!cache.isSynced || isWriting || now < notBefore) return
         if ((cache.formatOf(settings.label) ?: 0) < DataFormat.NEWEST) {
             write(now, emptyList(), Change.Put(Keys.format(settings.label), DataFormat.encode(DataFormat.NEWEST)))
-        } else if (view != null && cache.writableFormat == WritableFormat.SINGLE_VALUE && allRead()) {
+        } else if (leadership != null && cache.writableFormat == WritableFormat.SINGLE_VALUE && allRead()) {
             log.info("all {} controllers read data format {}, switching it on", labels.size, DataFormat.NEWEST)
-            val conditions = listOf(Condition(Keys.VIEW, view.version), Condition(Keys.FORMAT, 0))
+            val conditions = listOf(Condition(Keys.LEADERSHIP, leadership.version), Condition(Keys.FORMAT, 0))
             write(now, conditions, Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))
         }
     }
--- a/src/main/kotlin/oxbowlug/controller/Core.kt
+++ b/src/main/kotlin/oxbowlug/controller/Core.kt
@@ -10,9 +10,9 @@
 import oxbowlug.cancellation.Cancellations
 import oxbowlug.commit.FormatUpgrade
 import oxbowlug.config.Settings
-import oxbowlug.election.Authority
-import oxbowlug.election.PresentBasis
-import oxbowlug.election.Role
+import oxbowlug.election.LeaderElection
+import oxbowlug.election.LeadershipDecisionContext
+import oxbowlug.election.LeadershipRole
 import oxbowlug.invariant.Invariants
 import oxbowlug.leader.Leader
 import oxbowlug.leader.Load
@@ -28,9 +28,9 @@
 import oxbowlug.port.StatePort
 import oxbowlug.port.WorkerPort
 import oxbowlug.record.Keys
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
-import oxbowlug.record.Names
-import oxbowlug.record.View
+import oxbowlug.record.RequestIds
 import oxbowlug.record.WritableFormat
 import oxbowlug.request.JobRequests
 import oxbowlug.timing.RateBudget
@@ -63,10 +63,10 @@
     private val load = Load(meters, timing.tickMs, (settings.policy.replanS * 1000).toLong())
     private val queue = ManyToOneConcurrentArrayQueue<Command>(capacity(settings))
     private val cache = StateCache(state, clock, timing, Listener()) { isOurView() }
-    private val authority = Authority(self, state, clock, timing, cache, settings.state.lowest.txnOps)
-    private val basis = PresentBasis(clock, authority, cache)
-    private val invariants = Invariants(basis, meters)
-    private val renewals = LeaseRenewals(cache, basis)
+    private val election = LeaderElection(self, state, clock, timing, cache, settings.state.lowest.txnOps)
+    private val decisions = LeadershipDecisionContext(clock, election, cache)
+    private val invariants = Invariants(decisions, meters)
+    private val renewals = LeaseRenewals(cache, decisions)
     private val formatUpgrade = FormatUpgrade(settings, state, clock, timing, cache)
 
     // Half of the write rate is for accepting and cancelling. A controller may use all of that half, since users are
@@ -74,7 +74,7 @@
     private val leaderWrites = RateBudget(settings.state.writeRps * LEADER_SHARE)
     private val ownWrites = RateBudget(settings.state.writeRps * (1 - LEADER_SHARE))
     private val cloudBudget = RateBudget(settings.cloud.rps * 0.8)
-    private val names = Names(self)
+    private val names = RequestIds(self)
     private val delegate = RenewalDelegate(self, settings.zone, settings.policy.regions, clock, timing, cache)
     private val peerHealth = PeerHealth(settings.peers.size, clock, timing)
     private val cancellations = Cancellations(
@@ -86,14 +86,14 @@
     private val freshness = CancellationFreshness(self, settings, clock, timing, cache)
     private val jobRequests = JobRequests(
         names, settings, state, clock, timing, cache, ownWrites, meters, cancellations::confirmed,
-        cancellations::told, basis,
+        cancellations::told, decisions,
     )
     private var types: Map<TypeName, MachineType> = emptyMap()
     private var fetchingTypes = false
     private var nextTypesAt = 0L
     private var leader: Leader? = null
-    private var notedRole: Role = Role.Unknown
-    private var viewIsNew = false
+    private var loggedRole: LeadershipRole = LeadershipRole.Unknown
+    private var leaderChanged = false
     private val waitingReports = ArrayDeque<WaitingReport>()
     private var rememberedImages: Map<MachineId, List<ImageName>> = emptyMap()
 
@@ -106,12 +106,12 @@
     val writesLeft: Double get() = leaderWrites.available(clock.steadyMs())
     val cloudCallsLeft: Double get() = cloudBudget.available(clock.steadyMs())
     val openCancellations: Int get() = cancellations.open.count { !it.hasEnded }
-    val epoch: Long get() = cache.view?.epoch ?: 0
-    val isLeading: Boolean get() = authority.role() is Role.Leader
-    val leaseLeftMs: Long get() = authority.leaseLeftMs()
+    val epoch: Long get() = cache.leadership?.epoch ?: 0
+    val isLeading: Boolean get() = election.role() is LeadershipRole.Leader
+    val leaseRemainingMs: Long get() = election.leaseRemainingMs()
     val stalenessMs: Long get() = cache.stalenessMs(clock.steadyMs())
     val fullResyncs: Long get() = cache.fullResyncs
-    val token: Long get() = cache.view?.token?.value ?: 0
+    val token: Long get() = cache.leadership?.token?.value ?: 0
 
     /** False when the queue is full: the caller answers "unavailable" itself. */
     fun offer(command: Command): Boolean {
@@ -133,8 +133,8 @@
                 log.error("{} failed", command.javaClass.simpleName, e)
             }
         }
-        if (viewIsNew) {
-            viewIsNew = false
+        if (leaderChanged) {
+            leaderChanged = false
             answerWaiting()
         }
         leading()?.flush()
@@ -145,20 +145,20 @@
     fun isHealthy(): Boolean =
         cache.isSynced && types.isNotEmpty() && (seesState() || !peerHealth.someoneElseSeesState())
 
-    private fun isOurView(): Boolean = cache.view?.leader == self
+    private fun isOurView(): Boolean = cache.leadership?.leader == self
 
     private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateAwayMs * 2
 
     fun heartbeat(): PeerHeartbeat = PeerHeartbeat(
-        self, cache.view?.epoch ?: 0, cache.view?.leader, seesState(), clock.steadyMs(), delegate.echo(),
+        self, cache.leadership?.epoch ?: 0, cache.leadership?.leader, seesState(), clock.steadyMs(), delegate.echo(),
         hasUnacknowledged = cancellations.hasUnacknowledged(),
         mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.confirmsMs,
     )
 
     /** Whether all attempts of a job are proven gone, as far as this controller has it in its account. */
-    private fun hasEnded(id: JobId): Boolean? = when (authority.role()) {
-        is Role.Leader, is Role.RenewingOnly -> leader?.fleet?.jobs?.get(id)?.live?.isEmpty()
-        is Role.Follower, Role.Unknown -> null
+    private fun hasEnded(id: JobId): Boolean? = when (election.role()) {
+        is LeadershipRole.Leader, is LeadershipRole.RenewalOnly -> leader?.fleet?.jobs?.get(id)?.live?.isEmpty()
+        is LeadershipRole.Follower, LeadershipRole.Unknown -> null
     }
 
     /**
@@ -171,12 +171,12 @@
     /** Who answers for a machine. With one part, the leader answers for all of them. */
     private fun owner(
         @Suppress("UNUSED_PARAMETER") machine: MachineId,
-        role: Role
+        role: LeadershipRole
     ): Member? = when (role) {
-        is Role.Leader -> role.view.leader
-        is Role.RenewingOnly -> role.view.leader
-        is Role.Follower -> role.leader
-        Role.Unknown -> null
+        is LeadershipRole.Leader -> role.leadership.leader
+        is LeadershipRole.RenewalOnly -> role.leadership.leader
+        is LeadershipRole.Follower -> role.leader
+        LeadershipRole.Unknown -> null
     }
 
     private fun handle(command: Command) {
@@ -194,7 +194,7 @@
                 delegate.hear(command.heartbeat)
                 leader?.delegates?.hear(command.heartbeat)
                 freshness.hear(command.heartbeat)
-                authority.hearOfEpoch(command.heartbeat.epoch, command.heartbeat.leader)
+                election.observeEpoch(command.heartbeat.epoch, command.heartbeat.leader)
             }
             is Command.CancellationNoticeReceived -> cancellations.hear(command.word)
             is Command.HeardImages ->
@@ -223,8 +223,8 @@
 
     /** The view still names a leader whose lease is over: workers sent to it would come back a second later. */
     private fun isLeaderGone(): Boolean {
-        val role = authority.role()
-        return role is Role.Follower && role.leader == cache.view?.leader && cache.knowsMembers &&
+        val role = election.role()
+        return role is LeadershipRole.Follower && role.leader == cache.leadership?.leader && cache.knowsMembers &&
             !cache.hasMember(Keys.member(role.leader))
     }
 
@@ -236,10 +236,10 @@
     }
 
     private fun onReport(report: WorkerReport): ReportAnswer {
-        val role = authority.role()
-        val view = cache.view
-        if (view != null && report.token > view.token) authority.hearOfEpoch(report.token.value, null)
-        if (role is Role.Follower && role.leader == view?.leader) {
+        val role = election.role()
+        val leadership = cache.leadership
+        if (leadership != null && report.token > leadership.token) election.observeEpoch(report.token.value, null)
+        if (role is LeadershipRole.Follower && role.leader == leadership?.leader) {
             delegate.renew(report)?.let { return renewals.renew(report, it) }
             delegate.named(report)?.let { return ReportAnswer.Redirect(it.label) }
         }
@@ -248,66 +248,66 @@
         if (owner != self && owner.label == self.label) return ReportAnswer.Unavailable
         if (owner != self) return ReportAnswer.Redirect(owner.label)
         val leading = leading() ?: return answerEarly(report, role)
-        val mayMissCancellations = role is Role.RenewingOnly && !freshness.isSure()
-        if (report.token > leading.view.token || mayMissCancellations) return ReportAnswer.Unavailable
+        val mayMissCancellations = role is LeadershipRole.RenewalOnly && !freshness.isSure()
+        if (report.token > leading.leadership.token || mayMissCancellations) return ReportAnswer.Unavailable
         val commands = leading.onReport(report) ?: return ReportAnswer.Redirect(null)
-        return renewals.renew(report, leading.view.token, commands)
+        return renewals.renew(report, leading.leadership.token, commands)
     }
 
     /**
      * Elected, but without the jobs' records yet: the lease is renewed and nothing commanded, so that the work runs on
      * while they are read. After the end of all controllers there are a few seconds left for that, no more.
      */
-    private fun answerEarly(report: WorkerReport, role: Role): ReportAnswer =
-        if (role is Role.Leader && !cache.isSynced && report.token <= role.view.token)
-            renewals.renew(report, role.view.token)
+    private fun answerEarly(report: WorkerReport, role: LeadershipRole): ReportAnswer =
+        if (role is LeadershipRole.Leader && !cache.isSynced && report.token <= role.leadership.token)
+            renewals.renew(report, role.leadership.token)
         else
             ReportAnswer.Unavailable
 
     private fun tick() {
         cache.tick()
-        authority.tick()
+        election.tick()
         val now = clock.steadyMs()
         load.ticked(now)
-        noteRole()
+        logRoleChange()
         answerWaiting()
         if (!fetchingTypes && now >= nextTypesAt) fetchTypes()
         cancellations.tick()
-        formatUpgrade.tick(cache.view?.takeIf { isLeading })
-        val role = authority.role()
+        formatUpgrade.tick(cache.leadership?.takeIf { isLeading })
+        val role = election.role()
         val leading = leading()
-        if (leading == null || role !is Role.Leader && role !is Role.RenewingOnly) return cancellationEnforcer.tick()
-        if (role is Role.RenewingOnly) return leading.endCancelledWork()
+        if (leading == null || role !is LeadershipRole.Leader && role !is LeadershipRole.RenewalOnly) return cancellationEnforcer.tick()
+        if (role is LeadershipRole.RenewalOnly) return leading.endCancelledWork()
         leading.tick(types)
         // Cut from the workers alone, a leader would send them all to itself until their leases are over.
         if (leading.hasLostItsWorkers(now) && cache.memberCount() > 1) {
             log.info("no worker reaches this leader any more")
-            authority.resign()
+            election.resign()
         }
     }
 
     /** A line whenever what this controller may do is another than at the last tick. */
-    private fun noteRole() {
-        val role = authority.role()
-        if (role == notedRole) return
-        notedRole = role
-        log.info("now {}", basis.describe())
+    private fun logRoleChange() {
+        val role = election.role()
+        if (role == loggedRole) return
+        loggedRole = role
+        log.info("now {}", decisions.describe())
     }
 
     /** The leader's model under the present view; made once the copy holds all that was committed before it. */
     private fun leading(): Leader? {
-        val view = cache.view
+        val leadership = cache.leadership
         val present = leader
         val mayWrite = cache.writableFormat != WritableFormat.NONE
-        if (view == null || view.leader != self || authority.role() is Role.Follower || !mayWrite) {
+        if (leadership == null || leadership.leader != self || election.role() is LeadershipRole.Follower || !mayWrite) {
             leader = null
             return null
         }
-        if (present != null && present.view.version == view.version) return if (present.deposed) null else present
-        if (!cache.isSynced || cache.revision < view.version) return null
-        log.info("leading at epoch {}", view.epoch)
+        if (present != null && present.leadership.version == leadership.version) return if (present.deposed) null else present
+        if (!cache.isSynced || cache.revision < leadership.version) return null
+        log.info("leading at epoch {}", leadership.epoch)
         val next = Leader(
-            view, names, settings, state, cloud, workers, clock, timing, cache, invariants, leaderWrites,
+            leadership, names, settings, state, cloud, workers, clock, timing, cache, invariants, leaderWrites,
             cloudBudget, load, rememberedImages, ::mayFormerLeaderAnswer,
         )
         leader = next
@@ -339,11 +339,11 @@
     }
 
     private inner class Listener : StateCacheListener {
-        override fun onMembersRead() = authority.registerOrStand(clock.steadyMs())
+        override fun onMembersRead() = election.registerOrCampaign(clock.steadyMs())
 
-        override fun onView(view: View) {
-            log.info("epoch {} is led by {}", view.epoch, view.leader.label)
-            viewIsNew = true
+        override fun onLeaderChanged(leadership: LeadershipRecord) {
+            log.info("epoch {} is led by {}", leadership.epoch, leadership.leader.label)
+            leaderChanged = true
             peers.heartbeatChanged()
         }
 
--- a/src/main/kotlin/oxbowlug/election/Authority.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -8,8 +8,8 @@
 import oxbowlug.port.TouchOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.Keys
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
-import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
@@ -21,7 +21,7 @@
  * This controller's lease, its member key, and the election. The view is changed by compare-and-set only, and only
  * while the former leader's member key is gone, which the same transaction checks.
  */
-class Authority(
+class LeaderElection(
     private val self: Member,
     private val state: StatePort,
     private val clock: Clock,
@@ -35,60 +35,60 @@
     private var registering = false
     private var renewing = false
     private var electing = false
-    private var believedUntil = Long.MIN_VALUE / 2
+    private var leaseValidUntilMs = Long.MIN_VALUE / 2
     private var nextRenewalAt = 0L
     private var nextElectionAt = 0L
     private var nextRegistrationAt = 0L
-    private var newestEpoch = 0L
-    private var rumouredLeader: Member? = null
+    private var highestEpoch = 0L
+    private var reportedLeader: Member? = null
 
-    fun role(): Role {
-        val view = cache.view ?: return rumouredLeader?.let { Role.Follower(it) } ?: Role.Unknown
-        if (newestEpoch > view.epoch) {
-            val leader = rumouredLeader
-            return if (leader == null || leader == self) Role.Unknown else Role.Follower(leader)
+    fun role(): LeadershipRole {
+        val leadership = cache.leadership ?: return reportedLeader?.let { LeadershipRole.Follower(it) } ?: LeadershipRole.Unknown
+        if (highestEpoch > leadership.epoch) {
+            val leader = reportedLeader
+            return if (leader == null || leader == self) LeadershipRole.Unknown else LeadershipRole.Follower(leader)
         }
-        if (view.leader != self) return Role.Follower(view.leader)
-        return if (leaseBelieved()) Role.Leader(view) else Role.RenewingOnly(view)
+        if (leadership.leader != self) return LeadershipRole.Follower(leadership.leader)
+        return if (holdsLease()) LeadershipRole.Leader(leadership) else LeadershipRole.RenewalOnly(leadership)
     }
 
     /** For how long this controller may still believe in its lease; 0: it may not. */
-    fun leaseLeftMs(): Long = if (registered) (believedUntil - clock.steadyMs()).coerceAtLeast(0) else 0
+    fun leaseRemainingMs(): Long = if (registered) (leaseValidUntilMs - clock.steadyMs()).coerceAtLeast(0) else 0
 
-    private fun leaseBelieved(): Boolean = registered && clock.steadyMs() < believedUntil
+    private fun holdsLease(): Boolean = registered && clock.steadyMs() < leaseValidUntilMs
 
     /** A peer or a worker's token shows that [epoch] was reached; [leader] may be unknown. */
-    fun hearOfEpoch(epoch: Long, leader: Member?) {
-        val known = maxOf(newestEpoch, cache.view?.epoch ?: 0)
+    fun observeEpoch(epoch: Long, leader: Member?) {
+        val known = maxOf(highestEpoch, cache.leadership?.epoch ?: 0)
         if (epoch < known || (epoch == known && leader == null)) return
-        newestEpoch = epoch
-        if (leader != null) rumouredLeader = leader
+        highestEpoch = epoch
+        if (leader != null) reportedLeader = leader
     }
 
     fun tick() {
         val now = clock.steadyMs()
         if (!renewing && now >= nextRenewalAt) renew(now)
-        registerOrStand(now)
+        registerOrCampaign(now)
     }
 
     /** Registers this life, stands for election, or both in one transaction, as soon as what is needed is known. */
-    fun registerOrStand(now: Long) {
+    fun registerOrCampaign(now: Long) {
         val held = lease ?: return
         val mayWrite = cache.writableFormat != WritableFormat.NONE
-        val mayStand = !electing && mayWrite && now >= nextElectionAt && isLeaderMissing()
+        val mayCampaign = !electing && mayWrite && now >= nextElectionAt && isLeaderMissing()
         when {
-            registered -> if (mayStand) standForElection(now, joining = null)
+            registered -> if (mayCampaign) campaign(now, joining = null)
             // Registered before the view is known, this life would have to stand in a transaction of its own.
             registering || electing || !cache.knowsMembers || now < nextRegistrationAt -> Unit
             // After the end of all controllers the workers' leases have little time left: one call less counts.
-            mayStand && changesPerTransaction > 1 -> standForElection(now, joining = held)
+            mayCampaign && changesPerTransaction > 1 -> campaign(now, joining = held)
             else -> register(held)
         }
     }
 
     private fun isLeaderMissing(): Boolean {
         if (!cache.knowsMembers) return false
-        val leader = cache.view?.leader ?: return true
+        val leader = cache.leadership?.leader ?: return true
         return leader != self && !cache.hasMember(Keys.member(leader))
     }
 
@@ -96,14 +96,14 @@
         renewing = true
         val held = lease
         if (held == null) {
-            state.grant(timing.leaseLifeMs) { granted ->
+            state.grant(timing.leadershipLeaseTtlMs) { granted ->
                 renewing = false
                 lease = granted
                 registered = false
                 if (granted != null) {
-                    believedUntil = now + timing.leaseBeliefMs
-                    nextRenewalAt = now + timing.leaseTouchMs
-                    registerOrStand(clock.steadyMs())
+                    leaseValidUntilMs = now + timing.leadershipLeaseMs
+                    nextRenewalAt = now + timing.leadershipRenewMs
+                    registerOrCampaign(clock.steadyMs())
                 } else {
                     nextRenewalAt = clock.steadyMs() + timing.retryMs()
                 }
@@ -117,15 +117,15 @@
             when (outcome) {
                 TouchOutcome.RENEWED -> {
                     // Counted from when the renewal was sent: the service may have done it at once.
-                    believedUntil = maxOf(believedUntil, now + timing.leaseBeliefMs)
+                    leaseValidUntilMs = maxOf(leaseValidUntilMs, now + timing.leadershipLeaseMs)
                     cache.contacted(now)
-                    nextRenewalAt = now + timing.leaseTouchMs
+                    nextRenewalAt = now + timing.leadershipRenewMs
                 }
                 TouchOutcome.OVER -> {
                     log.info("lease {} is over", held)
                     lease = null
                     registered = false
-                    believedUntil = Long.MIN_VALUE / 2
+                    leaseValidUntilMs = Long.MIN_VALUE / 2
                     nextRenewalAt = clock.steadyMs()
                 }
                 TouchOutcome.FAILED -> nextRenewalAt = clock.steadyMs() + timing.retryMs()
@@ -140,11 +140,11 @@
             when (outcome) {
                 is CommitOutcome.Applied -> if (lease == held) {
                     registered = true
-                    registerOrStand(clock.steadyMs())
+                    registerOrCampaign(clock.steadyMs())
                 }
                 CommitOutcome.LeaseOver -> if (lease == held) lease = null
                 // Refused for its size, it says nothing of the lease.
-                CommitOutcome.Invalid -> nextRegistrationAt = clock.steadyMs() + timing.leaseLifeMs
+                CommitOutcome.Invalid -> nextRegistrationAt = clock.steadyMs() + timing.leadershipLeaseTtlMs
                 is CommitOutcome.Conflict, CommitOutcome.Refused, CommitOutcome.Unanswered -> Unit
             }
         }
@@ -154,19 +154,19 @@
         Change.Put(memberKey, mapOf("label" to self.label) + DataFormat.encode(DataFormat.NEWEST), held)
 
     /** [joining] is the lease under which the same transaction registers this life, unless it is registered. */
-    private fun standForElection(now: Long, joining: Long?) {
-        val view = cache.view
+    private fun campaign(now: Long, joining: Long?) {
+        val leadership = cache.leadership
         electing = true
         // The jitter lets one candidate win without the others' writes being spent on the same key.
         nextElectionAt = now + timing.retryMs()
-        val epoch = maxOf(view?.epoch ?: 0L, newestEpoch) + 1
-        val next = View(epoch, Token(epoch), leader = self, version = 0)
+        val epoch = maxOf(leadership?.epoch ?: 0L, highestEpoch) + 1
+        val next = LeadershipRecord(epoch, Token(epoch), leader = self, version = 0)
         val conditions = ArrayList<Condition>()
-        conditions.add(Condition(Keys.VIEW, view?.version ?: 0))
-        if (view != null) conditions.add(Condition(Keys.member(view.leader), 0))
+        conditions.add(Condition(Keys.LEADERSHIP, leadership?.version ?: 0))
+        if (leadership != null) conditions.add(Condition(Keys.member(leadership.leader), 0))
         val changes = ArrayList<Change>()
         if (joining != null) changes.add(registration(joining))
-        changes.add(Change.Put(Keys.VIEW, next.encode()))
+        changes.add(Change.Put(Keys.LEADERSHIP, next.encode()))
         state.commit(Transaction(conditions, changes)) { outcome ->
             electing = false
             if (outcome is CommitOutcome.Applied) {
@@ -189,7 +189,7 @@
         log.info("resigning: lease {} is given back", held)
         lease = null
         registered = false
-        believedUntil = Long.MIN_VALUE / 2
+        leaseValidUntilMs = Long.MIN_VALUE / 2
         val pause = timing.workerLeaseRawMs
         nextRenewalAt = clock.steadyMs() + pause
         nextElectionAt = clock.steadyMs() + pause
--- a/src/main/kotlin/oxbowlug/leader/Leader.kt
+++ b/src/main/kotlin/oxbowlug/leader/Leader.kt
@@ -25,8 +25,8 @@
 import oxbowlug.port.Invariant
 import oxbowlug.port.StatePort
 import oxbowlug.port.WorkerPort
-import oxbowlug.record.Names
-import oxbowlug.record.View
+import oxbowlug.record.LeadershipRecord
+import oxbowlug.record.RequestIds
 import oxbowlug.record.WritableFormat
 import oxbowlug.scaling.Rentals
 import oxbowlug.scheduling.Planning
@@ -44,8 +44,8 @@
 
 /** What a leader has beside its model: everything here ends with its view. */
 class Leader(
-    val view: View,
-    names: Names,
+    val leadership: LeadershipRecord,
+    requestIds: RequestIds,
     private val settings: Settings,
     state: StatePort,
     cloud: CloudPort,
@@ -60,15 +60,15 @@
     rememberedImages: Map<MachineId, List<ImageName>>,
     mayBeAnswered: () -> Boolean,
 ) {
-    private val basis = invariants.basis
+    private val decisions = invariants.decisions
     private val startedAt = clock.steadyMs()
     val fleet = Fleet(
-        view.token, clock, timing, Arrivals(settings, timing.arrivalsMs), rememberedImages, settings.teams,
+        leadership.token, clock, timing, Arrivals(settings, timing.arrivalsMs), rememberedImages, settings.teams,
         cache::dependencyState, invariants,
     )
-    val delegates = RenewalDelegates(view, settings, state, clock, timing, cache)
-    private val commits = Commits(view, names, settings, state, clock, timing, writeBudget, cache, fleet, basis)
-    private val rentals = Rentals(names, settings, cloud, clock, timing, cloudBudget, fleet, basis)
+    val delegates = RenewalDelegates(leadership, settings, state, clock, timing, cache)
+    private val commits = Commits(leadership, requestIds, settings, state, clock, timing, writeBudget, cache, fleet, decisions)
+    private val rentals = Rentals(requestIds, settings, cloud, clock, timing, cloudBudget, fleet, decisions)
     private val planning = Planning(settings, clock, timing, fleet, rentals, startedAt) { cache.writableFormat }
     private val tokenPropagation =
         TokenPropagation(fleet, workers, timing, startedAt, settings.limits.maxSockets / SPREAD_SHARE, mayBeAnswered)
@@ -131,7 +131,7 @@
         // A copy that came late, or our proof was wrong: renewed, the session would live on with all that was given up
         // in it and that nobody stops there.
         if (host.lease.hasEnded(report.session)) return null
-        if (!basis.mayDecide) return emptyList()
+        if (!decisions.mayLead) return emptyList()
         val stamp = Stamp(report.session, report.sequence)
         // The answer to a copy goes nowhere; it must not look as if the worker had been told.
         if (stamp < host.lastHello) return emptyList()
@@ -173,7 +173,7 @@
 
     /** Sends what the last batch changed; without the right to decide, only that cancelled work is to end. */
     fun flush() {
-        if (basis.mayDecide) commits.flush()
+        if (decisions.mayLead) commits.flush()
         val now = clock.steadyMs()
         if (fleet.pokes.isEmpty()) return
         for (id in fleet.pokes.toList()) {
@@ -194,7 +194,7 @@
         load.planned(tookNs, plan.priced)
         if (plan.starts.isNotEmpty() || plan.stops.isNotEmpty()) {
             val count = "${plan.starts.size} starts, ${plan.stops.size} stops"
-            log.info("planned {} in {} ms: {}", count, tookNs / NS_PER_MS, basis.describe())
+            log.info("planned {} in {} ms: {}", count, tookNs / NS_PER_MS, decisions.describe())
         }
         if (mayMove) nextMoveAt = now + timing.movePauseMs(plan.move?.jobs ?: 0)
         reserved = plan.reserved
@@ -260,7 +260,7 @@
 
     private fun endCancelled(host: Machine, now: Long, heartbeats: HeartbeatCounts) {
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
-        val mayBeOver = basis.mayDecide && delegates.isSurelyOver(host.zone, host.lease.countsFromMs ?: now)
+        val mayBeOver = decisions.mayLead && delegates.isSurelyOver(host.zone, host.lease.countsFromMs ?: now)
         if (mayBeOver) fleet.expire(host, now)
         val patienceMs = if (heartbeats.isCut(host.zone)) timing.cancelPatienceCutMs else timing.cancelPatienceMs
         for (placed in host.live.values) {
@@ -308,7 +308,7 @@
         if (!host.isSettled(fleet.token) || now - heardAt > timing.quietMs || now < host.directNotBefore) return true
         if (host.directBusy) return false
         val commands =
-            if (basis.mayDecide) storedOnly(host, fleet.commands(host, now)) else fleet.cancelledStops(host)
+            if (decisions.mayLead) storedOnly(host, fleet.commands(host, now)) else fleet.cancelledStops(host)
         if (commands.all { it is WorkerCommand.Forget }) return true
         host.directBusy = true
         host.directInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewals.kt
@@ -3,7 +3,7 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.StateCache
 import oxbowlug.cache.cancelledWork
-import oxbowlug.invariant.DecisionBasis
+import oxbowlug.invariant.DecisionContext
 import oxbowlug.wire.Token
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerReport
@@ -13,7 +13,7 @@
  * by one that hasn't read the jobs yet, and by a renewal delegate. A path of its own for one of them renewed cancelled
  * work without stopping it, for ever.
  */
-class LeaseRenewals(private val cache: StateCache, private val basis: DecisionBasis) {
+class LeaseRenewals(private val cache: StateCache, private val decisions: DecisionContext) {
     /**
      * Adds the stops of cancelled work to [commands], which are a leader's own; whoever decides nothing has none. They
      * are wanting where the report is older than a direct command's answer, and then they change nothing.
@@ -27,7 +27,7 @@
         if (log.isDebugEnabled) {
             log.debug(
                 "{} is renewed in session {}, report {}, which showed token {}, with {} commands: {}",
-                report.machine, report.session, report.sequence, report.token.value, all.size, basis.describe(),
+                report.machine, report.session, report.sequence, report.token.value, all.size, decisions.describe(),
             )
         }
         return ReportAnswer.Taken(token, all)
--- a/src/main/kotlin/oxbowlug/lease/RenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/RenewalDelegate.kt
@@ -38,7 +38,7 @@
         if (present != null && present.leader == heartbeat.sender && heartbeat.atMs < present.itsMs) return
         // One that was started in an outage knows no view yet, but its word is needed as much
         // ([CancellationFreshness]).
-        val leader = cache.view?.leader ?: heartbeat.leader
+        val leader = cache.leadership?.leader ?: heartbeat.leader
         if (heartbeat.sender == leader) heard = Heard(heartbeat.sender, heartbeat.atMs, clock.steadyMs())
     }
 
@@ -46,7 +46,7 @@
     fun echo(): HeartbeatEcho? = heard?.let { HeartbeatEcho(it.leader, it.itsMs, renewals) }
 
     private fun aloneMs(): Long {
-        val leader = cache.view?.leader
+        val leader = cache.leadership?.leader
         val heardAt = heard?.takeIf { it.leader == leader }?.atMs ?: cache.lastContactMs
         return clock.steadyMs() - maxOf(heardAt, cache.lastContactMs)
     }
@@ -56,10 +56,10 @@
      * that it is cut off.
      */
     fun named(report: WorkerReport): Member? {
-        val view = cache.view ?: return null
+        val leadership = cache.leadership ?: return null
         val delegates = cache.delegates ?: return null
         val isNear = regions.areTogether(report.zone, zone)
-        val isForUs = delegates.token == view.token && isNear && report.token <= view.token
+        val isForUs = delegates.token == leadership.token && isNear && report.token <= leadership.token
         return if (isForUs && aloneMs() >= timing.delegateAfterMs) delegates.byZone[report.zone] else null
     }
 
@@ -74,6 +74,6 @@
     fun renew(report: WorkerReport): Token? {
         if (named(report) != self) return null
         renewals++
-        return cache.view?.token
+        return cache.leadership?.token
     }
 }
--- a/src/main/kotlin/oxbowlug/lease/RenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/RenewalDelegates.kt
@@ -9,8 +9,8 @@
 import oxbowlug.port.StatePort
 import oxbowlug.record.DelegateAssignments
 import oxbowlug.record.Keys
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
-import oxbowlug.record.View
 import oxbowlug.region.DelegateChoice
 import oxbowlug.region.DelegateChoice.Candidate
 import oxbowlug.timing.Timing
@@ -24,7 +24,7 @@
  * renewed nothing. Only such a span proves that a silent worker's lease is over, since the deputy may have renewed it.
  */
 class RenewalDelegates(
-    private val view: View,
+    private val leadership: LeadershipRecord,
     private val settings: Settings,
     private val state: StatePort,
     private val clock: Clock,
@@ -52,7 +52,7 @@
         for (zone in settings.zones) name(zone, members)
         val wanted = named.mapValues { it.value.member }
         val stored = cache.delegates
-        if (wanted.isEmpty() || stored != null && stored.token == view.token && stored.byZone == wanted) return
+        if (wanted.isEmpty() || stored != null && stored.token == leadership.token && stored.byZone == wanted) return
         write(wanted, stored)
     }
 
@@ -63,7 +63,7 @@
     private fun name(zone: Zone, members: List<Member>) {
         val present = named[zone]?.member
         if (present != null && members.none { it.label == present.label && it != present }) return
-        val candidates = members.filter { it != view.leader && it != present }
+        val candidates = members.filter { it != leadership.leader && it != present }
             .map { member -> Candidate(member, member.label, named.values.count { it.member == member }) }
         val next = choice.choose(zone, candidates) ?: return
         log.info("{} renews leases for {} if it is cut off", next.label, zone)
@@ -72,8 +72,8 @@
 
     private fun write(wanted: Map<Zone, Member>, stored: DelegateAssignments?) {
         writing = true
-        val conditions = listOf(Condition(Keys.VIEW, view.version), Condition(Keys.DELEGATES, stored?.version ?: 0))
-        val put = Change.Put(Keys.DELEGATES, DelegateAssignments(view.token, wanted, 0).encode())
+        val conditions = listOf(Condition(Keys.LEADERSHIP, leadership.version), Condition(Keys.DELEGATES, stored?.version ?: 0))
+        val put = Change.Put(Keys.DELEGATES, DelegateAssignments(leadership.token, wanted, 0).encode())
         state.commit(Transaction(conditions, listOf(put))) {
             writing = false
             // The watch brings what is stored; until it does, the write is only tried again slowly.
@@ -83,7 +83,7 @@
 
     fun hear(heartbeat: PeerHeartbeat) {
         val echo = heartbeat.echo ?: return
-        if (echo.of != view.leader) return
+        if (echo.of != leadership.leader) return
         // Its count is of all zones that it is named for: a renewal in one of them takes the proof from each.
         for (one in named.values) if (one.member == heartbeat.sender) one.hear(echo)
     }
--- a/src/main/kotlin/oxbowlug/record/JobRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -30,7 +30,7 @@
         map["spec"] = JobSpecCodec.encode(spec)
         map["at"] = submittedMs
         map["phase"] = phase.wire
-        if (!done.isEmpty) map["done"] = Ranges.encode(done)
+        if (!done.isEmpty) map["done"] = TaskRanges.encode(done)
         map["next"] = nextAttempt
         if (placements.isNotEmpty()) map["run"] = encodePlacements()
         map["by"] = write
@@ -47,7 +47,7 @@
                 .set(task)
         }
         return byMachine.mapValues { (_, attempts) ->
-            attempts.entries.joinToString(";") { (attempt, tasks) -> "$attempt:${Ranges.encode(tasks)}" }
+            attempts.entries.joinToString(";") { (attempt, tasks) -> "$attempt:${TaskRanges.encode(tasks)}" }
         }
     }
 
@@ -63,7 +63,7 @@
                 spec = JobSpecCodec.decode(fields.map("spec")),
                 submittedMs = fields.count("at"),
                 phase = phaseOf(fields),
-                done = Ranges.decode(fields.textOrNull("done", Int.MAX_VALUE).orEmpty()),
+                done = TaskRanges.decode(fields.textOrNull("done", Int.MAX_VALUE).orEmpty()),
                 nextAttempt = fields.count("next"),
                 placements = if (fields.has("run")) decodePlacements(fields.map("run")) else emptyMap(),
                 write = fields.text("by"),
@@ -83,7 +83,7 @@
                 for (part in (text as String).split(';')) {
                     val colon = part.indexOf(':')
                     val placement = Placement(MachineId(machine), part.substring(0, colon).toLong())
-                    Ranges.decode(part.substring(colon + 1)).stream().forEach { result[it] = placement }
+                    TaskRanges.decode(part.substring(colon + 1)).stream().forEach { result[it] = placement }
                 }
             }
             return result
--- a/src/main/kotlin/oxbowlug/record/Keys.kt
+++ b/src/main/kotlin/oxbowlug/record/Keys.kt
@@ -7,7 +7,7 @@
 
     /** The view and the members, so that one read brings both. */
     const val MEMBERSHIP = "ox/r/"
-    const val VIEW = "ox/r/view"
+    const val LEADERSHIP = "ox/r/view"
     const val MEMBERS = "ox/r/m/"
     const val DELEGATES = "ox/r/deputies"
 
--- a/src/main/kotlin/oxbowlug/record/View.kt
+++ b/src/main/kotlin/oxbowlug/record/LeadershipRecord.kt
@@ -4,7 +4,7 @@
 import oxbowlug.wire.fields
 
 /** Who leads. Every change raises [epoch]; [token] is the epoch at which the present leader took over. */
-data class View(val epoch: Long, val token: Token, val leader: Member, val version: Long) {
+data class LeadershipRecord(val epoch: Long, val token: Token, val leader: Member, val version: Long) {
     fun encode(): Map<String, Any?> = mapOf(
         "epoch" to epoch,
         "token" to token.value,
@@ -13,9 +13,9 @@
     )
 
     companion object {
-        fun decode(value: Map<String, Any?>, version: Long): View {
+        fun decode(value: Map<String, Any?>, version: Long): LeadershipRecord {
             val fields = value.fields()
-            return View(
+            return LeadershipRecord(
                 epoch = fields.count("epoch"),
                 token = Token(fields.count("token")),
                 leader = Member(fields.text("leader"), fields.text("incarnation")),
--- a/src/main/kotlin/oxbowlug/request/JobRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/JobRequests.kt
@@ -4,16 +4,16 @@
 import oxbowlug.cache.CachedJob
 import oxbowlug.cache.StateCache
 import oxbowlug.config.Settings
-import oxbowlug.invariant.DecisionBasis
+import oxbowlug.invariant.DecisionContext
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.Meters
 import oxbowlug.port.StatePort
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
-import oxbowlug.record.Names
 import oxbowlug.record.Phase
 import oxbowlug.record.RecordLayout
+import oxbowlug.record.RequestIds
 import oxbowlug.record.StoredForm
 import oxbowlug.record.WritableFormat
 import oxbowlug.timing.RateBudget
@@ -24,16 +24,16 @@
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.JobSpecCodec
-import oxbowlug.wire.JobView
+import oxbowlug.wire.JobState
+import oxbowlug.wire.JobStatus
 import oxbowlug.wire.MachineType
-import oxbowlug.wire.ShownState
 import oxbowlug.wire.Transaction
 import oxbowlug.wire.TypeName
 import java.util.BitSet
 
 /** Answers users. Every controller does, each with the same answers, because each first catches up with the store. */
 class JobRequests(
-    private val names: Names,
+    private val requestIds: RequestIds,
     private val settings: Settings,
     private val state: StatePort,
     private val clock: Clock,
@@ -45,7 +45,7 @@
     private val onCancelled: (JobId, Long, Map<String, Any?>) -> Unit,
     /** A user is about to be told that it is cancelled, by whoever it was. */
     private val onAnsweredCancelled: (JobId) -> Unit,
-    private val basis: DecisionBasis,
+    private val decisions: DecisionContext,
 ) {
     private val admission = AdmissionLimit()
     private val layout = RecordLayout(settings.state.lowest)
@@ -137,7 +137,7 @@
         JobRecord(spec, clock.wallMs(), Phase.ACTIVE, BitSet(), 1, emptyMap(), write)
 
     private fun accept(spec: JobSpec, now: Long, answer: (UserAnswer) -> Unit) {
-        val record = newRecord(spec, names.next()).encode()
+        val record = newRecord(spec, requestIds.next()).encode()
         val transaction = Transaction(listOf(Condition(Keys.job(spec.id.value), 0)), changes(spec.id, record))
         budget.take(transaction.changes.size.toDouble(), now)
         state.commit(transaction) { outcome ->
@@ -170,7 +170,7 @@
         if (stored != null && stored.phase.isFinal)
             answer(known(id, stored))
         else
-            answer(UserAnswer.Accepted(JobView(id, ShownState.QUEUED, 0, 0)))
+            answer(UserAnswer.Accepted(JobStatus(id, JobState.QUEUED, 0, 0)))
     }
 
     private fun answerKnown(id: JobId, answer: (UserAnswer) -> Unit) {
@@ -246,9 +246,9 @@
                     // The changes are known by their own revision, and so is the number of parts.
                     val parts = changes.size - 1
                     if (parts > 0) cancelled[RecordLayout.PARTS] = parts.toLong()
-                    log.info("{} is cancelled at {}: {}", id, outcome.revision, basis.describe())
+                    log.info("{} is cancelled at {}: {}", id, outcome.revision, decisions.describe())
                     onCancelled(id, outcome.revision, cancelled)
-                    answer(UserAnswer.Known(JobView(id, ShownState.CANCELLED, stored.done, 0)))
+                    answer(UserAnswer.Known(JobStatus(id, JobState.CANCELLED, stored.done, 0)))
                 }
                 is CommitOutcome.Conflict, CommitOutcome.Unanswered -> cancel(id, triesLeft - 1, answer)
                 CommitOutcome.Refused, CommitOutcome.Invalid, CommitOutcome.LeaseOver ->
@@ -262,7 +262,7 @@
     private fun known(id: JobId, stored: CachedJob): UserAnswer {
         if (stored.isUnreadable) return unavailable("the job's record can't be read")
         if (stored.phase == Phase.CANCELLED) onAnsweredCancelled(id)
-        return UserAnswer.Known(stored.view(id))
+        return UserAnswer.Known(stored.status(id))
     }
 
     private fun stateReachable(now: Long): Boolean = now - cache.lastContactMs < timing.stateAwayMs
--- a/src/main/kotlin/oxbowlug/request/UserAnswer.kt
+++ b/src/main/kotlin/oxbowlug/request/UserAnswer.kt
@@ -1,11 +1,11 @@
 package oxbowlug.request
 
-import oxbowlug.wire.JobView
+import oxbowlug.wire.JobStatus
 
 sealed interface UserAnswer {
-    data class Accepted(val view: JobView) : UserAnswer
+    data class Accepted(val status: JobStatus) : UserAnswer
 
-    data class Known(val view: JobView) : UserAnswer
+    data class Known(val status: JobStatus) : UserAnswer
 
     /** Can never run. */
     data class Rejected(val problem: String) : UserAnswer
--- a/src/main/kotlin/oxbowlug/scaling/Rentals.kt
+++ b/src/main/kotlin/oxbowlug/scaling/Rentals.kt
@@ -5,13 +5,13 @@
 import oxbowlug.cluster.Machine
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
-import oxbowlug.invariant.DecisionBasis
+import oxbowlug.invariant.DecisionContext
 import oxbowlug.plan.Kind
 import oxbowlug.plan.Refusal
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
 import oxbowlug.port.RentalOutcome
-import oxbowlug.record.Names
+import oxbowlug.record.RequestIds
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.CloudCodec
@@ -25,14 +25,14 @@
 
 /** The leader's dealings with the cloud: the list, rentals as planned, returns, and which kinds refuse. */
 class Rentals(
-    private val names: Names,
+    private val requestIds: RequestIds,
     private val settings: Settings,
     private val cloud: CloudPort,
     private val clock: Clock,
     private val timing: Timing,
     private val budget: RateBudget,
     private val fleet: Fleet,
-    private val basis: DecisionBasis,
+    private val decisions: DecisionContext,
 ) {
     val ordered = ArrayList<Ordered>()
     private val refusals = HashMap<Kind, RefusalState>()
@@ -68,7 +68,7 @@
         while (left > 0) {
             val part = minOf(left, CloudCodec.MAX_RENTED)
             left -= part
-            val order = Ordered(RentalRequest(names.next(), kind.type, kind.zone, kind.spot, part), now, false, now)
+            val order = Ordered(RentalRequest(requestIds.next(), kind.type, kind.zone, kind.spot, part), now, false, now)
             ordered.add(order)
             if (budget.tryTake(1.0, now)) ask(order)
         }
@@ -137,7 +137,7 @@
 
     private fun returnMachines() {
         val batch = toReturn.take(CloudCodec.MAX_RETURNED)
-        log.info("asking for the return of {}: {}", batch, basis.describe())
+        log.info("asking for the return of {}: {}", batch, decisions.describe())
         returning = true
         cloud.returnMachines(batch) { ok ->
             returning = false
--- a/src/main/kotlin/oxbowlug/scheduling/Planning.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/Planning.kt
@@ -15,8 +15,8 @@
 import oxbowlug.port.Clock
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
-import oxbowlug.record.Ranges
 import oxbowlug.record.RecordLayout
+import oxbowlug.record.TaskRanges
 import oxbowlug.record.WritableFormat
 import oxbowlug.resource.Amounts
 import oxbowlug.resource.fetchS
@@ -148,8 +148,8 @@
     /** How many more tasks may be placed so that the record stays inside the value limit, however they end. */
     private fun recordRoom(job: Job): Int {
         if (writableFormat() == WritableFormat.HEAD_AND_PARTS) return dividedRoom(job)
-        val perTask = JobRecord.PLACEMENT_BOUND + Ranges.RANGE_BOUND
-        val room = valueLimit - JobRecord.SPEC_BOUND - Ranges.sizeBound(job.done)
+        val perTask = JobRecord.PLACEMENT_BOUND + TaskRanges.RANGE_BOUND
+        val room = valueLimit - JobRecord.SPEC_BOUND - TaskRanges.sizeBound(job.done)
         val many = (room - fleet.machines.size * JobRecord.MACHINE_BOUND) / perTask
         val few = room / (perTask + JobRecord.MACHINE_BOUND)
         return (maxOf(many, few) - job.live.size).coerceAtLeast(0)
@@ -159,7 +159,7 @@
         val occupancy = RecordLayout.Occupancy(
             tasks = job.spec.tasks,
             nextAttempt = job.nextAttempt,
-            doneRanges = Ranges.count(job.done),
+            doneRanges = TaskRanges.count(job.done),
             placed = job.live.size,
             machines = job.live.values.mapTo(HashSet()) { it.machine }.size,
             nameBytes = machineNameBytes,
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -17,11 +17,11 @@
     private val drift = 0.001
 
     /** A controller's own lease: short beside the workers', so that a successor answers before theirs run out. */
-    val leaseLifeMs: Long = (workerLeaseMs * 0.3).toLong()
-    val leaseTouchMs: Long = leaseLifeMs / 4
+    val leadershipLeaseTtlMs: Long = (workerLeaseMs * 0.3).toLong()
+    val leadershipRenewMs: Long = leadershipLeaseTtlMs / 4
 
     /** How long after a renewal was sent its holder may still believe in it. */
-    val leaseBeliefMs: Long = (leaseLifeMs * (1.0 - drift)).toLong() - CLOCK_STEP_MS
+    val leadershipLeaseMs: Long = (leadershipLeaseTtlMs * (1.0 - drift)).toLong() - CLOCK_STEP_MS
 
     /** Once this long has passed since our last answer, a worker's lease is surely over. */
     val workerExpiryMs: Long = (workerLeaseMs * (1.0 + drift)).toLong() + 2 * CLOCK_STEP_MS
@@ -77,7 +77,7 @@
             .coerceAtLeast(workerLeaseRawMs / 5)
 
     /** Renewals of its own lease keep a controller in touch with the state service more often than this. */
-    val confirmsMs: Long = leaseTouchMs * 3
+    val confirmsMs: Long = leadershipRenewMs * 3
     val directTimeoutMs: Long = workerLeaseMs.toLong() / 5
     val watchMs: Long = workerLeaseMs.toLong()
 
@@ -142,7 +142,7 @@
     val peerHeartbeatMs: Long = workerLeaseRawMs / 20
 
     /** Without an answer of the state service for this long, submissions are refused at once. */
-    val stateAwayMs: Long = leaseLifeMs
+    val stateAwayMs: Long = leadershipLeaseTtlMs
     val typesEveryMs: Long = workerLeaseRawMs
     val retryBaseMs: Long = reportMs.toLong() / 4
 
--- a/src/main/kotlin/oxbowlug/wire/Answers.kt
+++ b/src/main/kotlin/oxbowlug/wire/Answers.kt
@@ -1,19 +1,19 @@
 package oxbowlug.wire
 
 /** What a user is told about a job. */
-enum class ShownState(val wire: String) {
+enum class JobState(val wire: String) {
     QUEUED("queued"),
     RUNNING("running"),
     DONE("done"),
     CANCELLED("withdrawn"),
 }
 
-data class JobView(val id: JobId, val state: ShownState, val done: Int, val running: Int)
+data class JobStatus(val id: JobId, val state: JobState, val done: Int, val running: Int)
 
 object AnswerCodec {
-    fun accepted(view: JobView): Map<String, Any?> = mapOf("id" to view.id.value, "stance" to view.state.wire)
+    fun accepted(view: JobStatus): Map<String, Any?> = mapOf("id" to view.id.value, "stance" to view.state.wire)
 
-    fun polled(view: JobView): Map<String, Any?> = mapOf(
+    fun polled(view: JobStatus): Map<String, Any?> = mapOf(
         "id" to view.id.value,
         "stance" to view.state.wire,
         "done" to view.done,
--- a/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
@@ -3,7 +3,7 @@
 import io.vertx.core.Vertx
 import kotlinx.coroutines.delay
 import oxbowlug.record.Keys
-import oxbowlug.record.View
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.standin.World
 
 /** The stand-ins' time follows the real one; how far it fell behind says whether the stand-ins kept up. */
@@ -147,7 +147,7 @@
     }
 
     private fun leader(): ControllerProcess {
-        val view = store.entry(Keys.VIEW)?.let { View.decode(it.value, it.version) }
+        val view = store.entry(Keys.LEADERSHIP)?.let { LeadershipRecord.decode(it.value, it.version) }
         return controllers.firstOrNull { it.place.label == view?.leader?.label } ?: controllers[0]
     }
 
--- a/src/scale/kotlin/oxbowlug/scale/Users.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Users.kt
@@ -14,9 +14,9 @@
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpecCodec
-import oxbowlug.wire.JobView
+import oxbowlug.wire.JobState
+import oxbowlug.wire.JobStatus
 import oxbowlug.wire.MalformedBody
-import oxbowlug.wire.ShownState
 import oxbowlug.wire.fields
 
 /** An answer to a user, or none within the time that users wait. */
@@ -124,11 +124,11 @@
         null
     }
 
-    private fun view(body: Map<String, Any?>): JobView {
+    private fun view(body: Map<String, Any?>): JobStatus {
         val fields = body.fields()
         val state = fields.text("stance")
-        return JobView(
-            JobId(fields.text("id")), ShownState.entries.first { it.wire == state },
+        return JobStatus(
+            JobId(fields.text("id")), JobState.entries.first { it.wire == state },
             fields.countOr("done", 0).toInt(), fields.countOr("running", 0).toInt(),
         )
     }
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -1,7 +1,7 @@
 package oxbowlug.soak
 
 import oxbowlug.record.Keys
-import oxbowlug.record.View
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.scale.ControllerProcess
 import oxbowlug.scale.Endpoint
 import oxbowlug.scale.HollowFleet
@@ -40,7 +40,7 @@
         for (fault in schedule.faults) world.after(fault.atMs) { begin(fault) }
     }
 
-    private fun leaderLabel(): String? = store.entry(Keys.VIEW)?.let { View.decode(it.value, it.version).leader.label }
+    private fun leaderLabel(): String? = store.entry(Keys.LEADERSHIP)?.let { LeadershipRecord.decode(it.value, it.version).leader.label }
 
     private fun leader(): ControllerProcess =
         leaderLabel().let { label -> controllers.firstOrNull { it.place.label == label } ?: controllers[0] }
--- a/src/scale/kotlin/oxbowlug/standin/Rules.kt
+++ b/src/scale/kotlin/oxbowlug/standin/Rules.kt
@@ -4,8 +4,8 @@
 import oxbowlug.wire.Attempt
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
-import oxbowlug.wire.JobView
-import oxbowlug.wire.ShownState
+import oxbowlug.wire.JobState
+import oxbowlug.wire.JobStatus
 
 /** The protocol's rules, checked against what the workers and the users really see. */
 class Rules(
@@ -21,7 +21,7 @@
         val accepted: Boolean get() = acceptedAt != null
         var askedToCancel = false
         var cancelledAt: Long? = null
-        var told: ShownState? = null
+        var told: JobState? = null
 
         /** When a user heard that it is over. */
         var finalSince: Long? = null
@@ -105,7 +105,7 @@
 
     /** Asked to be cancelled, itself or with a job that it needs. */
     fun isCalledOff(job: Known): Boolean =
-        job.askedToCancel || ancestors(job).any { it.askedToCancel && it.told != ShownState.DONE }
+        job.askedToCancel || ancestors(job).any { it.askedToCancel && it.told != JobState.DONE }
 
     fun check(workers: List<SimWorker>) {
         val gpus = HashMap<String, Double>()
@@ -149,7 +149,7 @@
         if (answer is UserAnswer.Accepted || answer is UserAnswer.Known) job?.answeredAt = world.nowMs
         when (answer) {
             is UserAnswer.Accepted -> toldAccepted(id, jobs.getValue(id), askedMs)
-            is UserAnswer.Known -> if (job == null) fail("invented", id) else toldState(id, job, answer.view, askedMs)
+            is UserAnswer.Known -> if (job == null) fail("invented", id) else toldState(id, job, answer.status, askedMs)
             UserAnswer.NotFound -> if (isKnown(job, askedMs)) fail("forgotten", "$id is answered 404")
             is UserAnswer.Rejected -> if (isKnown(job, askedMs)) fail("forgotten", "$id is answered 422")
             is UserAnswer.Malformed -> if (isKnown(job, askedMs)) fail("forgotten", "$id is answered 400")
@@ -166,7 +166,7 @@
         if (finalSince != null && askedMs >= finalSince) fail("went_back", "$id was ${job.told} and is accepted")
     }
 
-    private fun toldState(id: String, job: Known, view: JobView, askedMs: Long) {
+    private fun toldState(id: String, job: Known, view: JobStatus, askedMs: Long) {
         if (job.acceptedAt == null) job.acceptedAt = world.nowMs
         val before = job.told
         val finalSince = job.finalSince
@@ -175,7 +175,7 @@
             if (askedMs >= finalSince) fail("went_back", "$id was $before and is ${view.state}")
             return
         }
-        if (view.state == ShownState.CANCELLED) {
+        if (view.state == JobState.CANCELLED) {
             if (!job.askedToCancel && ancestors(job).none {
                     it.askedToCancel
                 }
@@ -183,11 +183,11 @@
                 fail("went_back", "$id is called cancelled")
             if (job.cancelledAt == null) job.cancelledAt = world.nowMs
         }
-        if (view.state == ShownState.DONE && job.done.size < job.spec.tasks) {
+        if (view.state == JobState.DONE && job.done.size < job.spec.tasks) {
             fail("not_done", "$id has ${job.done.size} of ${job.spec.tasks} tasks done")
         }
         job.told = view.state
-        val isFinal = view.state == ShownState.DONE || view.state == ShownState.CANCELLED
+        val isFinal = view.state == JobState.DONE || view.state == JobState.CANCELLED
         if (!isFinal) checkOrphaned(id, job, askedMs)
         if (isFinal && finalSince == null) job.finalSince = world.nowMs
     }
@@ -199,6 +199,6 @@
 
     fun unfinished(): List<String> = jobs.filterValues { job ->
         job.accepted && job.cancelledAt == null && !isCalledOff(job) &&
-            if (job.spec.kind == JobKind.ARRAY) job.told != ShownState.DONE else job.started.size < job.spec.tasks
+            if (job.spec.kind == JobKind.ARRAY) job.told != JobState.DONE else job.started.size < job.spec.tasks
     }.keys.toList()
 }
--- a/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.config.SettingsFile
-import oxbowlug.election.Authority
+import oxbowlug.election.LeaderElection
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.TouchOutcome
 import oxbowlug.record.Member
@@ -45,14 +45,14 @@
     }
 
     private val cache = StateCache(Port(), clock, timing, IgnoringListener)
-    private val authority = Authority(Member("n0", "x"), Port(), clock, timing, cache, changesPerTransaction = 16)
+    private val election = LeaderElection(Member("n0", "x"), Port(), clock, timing, cache, changesPerTransaction = 16)
 
     private fun put(key: String) = store.commit(Transaction(emptyList(), listOf(Change.Put(key, mapOf("x" to 1L)))))
 
     private fun tick() {
-        clock.now += timing.leaseTouchMs
+        clock.now += timing.leadershipRenewMs
         cache.tick()
-        authority.tick()
+        election.tick()
     }
 
     @Test
@@ -78,7 +78,7 @@
         tick()
         tick()
         assertEquals(1, touches.size)
-        authority.resign()
+        election.resign()
         touches[0](TouchOutcome.RENEWED)
         repeat(2) { tick() }
         assertEquals(1, grants, "no new lease before the pause is over")
--- a/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
@@ -15,9 +15,9 @@
 import oxbowlug.port.RentalOutcome
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Member
-import oxbowlug.record.Names
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
+import oxbowlug.record.RequestIds
 import oxbowlug.record.WritableFormat
 import oxbowlug.scaling.Rentals
 import oxbowlug.scheduling.Planning
@@ -25,7 +25,7 @@
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SettingsTexts
 import oxbowlug.testing.failingInvariants
-import oxbowlug.testing.noBasis
+import oxbowlug.testing.permissiveContext
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Attempt
@@ -321,8 +321,8 @@
     fun `a silent machine that can't be had again is given up only where there is room`() {
         val type = MachineType(TypeName("g8"), 64.0, spec.gpus, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, listOf(Zone("a")))
         val types = mapOf(type.name to type)
-        val names = Names(Member("n0", "x"))
-        val rentals = Rentals(names, settings, NoCloud, clock, timing, RateBudget(1.0), fleet, noBasis)
+        val names = RequestIds(Member("n0", "x"))
+        val rentals = Rentals(names, settings, NoCloud, clock, timing, RateBudget(1.0), fleet, permissiveContext)
         val planning = Planning(settings, clock, timing, fleet, rentals, clock.now) { WritableFormat.SINGLE_VALUE }
         take(record(), 1)
         fleet.hear(report(1, tasks = listOf(ReportedTask(attempt, TaskState.RUNNING, null, false))), hello = true)
--- a/src/test/kotlin/oxbowlug/commit/CommitsTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/CommitsTest.kt
@@ -13,12 +13,12 @@
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
-import oxbowlug.record.Names
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
 import oxbowlug.record.RecordLayout
-import oxbowlug.record.View
+import oxbowlug.record.RequestIds
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
@@ -26,7 +26,7 @@
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SettingsTexts
 import oxbowlug.testing.failingInvariants
-import oxbowlug.testing.noBasis
+import oxbowlug.testing.permissiveContext
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Cbor
@@ -72,16 +72,16 @@
 
     /** A leader that has read [records], which were stored whole. */
     private fun lead(isSwitchedOn: Boolean, vararg records: JobRecord, rate: Double = 100.0) {
-        val view = View(1, Token(1), Member("n0", "x"), 0)
-        put(Keys.VIEW, view.encode())
+        val leadership = LeadershipRecord(1, Token(1), Member("n0", "x"), 0)
+        put(Keys.LEADERSHIP, leadership.encode())
         if (isSwitchedOn) put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST))
         for (record in records) put(Keys.job(record.spec.id.value), record.encode())
         val cache = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
-        val version = store.entry(Keys.VIEW)?.version ?: error("it was just written")
+        val version = store.entry(Keys.LEADERSHIP)?.version ?: error("it was just written")
         cache.forEachActive { id, stored -> stored.value?.let { fleet.takeJob(id, stored, it) } }
         commits = Commits(
-            view.copy(version = version), Names(view.leader), settings, Port(), clock, timing, RateBudget(rate),
-            cache, fleet, noBasis,
+            leadership.copy(version = version), RequestIds(leadership.leader), settings, Port(), clock, timing, RateBudget(rate),
+            cache, fleet, permissiveContext,
         )
     }
 
--- a/src/test/kotlin/oxbowlug/election/AuthorityTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
@@ -13,8 +13,8 @@
 import oxbowlug.port.StatePort
 import oxbowlug.port.TouchOutcome
 import oxbowlug.record.Keys
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
-import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
@@ -27,7 +27,7 @@
 import kotlin.random.Random
 
 /** Who leads, who believes to, and who may only keep answering. */
-class AuthorityTest {
+class LeaderElectionTest {
     private val world = World(1)
     private val store = SimStore(world)
     private var readingJobsMs = 0L
@@ -75,15 +75,15 @@
         private val timing = Timing(SettingsFile.parse(SettingsTexts.valid), Random(2))
         private val port = Port()
         private val cache = StateCache(port, clock, timing, Listener())
-        private val authority = Authority(Member(label, life), port, clock, timing, cache, changesPerTransaction)
+        private val election = LeaderElection(Member(label, life), port, clock, timing, cache, changesPerTransaction)
         private var alive = true
-        val role: Role get() = authority.role()
+        val role: LeadershipRole get() = election.role()
         val calls: Int get() = port.calls
 
         private inner class Listener : StateCacheListener {
-            override fun onMembersRead() = authority.registerOrStand(clock.steadyMs())
+            override fun onMembersRead() = election.registerOrCampaign(clock.steadyMs())
 
-            override fun onView(view: View) = Unit
+            override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
 
             override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = Unit
 
@@ -99,7 +99,7 @@
         private fun tick() {
             if (!alive) return
             cache.tick()
-            authority.tick()
+            election.tick()
             world.after(20) { tick() }
         }
 
@@ -117,10 +117,10 @@
 
         val hasJobs: Boolean get() = cache.isSynced
 
-        fun hears(epoch: Long, leader: Member?) = authority.hearOfEpoch(epoch, leader)
+        fun hears(epoch: Long, leader: Member?) = election.observeEpoch(epoch, leader)
     }
 
-    private val leaseMs = Timing(SettingsFile.parse(SettingsTexts.valid), Random(2)).leaseLifeMs
+    private val leaseMs = Timing(SettingsFile.parse(SettingsTexts.valid), Random(2)).leadershipLeaseTtlMs
 
     @Test
     fun `one leads, and a successor comes only after the leader's lease`() {
@@ -128,14 +128,14 @@
         world.runUntil(500)
         val second = Node("n1", "y")
         world.runUntil(1000)
-        assertTrue(first.role is Role.Leader)
-        assertEquals(Role.Follower(Member("n0", "x")), second.role)
+        assertTrue(first.role is LeadershipRole.Leader)
+        assertEquals(LeadershipRole.Follower(Member("n0", "x")), second.role)
         first.crash()
         world.runUntil(1000 + leaseMs / 2)
-        assertTrue(second.role is Role.Follower, "the lease still runs")
+        assertTrue(second.role is LeadershipRole.Follower, "the lease still runs")
         world.runUntil(1000 + leaseMs + 1500)
         val role = second.role
-        assertTrue(role is Role.Leader && role.view.epoch == 2L && role.view.token.value == 2L, "$role")
+        assertTrue(role is LeadershipRole.Leader && role.leadership.epoch == 2L && role.leadership.token.value == 2L, "$role")
     }
 
     @Test
@@ -149,7 +149,7 @@
         readingJobsMs = 10_000
         val second = Node("n1", "y")
         world.runUntil(world.nowMs + 500)
-        assertTrue(second.role is Role.Leader, "${second.role}")
+        assertTrue(second.role is LeadershipRole.Leader, "${second.role}")
         assertFalse(second.hasJobs)
     }
 
@@ -160,8 +160,8 @@
             val node = Node("n$changes", "x")
             var untilMs = world.nowMs
             val givenUpMs = untilMs + leaseMs
-            while (node.role !is Role.Leader && untilMs < givenUpMs) world.runUntil(++untilMs)
-            assertTrue(node.role is Role.Leader)
+            while (node.role !is LeadershipRole.Leader && untilMs < givenUpMs) world.runUntil(++untilMs)
+            assertTrue(node.role is LeadershipRole.Leader)
             assertEquals(calls, node.calls, "with $changes changes a transaction")
             node.crash()
             world.runUntil(world.nowMs + leaseMs + 200)
@@ -178,15 +178,15 @@
         assertTrue(node.calls - leases < 5, "${node.calls - leases} calls in half a second")
         node.refuseSizes(false)
         world.runUntil(1_000 + 2 * leaseMs)
-        assertTrue(node.role is Role.Leader, "${node.role}")
+        assertTrue(node.role is LeadershipRole.Leader, "${node.role}")
     }
 
     @Test
     fun `of two that start together one leads, and the other one is a member`() {
         val nodes = listOf(Node("n0", "x"), Node("n1", "y"))
         world.runUntil(500)
-        assertEquals(1, nodes.count { it.role is Role.Leader })
-        assertEquals(1, nodes.count { it.role is Role.Follower })
+        assertEquals(1, nodes.count { it.role is LeadershipRole.Leader })
+        assertEquals(1, nodes.count { it.role is LeadershipRole.Follower })
         val members = store.read(Keys.MEMBERS, null, 100).entries.map { it.key }
         assertEquals(listOf(Keys.member(Member("n0", "x")), Keys.member(Member("n1", "y"))), members)
     }
@@ -198,9 +198,9 @@
         first.crash()
         val again = Node("n0", "z")
         world.runUntil(800)
-        assertEquals(Role.Follower(Member("n0", "x")), again.role)
+        assertEquals(LeadershipRole.Follower(Member("n0", "x")), again.role)
         world.runUntil(500 + leaseMs + 2000)
-        assertTrue(again.role is Role.Leader)
+        assertTrue(again.role is LeadershipRole.Leader)
     }
 
     @Test
@@ -210,14 +210,14 @@
         val second = Node("n1", "y")
         world.runUntil(1000)
         first.cutFromState()
-        while (second.role !is Role.Leader && world.nowMs < 20_000) {
+        while (second.role !is LeadershipRole.Leader && world.nowMs < 20_000) {
             world.runUntil(world.nowMs + 20)
-            assertTrue(first.role !is Role.Leader || second.role !is Role.Leader, "two leaders at ${world.nowMs}")
+            assertTrue(first.role !is LeadershipRole.Leader || second.role !is LeadershipRole.Leader, "two leaders at ${world.nowMs}")
         }
-        assertTrue(second.role is Role.Leader)
-        assertTrue(first.role is Role.RenewingOnly)
+        assertTrue(second.role is LeadershipRole.Leader)
+        assertTrue(first.role is LeadershipRole.RenewalOnly)
         first.hears(2, Member("n1", "y"))
-        assertEquals(Role.Follower(Member("n1", "y")), first.role, "it sends its workers on")
+        assertEquals(LeadershipRole.Follower(Member("n1", "y")), first.role, "it sends its workers on")
     }
 
     @Test
@@ -225,6 +225,6 @@
         val first = Node("n0", "x")
         world.runUntil(500)
         first.hears(7, null)
-        assertEquals(Role.Unknown, first.role)
+        assertEquals(LeadershipRole.Unknown, first.role)
     }
 }
--- a/src/test/kotlin/oxbowlug/election/PresentBasisTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
@@ -6,8 +6,8 @@
 import oxbowlug.cache.StateCache
 import oxbowlug.config.SettingsFile
 import oxbowlug.record.Keys
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
-import oxbowlug.record.View
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
 import oxbowlug.testing.IgnoringListener
@@ -21,7 +21,7 @@
 import kotlin.random.Random
 
 /** What the log says beside a decision. */
-class PresentBasisTest {
+class LeadershipDecisionContextTest {
     private val clock = ManualClock()
     private val self = Member("n0", "x")
     private val store = SimStore(World(1), historyLimit = 2)
@@ -32,24 +32,24 @@
     }
 
     private val cache = StateCache(Port(), clock, timing, IgnoringListener)
-    private val authority = Authority(self, Port(), clock, timing, cache, changesPerTransaction = 1)
-    private val basis = PresentBasis(clock, authority, cache)
+    private val election = LeaderElection(self, Port(), clock, timing, cache, changesPerTransaction = 1)
+    private val decisions = LeadershipDecisionContext(clock, election, cache)
 
     private fun put(key: String) = store.commit(Transaction(emptyList(), listOf(Change.Put(key, mapOf("x" to 1L)))))
 
     @Test
     fun `it names the role, the token, the lease's rest and the age of the copy`() {
-        assertEquals("of no known role, lease believed for 0 ms, copy of revision 0, 0 ms old", basis.describe())
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.VIEW, View(7, Token(5), self, 0).encode()))))
+        assertEquals("of no known role, lease believed for 0 ms, copy of revision 0, 0 ms old", decisions.describe())
+        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.LEADERSHIP, LeadershipRecord(7, Token(5), self, 0).encode()))))
         cache.tick()
-        authority.tick()
+        election.tick()
         cache.catchUp {}
         clock.now += 250
-        val leftMs = timing.leaseBeliefMs - 250
+        val leftMs = timing.leadershipLeaseMs - 250
         val copy = "copy of revision ${cache.revision}, 250 ms old"
-        assertEquals("leader of epoch 7 under token 5, lease believed for $leftMs ms, $copy", basis.describe())
-        clock.now += timing.leaseLifeMs
-        assertTrue(basis.describe().startsWith("renewing only, epoch 7 under token 5, lease believed for 0 ms"))
+        assertEquals("leader of epoch 7 under token 5, lease believed for $leftMs ms, $copy", decisions.describe())
+        clock.now += timing.leadershipLeaseTtlMs
+        assertTrue(decisions.describe().startsWith("renewing only, epoch 7 under token 5, lease believed for 0 ms"))
     }
 
     @Test
--- a/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -15,10 +15,10 @@
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
 import oxbowlug.record.RecordLayout
-import oxbowlug.record.View
 import oxbowlug.record.WritableFormat
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.World
@@ -30,9 +30,9 @@
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.JobSpecCodecTest
+import oxbowlug.wire.JobState
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.ReadPage
-import oxbowlug.wire.ShownState
 import oxbowlug.wire.Transaction
 import java.util.BitSet
 import kotlin.random.Random
@@ -69,7 +69,7 @@
     private inner class Listener : StateCacheListener {
         override fun onMembersRead() = Unit
 
-        override fun onView(view: View) = Unit
+        override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
 
         override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = Unit
 
@@ -104,8 +104,8 @@
         cache.tick()
     }
 
-    private fun shown(vararg ids: String): List<ShownState?> =
-        ids.map { id -> cache.job(JobId(id))?.view(JobId(id))?.state }
+    private fun shown(vararg ids: String): List<JobState?> =
+        ids.map { id -> cache.job(JobId(id))?.status(JobId(id))?.state }
 
     private fun state(id: String) = cache.dependencyState(cache.job(JobId(id))?.waitsOn.orEmpty())
 
@@ -138,8 +138,8 @@
         // Submitted after it, and accepted all the same.
         write("f", Phase.ACTIVE, "d")
         catchUp()
-        assertEquals(List(5) { ShownState.CANCELLED }, shown("a", "b", "c", "d", "f"))
-        assertEquals(List(2) { ShownState.QUEUED }, shown("other", "e"))
+        assertEquals(List(5) { JobState.CANCELLED }, shown("a", "b", "c", "d", "f"))
+        assertEquals(List(2) { JobState.QUEUED }, shown("other", "e"))
         val open = ArrayList<String>()
         cache.forEachActive { id, _ -> open.add(id.value) }
         assertTrue(open.containsAll(listOf("b", "c", "d", "f")), "their records still have to say so")
@@ -150,7 +150,7 @@
         write("a", Phase.DONE)
         write("b", Phase.ACTIVE, "a")
         catchUp()
-        assertEquals(listOf(ShownState.QUEUED), shown("b"))
+        assertEquals(listOf(JobState.QUEUED), shown("b"))
         assertEquals(DependencyState.READY, state("b"))
     }
 
@@ -160,7 +160,7 @@
         write("b", Phase.ACTIVE, "a")
         catchUp()
         cache.applyRecord(JobId("a"), revision + 1, value("a", Phase.CANCELLED, emptyList()))
-        assertEquals(listOf(ShownState.CANCELLED), shown("b"))
+        assertEquals(listOf(JobState.CANCELLED), shown("b"))
     }
 
     @Test
@@ -174,7 +174,7 @@
         write("chain-0", Phase.CANCELLED)
         catchUp()
         assertEquals(2 * length, changed.size)
-        assertEquals(listOf(ShownState.CANCELLED, ShownState.CANCELLED), shown("chain-$length", "fan-$length"))
+        assertEquals(listOf(JobState.CANCELLED, JobState.CANCELLED), shown("chain-$length", "fan-$length"))
     }
 
     @Test
--- a/src/test/kotlin/oxbowlug/lease/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/RenewalDelegateTest.kt
@@ -14,8 +14,8 @@
 import oxbowlug.port.TouchOutcome
 import oxbowlug.record.DelegateAssignments
 import oxbowlug.record.Keys
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
-import oxbowlug.record.View
 import oxbowlug.region.Regions
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
@@ -70,14 +70,14 @@
     private fun cache(): StateCache {
         put(Keys.member(leader), emptyMap())
         put(Keys.member(delegate), emptyMap())
-        put(Keys.VIEW, View(3, Token(3), leader, 0).encode())
+        put(Keys.LEADERSHIP, LeadershipRecord(3, Token(3), leader, 0).encode())
         return StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
     }
 
     private fun named(): RenewalDelegates {
         val cache = cache()
-        val view = cache.view ?: error("the view was read")
-        return RenewalDelegates(view, settings, Port(), clock, timing, cache).apply { tick(clock.now) }
+        val leadership = cache.leadership ?: error("the view was read")
+        return RenewalDelegates(leadership, settings, Port(), clock, timing, cache).apply { tick(clock.now) }
     }
 
     /** A word of the deputy: that it last heard the leader at [heardAt], and how much it has renewed. */
@@ -120,7 +120,7 @@
     @Test
     fun `one that is gone stays named until a later life of it is there`() {
         val cache = cache()
-        val delegates = RenewalDelegates(cache.view ?: error("read"), settings, Port(), clock, timing, cache)
+        val delegates = RenewalDelegates(cache.leadership ?: error("read"), settings, Port(), clock, timing, cache)
         delegates.tick(clock.now)
         assertEquals(delegate, DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1).byZone[zone])
         store.commit(Transaction(emptyList(), listOf(Change.Delete(Keys.member(delegate)))))
@@ -182,8 +182,8 @@
             policy = settings.policy.copy(regions = regional),
         )
         val cache = cache()
-        val view = cache.view ?: error("the view was read")
-        val delegates = RenewalDelegates(view, wider, Port(), clock, timing, cache).apply { tick(clock.now) }
+        val leadership = cache.leadership ?: error("the view was read")
+        val delegates = RenewalDelegates(leadership, wider, Port(), clock, timing, cache).apply { tick(clock.now) }
         val assigned = DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1).byZone
         assertEquals(mapOf(zone to delegate, Zone("c") to delegate), assigned)
         val answeredAt = clock.now
--- a/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
@@ -70,9 +70,9 @@
     @Test
     fun `the view, delegates and members are read and written as before`() {
         val member = Member("n0", "x1")
-        val view = View.decode(Cbor.decode(bytes("view")), 3)
-        assertEquals(View(7, oxbowlug.wire.Token(6), member, 3), view)
-        assertArrayEquals(bytes("view"), Cbor.encode(view.encode()))
+        val leadership = LeadershipRecord.decode(Cbor.decode(bytes("view")), 3)
+        assertEquals(LeadershipRecord(7, oxbowlug.wire.Token(6), member, 3), leadership)
+        assertArrayEquals(bytes("view"), Cbor.encode(leadership.encode()))
         val delegates = DelegateAssignments.decode(Cbor.decode(bytes("deputies")), 3)
         assertEquals(mapOf(Zone("a") to member), delegates.byZone)
         assertArrayEquals(bytes("deputies"), Cbor.encode(delegates.encode()))
--- a/src/test/kotlin/oxbowlug/record/RecordLayoutTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordLayoutTest.kt
@@ -143,7 +143,7 @@
         val from = doneBefore.length()
         while (true) {
             val occupancy = RecordLayout.Occupancy(
-                tasks, 137, Ranges.count(doneBefore), placements.size,
+                tasks, 137, TaskRanges.count(doneBefore), placements.size,
                 placements.values.distinctBy { it.machine }.size, "000000".length,
             )
             val room = layout.roomForTasks(occupancy)
--- a/src/test/kotlin/oxbowlug/record/RecordsTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordsTest.kt
@@ -25,9 +25,9 @@
             "5,7,9-10" to bits(5, 7, 9, 10),
         )
         for ((text, set) in cases) {
-            assertEquals(text, Ranges.encode(set))
-            assertEquals(set, Ranges.decode(text))
-            assertTrue(text.length <= Ranges.sizeBound(set))
+            assertEquals(text, TaskRanges.encode(set))
+            assertEquals(set, TaskRanges.decode(text))
+            assertTrue(text.length <= TaskRanges.sizeBound(set))
         }
     }
 
--- a/src/test/kotlin/oxbowlug/request/JobRequestsTest.kt
+++ b/src/test/kotlin/oxbowlug/request/JobRequestsTest.kt
@@ -10,10 +10,10 @@
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
 import oxbowlug.record.Member
-import oxbowlug.record.Names
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
 import oxbowlug.record.RecordLayout
+import oxbowlug.record.RequestIds
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
@@ -21,7 +21,7 @@
 import oxbowlug.testing.IgnoringListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SettingsTexts
-import oxbowlug.testing.noBasis
+import oxbowlug.testing.permissiveContext
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
@@ -30,10 +30,10 @@
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.JobSpecCodecTest
-import oxbowlug.wire.JobView
+import oxbowlug.wire.JobState
+import oxbowlug.wire.JobStatus
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MachineType
-import oxbowlug.wire.ShownState
 import oxbowlug.wire.TeamName
 import oxbowlug.wire.Transaction
 import oxbowlug.wire.TypeName
@@ -73,10 +73,10 @@
     private val told = ArrayList<String>()
 
     private fun jobRequests(copy: StateCache) = JobRequests(
-        Names(Member("n0", "x")), settings, Port(), clock, timing, copy, RateBudget(10.0), FailingMeters,
+        RequestIds(Member("n0", "x")), settings, Port(), clock, timing, copy, RateBudget(10.0), FailingMeters,
         onCancelled = { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") },
         onAnsweredCancelled = { told.add("told $it") },
-        basis = noBasis,
+        decisions = permissiveContext,
     )
 
     private fun machines(value: Map<String, Any?>): Int = (value["run"] as? Map<*, *>)?.size ?: 0
@@ -92,20 +92,20 @@
         class Case(
             val name: String,
             val meanwhile: () -> Unit,
-            val shown: ShownState,
+            val shown: JobState,
             val said: List<String>,
             val machines: Int,
         )
         val cases = listOf(
-            Case("nothing", {}, ShownState.CANCELLED, listOf("confirmed ${spec.id} of 1 machines"), 1),
+            Case("nothing", {}, JobState.CANCELLED, listOf("confirmed ${spec.id} of 1 machines"), 1),
             // Written over, the last end would be taken back, or a start that is on its way forgotten.
-            Case("the last end", { write(Phase.DONE, emptyList(), 2) }, ShownState.DONE, emptyList(), 0),
+            Case("the last end", { write(Phase.DONE, emptyList(), 2) }, JobState.DONE, emptyList(), 0),
             Case(
-                "a placement", { write(Phase.ACTIVE, listOf("host-1", "host-2")) }, ShownState.CANCELLED,
+                "a placement", { write(Phase.ACTIVE, listOf("host-1", "host-2")) }, JobState.CANCELLED,
                 listOf("confirmed ${spec.id} of 2 machines"), 2,
             ),
             Case(
-                "another cancellation", { write(Phase.CANCELLED, listOf("host-1")) }, ShownState.CANCELLED,
+                "another cancellation", { write(Phase.CANCELLED, listOf("host-1")) }, JobState.CANCELLED,
                 listOf("told ${spec.id}"), 1,
             ),
         )
@@ -119,7 +119,7 @@
             jobRequests(fresh).cancel(spec.id) { answers.add(it) }
             world.runUntil(world.nowMs + 1_000)
             repeat(5) { fresh.tick() }
-            val shown = answers.map { (it as UserAnswer.Known).view.state }
+            val shown = answers.map { (it as UserAnswer.Known).status.state }
             assertEquals(listOf(case.shown), shown, case.name)
             assertEquals(case.said, told, case.name)
             val stored = JobRecord.decode(store.entry(key)?.value.orEmpty())
@@ -218,8 +218,8 @@
         val small = settings.state.copy(next = WriteLimits(15.0, 2.0, 4))
         val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
         val jobRequests = JobRequests(
-            Names(Member("n0", "x")), settings.copy(state = small), Port(), clock, timing, copy, RateBudget(10.0),
-            FailingMeters, { _, _, _ -> }, {}, noBasis,
+            RequestIds(Member("n0", "x")), settings.copy(state = small), Port(), clock, timing, copy, RateBudget(10.0),
+            FailingMeters, { _, _, _ -> }, {}, permissiveContext,
         )
         val before = store.revision
         val answers = ArrayList<UserAnswer>()
@@ -245,14 +245,14 @@
             world.runUntil(world.nowMs + 2_000)
             told.clear()
             val jobRequests = JobRequests(
-                Names(Member("n0", "x")), settings.copy(state = settings.state.copy(next = limits)), Port(), clock,
+                RequestIds(Member("n0", "x")), settings.copy(state = settings.state.copy(next = limits)), Port(), clock,
                 timing, copy, RateBudget(10.0), FailingMeters,
-                { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") }, {}, noBasis,
+                { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") }, {}, permissiveContext,
             )
             val answers = ArrayList<UserAnswer>()
             jobRequests.cancel(spec.id) { answers.add(it) }
             world.runUntil(world.nowMs + 1_000)
-            assertEquals(ShownState.CANCELLED, (answers.single() as UserAnswer.Known).view.state)
+            assertEquals(JobState.CANCELLED, (answers.single() as UserAnswer.Known).status.state)
             assertEquals(listOf("confirmed ${spec.id} of 240 machines"), told)
             val read = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }.job(spec.id)
             assertEquals(240, read?.placed, "whoever reads it knows every machine")
@@ -269,6 +269,6 @@
         }
         val answers = ArrayList<UserAnswer>()
         jobRequests(cache).submit(spec, types) { answers.add(it) }
-        assertEquals(listOf(UserAnswer.Known(JobView(spec.id, ShownState.CANCELLED, 0, 0))), answers)
+        assertEquals(listOf(UserAnswer.Known(JobStatus(spec.id, JobState.CANCELLED, 0, 0))), answers)
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
@@ -41,7 +41,7 @@
     }
 
     private fun leader(day: Simulation): SimNode {
-        val label = day.store.entry(Keys.VIEW)?.value?.get("leader")
+        val label = day.store.entry(Keys.LEADERSHIP)?.value?.get("leader")
         return day.nodes.first { it.label == label }
     }
 
--- a/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
@@ -25,7 +25,7 @@
         val day = Simulation(7, shape = shape)
         day.users(everyMs = 900, untilMs = 150_000)
         day.world.after(90_000) {
-            val label = day.store.entry(Keys.VIEW)?.value?.get("leader")
+            val label = day.store.entry(Keys.LEADERSHIP)?.value?.get("leader")
             val leader = day.nodes.first { it.label == label }
             leader.crash()
             day.world.after(5_000) { leader.start() }
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -101,8 +101,8 @@
             for (job in first.takeLast(count)) world.after(world.between(0, 200)) { cancel(job.spec.id.value) }
         }
 
-        private val oxbowlug.wire.ShownState.isOver: Boolean
-            get() = this == oxbowlug.wire.ShownState.DONE || this == oxbowlug.wire.ShownState.CANCELLED
+        private val oxbowlug.wire.JobState.isOver: Boolean
+            get() = this == oxbowlug.wire.JobState.DONE || this == oxbowlug.wire.JobState.CANCELLED
 
         @JvmStatic
         fun cases(): List<Case> = listOf(
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -71,8 +71,8 @@
     fun userAnswer(atMs: Long, answer: UserAnswer?) {
         val (status, body) = when (answer) {
             null -> 0 to emptyMap()
-            is UserAnswer.Accepted -> 201 to AnswerCodec.accepted(answer.view)
-            is UserAnswer.Known -> 200 to AnswerCodec.polled(answer.view)
+            is UserAnswer.Accepted -> 201 to AnswerCodec.accepted(answer.status)
+            is UserAnswer.Known -> 200 to AnswerCodec.polled(answer.status)
             is UserAnswer.Malformed -> 400 to AnswerCodec.problem(answer.problem)
             is UserAnswer.Rejected -> 422 to AnswerCodec.problem(answer.problem)
             UserAnswer.NotFound -> 404 to emptyMap()
--- a/src/test/kotlin/oxbowlug/sim/RulesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RulesTest.kt
@@ -14,10 +14,10 @@
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.JobSpecCodecTest
-import oxbowlug.wire.JobView
+import oxbowlug.wire.JobState
+import oxbowlug.wire.JobStatus
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MachineType
-import oxbowlug.wire.ShownState
 import oxbowlug.wire.TaskId
 import oxbowlug.wire.TeamName
 import oxbowlug.wire.Token
@@ -55,12 +55,12 @@
 
     private fun submit(given: JobSpec = spec) {
         rules.jobs[given.id.value] = Rules.Known(given)
-        rules.told(given.id.value, UserAnswer.Accepted(view(ShownState.QUEUED)), world.nowMs)
+        rules.told(given.id.value, UserAnswer.Accepted(view(JobState.QUEUED)), world.nowMs)
     }
 
-    private fun view(state: ShownState) = JobView(spec.id, state, 0, 0)
+    private fun view(state: JobState) = JobStatus(spec.id, state, 0, 0)
 
-    private fun tell(state: ShownState, askedMs: Long = world.nowMs) =
+    private fun tell(state: JobState, askedMs: Long = world.nowMs) =
         rules.told(spec.id.value, UserAnswer.Known(view(state)), askedMs)
 
     private fun start(task: Int, host: Int, attempt: Long = 1) {
@@ -84,13 +84,13 @@
         submit(between)
         submit(needed)
         rules.jobs.getValue(needed.id.value).askedToCancel = true
-        val view = JobView(needed.id, ShownState.CANCELLED, 0, 0)
-        rules.told(needed.id.value, UserAnswer.Known(view), world.nowMs)
+        val leadership = JobStatus(needed.id, JobState.CANCELLED, 0, 0)
+        rules.told(needed.id.value, UserAnswer.Known(leadership), world.nowMs)
     }
 
     private fun cancel() {
         rules.jobs.getValue(spec.id.value).askedToCancel = true
-        tell(ShownState.CANCELLED)
+        tell(JobState.CANCELLED)
     }
 
     @Test
@@ -137,19 +137,19 @@
             Case("forgotten", "404") { rules.told(spec.id.value, UserAnswer.NotFound, world.nowMs) },
             Case("forgotten", "422") { rules.told(spec.id.value, UserAnswer.Rejected("no"), world.nowMs) },
             Case("invented", "200 for nobody's job") {
-                rules.told("run-2", UserAnswer.Known(view(ShownState.QUEUED)), world.nowMs)
+                rules.told("run-2", UserAnswer.Known(view(JobState.QUEUED)), world.nowMs)
             },
-            Case("not_done", "done before its tasks") { tell(ShownState.DONE) },
-            Case("went_back", "cancelled by nobody") { tell(ShownState.CANCELLED) },
+            Case("not_done", "done before its tasks") { tell(JobState.DONE) },
+            Case("went_back", "cancelled by nobody") { tell(JobState.CANCELLED) },
             Case("went_back", "running again") {
                 cancel()
                 pass(10)
-                tell(ShownState.RUNNING)
+                tell(JobState.RUNNING)
             },
             Case(null, "an answer that crosses the cancellation") {
                 pass(10)
                 cancel()
-                tell(ShownState.RUNNING, askedMs = world.nowMs - 5)
+                tell(JobState.RUNNING, askedMs = world.nowMs - 5)
             },
             Case("too_early", "a task starts while a job that it needs runs") {
                 submit(spec.copy(waitsOn = listOf(needed.id)))
@@ -165,21 +165,21 @@
             Case("orphaned", "queued long after a job that it needs through another one was cancelled") {
                 orphan()
                 pass(CANCEL_MS + 1)
-                tell(ShownState.QUEUED)
+                tell(JobState.QUEUED)
             },
             Case(null, "queued shortly after a job that it needs was cancelled") {
                 orphan()
                 pass(CANCEL_MS - 1)
-                tell(ShownState.QUEUED)
+                tell(JobState.QUEUED)
             },
             Case(null, "cancelled with a job that it needs") {
                 orphan()
-                tell(ShownState.CANCELLED)
+                tell(JobState.CANCELLED)
             },
             Case("went_back", "accepted once more") {
                 cancel()
                 pass(10)
-                rules.told(spec.id.value, UserAnswer.Accepted(view(ShownState.QUEUED)), world.nowMs)
+                rules.told(spec.id.value, UserAnswer.Accepted(view(JobState.QUEUED)), world.nowMs)
             },
         )
         for (case in cases) {
@@ -203,12 +203,12 @@
         serving.look()
         assertEquals(listOf("forgotten: run-1, by all"), serving.broken.map { it.substringAfter("ms ") })
         serving.broken.clear()
-        tell(ShownState.QUEUED)
+        tell(JobState.QUEUED)
         pass(70_000)
         serving.look()
         assertEquals(emptyList<String>(), serving.broken, "seen waiting since the first look only")
         pass(3_000)
-        tell(ShownState.QUEUED)
+        tell(JobState.QUEUED)
         pass(20_000)
         serving.look()
         assertEquals(listOf("left waiting: run-1 beside free room"), serving.broken.map { it.substringAfter("ms ") })
@@ -227,7 +227,7 @@
         repeat(4) { start(it, 0) }
         serving.look()
         pass(100_000)
-        tell(ShownState.RUNNING)
+        tell(JobState.RUNNING)
         serving.look()
         assertEquals(emptyList<String>(), serving.broken)
         rules.jobs.clear()
--- a/src/test/kotlin/oxbowlug/sim/Serving.kt
+++ b/src/test/kotlin/oxbowlug/sim/Serving.kt
@@ -4,7 +4,7 @@
 import oxbowlug.standin.SimWorker
 import oxbowlug.standin.World
 import oxbowlug.wire.JobKind
-import oxbowlug.wire.ShownState
+import oxbowlug.wire.JobState
 
 /**
  * What the users count beside the protocol's rules once all troubles are over: jobs about which nobody answers, jobs
@@ -25,7 +25,7 @@
     fun look() {
         if (world.nowMs < calmFromMs) return
         for ((id, job) in rules.jobs) {
-            if (!job.accepted || rules.isCalledOff(job) || job.told == ShownState.DONE) continue
+            if (!job.accepted || rules.isCalledOff(job) || job.told == JobState.DONE) continue
             val answeredAt = maxOf(job.answeredAt, calmFromMs)
             if (world.nowMs - answeredAt > UNANSWERED_MS) broken.add("${world.nowMs} ms forgotten: $id, by all")
             if (!waitsBesideRoom(id, job)) {
@@ -37,7 +37,7 @@
     }
 
     private fun waitsBesideRoom(id: String, job: Rules.Known): Boolean {
-        if (rules.ancestors(job).any { it.told != ShownState.DONE }) return false
+        if (rules.ancestors(job).any { it.told != JobState.DONE }) return false
         val running = workers().filter { it.alive }.flatMap { host ->
             host.tasks.values.filter { it.cause == null && it.attempt.task.job.value == id }
                 .map { it.attempt.task to host }
@@ -82,7 +82,7 @@
     }
 
     private fun isServed(job: Rules.Known): Boolean =
-        if (job.spec.kind == JobKind.ARRAY) job.told == ShownState.DONE else job.started.size == job.spec.tasks
+        if (job.spec.kind == JobKind.ARRAY) job.told == JobState.DONE else job.started.size == job.spec.tasks
 
     private companion object {
         const val UNANSWERED_MS = 75_000L
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -138,7 +138,7 @@
 
     /** Old reports reach every controller just as another one begins to lead. */
     private fun bringKept() {
-        val present = store.entry(Keys.VIEW)?.value?.get("token")
+        val present = store.entry(Keys.LEADERSHIP)?.value?.get("token")
         if (present == lastLeader) return
         lastLeader = present
         for (report in kept) {
@@ -289,7 +289,7 @@
             ask({ answer -> Command.Poll(JobId(id), answer) }) { answer ->
                 if (answer != null) rules.told(id, answer, askedMs)
                 val told = rules.jobs.getValue(id).told
-                val isFinal = told == oxbowlug.wire.ShownState.DONE || told == oxbowlug.wire.ShownState.CANCELLED
+                val isFinal = told == oxbowlug.wire.JobState.DONE || told == oxbowlug.wire.JobState.CANCELLED
                 if (isFinal) rules.jobs[id]?.let { lookClosely(it.spec) }
                 // Now and then a user asks again long after the end.
                 if (!isFinal)
@@ -324,7 +324,7 @@
 
     val leader: SimNode
         get() {
-            val label = store.entry(Keys.VIEW)?.value?.get("leader")
+            val label = store.entry(Keys.LEADERSHIP)?.value?.get("leader")
             return nodes.first { it.label == label }
         }
 
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -97,7 +97,7 @@
         }
 
         private fun Simulation.leaderIndex(): Int {
-            val label = store.entry(Keys.VIEW)?.value?.get("leader")
+            val label = store.entry(Keys.LEADERSHIP)?.value?.get("leader")
             return nodes.indexOfFirst { it.label == label }.coerceAtLeast(0)
         }
 
--- a/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
@@ -2,7 +2,7 @@
 
 import oxbowlug.cache.CachedJob
 import oxbowlug.cache.StateCacheListener
-import oxbowlug.invariant.DecisionBasis
+import oxbowlug.invariant.DecisionContext
 import oxbowlug.invariant.Invariants
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.Clock
@@ -11,7 +11,7 @@
 import oxbowlug.port.Meters
 import oxbowlug.port.StatePort
 import oxbowlug.port.TouchOutcome
-import oxbowlug.record.View
+import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.WritableFormat
 import oxbowlug.standin.SimStore
 import oxbowlug.wire.JobId
@@ -22,7 +22,7 @@
 object IgnoringListener : StateCacheListener {
     override fun onMembersRead() = Unit
 
-    override fun onView(view: View) = Unit
+    override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
 
     override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = Unit
 
@@ -41,8 +41,8 @@
 }
 
 /** For tests of decisions, not of what is logged beside them. */
-val noBasis = object : DecisionBasis {
-    override val mayDecide = true
+val permissiveContext = object : DecisionContext {
+    override val mayLead = true
 
     override fun describe() = ""
 }
@@ -62,7 +62,7 @@
     override fun violated(invariant: Invariant): Nothing = throw AssertionError("${invariant.label} is violated")
 }
 
-val failingInvariants = Invariants(noBasis, FailingMeters)
+val failingInvariants = Invariants(permissiveContext, FailingMeters)
 
 /** Answers at once from the store; watches stay open, and there are no leases. */
 open class ImmediateStatePort(private val store: SimStore) : StatePort {
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -66,7 +66,7 @@
             listOf(Condition("ox/a", 7), Condition("ox/b", 0)),
             listOf(Change.Put("ox/a", mapOf("x" to 1L)), Change.Put("ox/m", emptyMap(), 5), Change.Delete("ox/c")),
         )
-        val view = JobView(JobId("run-1"), ShownState.RUNNING, 3, 2)
+        val view = JobStatus(JobId("run-1"), JobState.RUNNING, 3, 2)
         val bodies = mapOf(
             "head" to form.head,
             "format" to DataFormat.encode(DataFormat.NEWEST),
@@ -78,7 +78,7 @@
             "polled" to AnswerCodec.polled(view),
             "problem" to AnswerCodec.problem("a field is missing"),
             "keys" to mapOf(
-                "all" to Keys.ROOT, "job" to Keys.job("run-1"), "part" to Keys.part("run-1", 2), "view" to Keys.VIEW,
+                "all" to Keys.ROOT, "job" to Keys.job("run-1"), "part" to Keys.part("run-1", 2), "view" to Keys.LEADERSHIP,
                 "member" to Keys.member(Member("n0", "x1")), "delegates" to Keys.DELEGATES,
                 "format" to Keys.FORMAT, "reads" to Keys.format("n0"),
             ),
