--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -12,7 +12,7 @@
 import oxbowlug.record.Member
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.TaskState
@@ -39,11 +39,11 @@
     private class Watched {
         var isAsking = false
         var nextAt = 0L
-        private var clearOf: Set<Attempt> = emptySet()
+        private var clearOf: Set<AttemptId> = emptySet()
         private var clearAt = 0L
 
         /** At [atMs] it said that none of [attempts] is there. */
-        fun saidClearOf(attempts: Set<Attempt>, atMs: Long) {
+        fun saidClearOf(attempts: Set<AttemptId>, atMs: Long) {
             clearOf = attempts
             clearAt = atMs
         }
@@ -52,7 +52,7 @@
          * What it said of one job's attempts says nothing of another's: taken for that, cancelled tasks on a shared
          * machine ran on, and the machine was kept.
          */
-        fun isClearOf(attempts: Set<Attempt>, sinceMs: Long): Boolean =
+        fun isClearOf(attempts: Set<AttemptId>, sinceMs: Long): Boolean =
             clearAt > sinceMs && clearOf.containsAll(attempts)
     }
 
@@ -99,18 +99,18 @@
     }
 
     /** All at once: asked about one job after the other, a machine that holds many would be asked about the first. */
-    private fun attemptsByMachine(due: List<Cancellations.PendingCancellation>): Map<MachineId, Set<Attempt>> {
-        val result = LinkedHashMap<MachineId, HashSet<Attempt>>()
+    private fun attemptsByMachine(due: List<Cancellations.PendingCancellation>): Map<MachineId, Set<AttemptId>> {
+        val result = LinkedHashMap<MachineId, HashSet<AttemptId>>()
         for (pending in due) {
             for ((machine, attempts) in pending.attempts) result.getOrPut(machine, ::HashSet).addAll(attempts)
         }
         return result
     }
 
-    private fun isClear(placed: Map.Entry<MachineId, Set<Attempt>>, now: Long): Boolean =
+    private fun isClear(placed: Map.Entry<MachineId, Set<AttemptId>>, now: Long): Boolean =
         placed.key in returned || watched[placed.key]?.isClearOf(placed.value, now - timing.suspectMs) ?: false
 
-    private fun look(machine: MachineId, attempts: Set<Attempt>, now: Long) {
+    private fun look(machine: MachineId, attempts: Set<AttemptId>, now: Long) {
         if (machine in returned) return
         val watch = watched.getOrPut(machine, ::Watched)
         if (watch.isAsking || now < watch.nextAt) return
@@ -130,15 +130,15 @@
     }
 
     /** Those of the attempts that are there, or that a start is about to bring there. */
-    private fun shown(report: WorkerReport, attempts: Set<Attempt>): List<Attempt> =
+    private fun shown(report: WorkerReport, attempts: Set<AttemptId>): List<AttemptId> =
         report.tasks.filter { it.attempt in attempts && it.state != TaskState.EXITED }.map { it.attempt }
 
     private fun stop(
         endpoint: Address,
         report: WorkerReport,
         watch: Watched,
-        attempts: Set<Attempt>,
-        left: List<Attempt>,
+        attempts: Set<AttemptId>,
+        left: List<AttemptId>,
     ) {
         log.info("stopping {} on {}, since nobody else does", left, report.machine)
         // With the token that it knows already, so that nobody's authority is touched.
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -26,7 +26,7 @@
     private class Word(val life: Member) {
         /** All that it confirmed up to then is known here. */
         var sureAt = Long.MIN_VALUE / 2
-        var heardAt = 0L
+        var lastContactAt = 0L
         var itsMs = Long.MIN_VALUE
         var mayConfirm = true
     }
@@ -43,7 +43,7 @@
         if (present != null && present.life == heartbeat.sender && heartbeat.atMs < present.itsMs) return
         val word = if (present?.life == heartbeat.sender) present else Word(heartbeat.sender).also { words[label] = it }
         if (present != null && word !== present) ended(label, present, now)
-        word.heardAt = now
+        word.lastContactAt = now
         word.itsMs = heartbeat.atMs
         word.mayConfirm = heartbeat.mayConfirm
         val echo = heartbeat.echo
@@ -53,7 +53,7 @@
 
     /** Heard until shortly before it was back, it told what it confirmed: its words came over one connection. */
     private fun ended(label: String, former: Word, now: Long) {
-        val wasCutOff = now - former.heardAt > timing.workerLeaseRawMs
+        val wasCutOff = now - former.lastContactAt > timing.workerLeaseRawMs
         if (former.mayConfirm && wasCutOff) doubts[label] = now
     }
 
--- a/src/main/kotlin/oxbowlug/cancellation/Cancellations.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/Cancellations.kt
@@ -14,7 +14,7 @@
 import oxbowlug.record.Member
 import oxbowlug.record.Phase
 import oxbowlug.timing.Timing
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.TaskId
@@ -46,16 +46,16 @@
         val acknowledged = HashSet<Member>()
 
         /** The record that was cancelled names every machine on which an attempt can be, or can still arrive. */
-        val attempts: Map<MachineId, Set<Attempt>>
+        val attempts: Map<MachineId, Set<AttemptId>>
             get() = decoded?.takeIf { decodedVersion == cancellation.version } ?: decode()
-        private var decoded: Map<MachineId, Set<Attempt>>? = null
+        private var decoded: Map<MachineId, Set<AttemptId>>? = null
         private var decodedVersion = 0L
 
-        private fun decode(): Map<MachineId, Set<Attempt>> {
-            val result = HashMap<MachineId, HashSet<Attempt>>()
+        private fun decode(): Map<MachineId, Set<AttemptId>> {
+            val result = HashMap<MachineId, HashSet<AttemptId>>()
             for ((task, placement) in JobRecord.decode(cancellation.value).placements) {
                 result.getOrPut(placement.machine, ::HashSet)
-                    .add(Attempt(TaskId(cancellation.id, task), placement.attempt))
+                    .add(AttemptId(TaskId(cancellation.id, task), placement.attempt))
             }
             decoded = result
             decodedVersion = cancellation.version
--- a/src/main/kotlin/oxbowlug/cluster/Fleet.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -13,7 +13,7 @@
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.timing.Timing
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.ExitCause
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
@@ -29,7 +29,7 @@
  * Jobs and machines as their leader knows them, kept in step. An attempt leaves the account only by one of the
  * proofs in docs/safety.md; silence, a refused connection or a young list prove nothing.
  */
-class Fleet(
+class ClusterState(
     val token: Token,
     private val clock: Clock,
     private val timing: Timing,
@@ -41,35 +41,35 @@
     private val dependencyState: (List<JobId>) -> DependencyState = { DependencyState.READY },
     private val invariants: Invariants,
 ) {
-    private val limits = TeamLimits(teams, timing)
+    private val limits = TeamQuotas(teams, timing)
     val jobs = LinkedHashMap<JobId, Job>()
     val machines = LinkedHashMap<MachineId, Machine>()
 
     /** Returned, failed or vanished: late messages of theirs are not believed any more. */
-    private val gone = HashSet<MachineId>()
+    private val removed = HashSet<MachineId>()
 
     /** Something changed that a new plan could use. */
     var planWanted = true
 
     /** Machines whose commands changed and that should hear of it directly. */
-    val pokes = LinkedHashSet<MachineId>()
+    val pendingPushes = LinkedHashSet<MachineId>()
 
     /** Jobs that differ from what is stored: looked for among all jobs, they would cost a scan for every report. */
     val dirty = LinkedHashSet<Job>()
 
     /** An attempt may be held on a machine that is gone. */
-    private var sweepWanted = false
+    private var hasOrphans = false
 
-    fun isGone(id: MachineId): Boolean = id in gone
+    fun isRemoved(id: MachineId): Boolean = id in removed
 
     fun machine(id: MachineId): Machine? {
-        if (id in gone) return null
+        if (id in removed) return null
         return machines.getOrPut(id) {
             Machine(id, clock.steadyMs()).also { it.images.addAll(rememberedImages[id].orEmpty()) }
         }
     }
 
-    fun takeJob(id: JobId, stored: CachedJob, value: Map<String, Any?>) {
+    fun applyJob(id: JobId, stored: CachedJob, value: Map<String, Any?>) {
         val present = jobs[id]
         val now = clock.steadyMs()
         if (present == null) {
@@ -80,7 +80,7 @@
             jobs[id] = job
             // Jobs that wait for others are known to come; they aren't guessed at.
             if (job.spec.waitsOn.isEmpty()) arrivals.add(job.spec, job.submittedMs)
-            job.liveFrom(record)
+            job.restoreAttempts(record)
             attachAll(job)
             followPredecessors(job, now)
             planWanted = true
@@ -91,7 +91,7 @@
         val wasActive = present.phase == Phase.ACTIVE
         val record = JobRecord.decode(value)
         if (present.foreignWrite(record, stored.version, now)) {
-            sweepWanted = true
+            hasOrphans = true
             for (placed in old) machines[placed.machine]?.live?.remove(placed.attempt)
             attachAll(present)
         }
@@ -139,12 +139,12 @@
     private fun stopCancelled(job: Job) {
         for (placed in job.live.values.toList()) {
             val host = machines[placed.machine]
-            dropOrPoke(host, placed)
+            removeOrPush(host, placed)
         }
     }
 
     /** Placements that were never written, so no start of them was sent; returns how many. */
-    fun takeBackUncommitted(job: Job): Int {
+    fun withdrawUncommitted(job: Job): Int {
         val uncommitted = job.live.values.filter { !it.committed }
         uncommitted.forEach(::remove)
         return uncommitted.size
@@ -158,20 +158,20 @@
         host.idleSince = null
     }
 
-    fun stop(placed: Live, reason: StopReason, target: MachineId? = null) {
+    fun stop(placed: TaskAttempt, reason: StopReason, target: MachineId? = null) {
         placed.stop = reason
         placed.target = target
         val host = machines[placed.machine]
-        dropOrPoke(host, placed)
+        removeOrPush(host, placed)
     }
 
-    private fun dropOrPoke(host: Machine?, placed: Live) {
+    private fun removeOrPush(host: Machine?, placed: TaskAttempt) {
         val there = host != null && placed.committed && host.mayBeThere(placed, token)
-        if (there) pokes.add(placed.machine) else remove(placed)
+        if (there) pendingPushes.add(placed.machine) else remove(placed)
     }
 
     /** The attempt is gone, or was never there. */
-    private fun remove(placed: Live) {
+    private fun remove(placed: TaskAttempt) {
         val now = clock.steadyMs()
         if (placed.target != null) placed.job.movingUntil = now + timing.movingMs
         if (placed.job.live[placed.task] === placed) limits.freed(placed.job.spec.team, placed.job.need)
@@ -184,7 +184,7 @@
     fun hear(report: WorkerReport, hello: Boolean): Machine? {
         val host = machine(report.machine) ?: return null
         val now = clock.steadyMs()
-        val stamp = Stamp(report.session, report.sequence)
+        val position = HeartbeatPosition(report.session, report.sequence)
         if (host.lease.hasEnded(report.session)) {
             log.info("{} is heard in session {}, which has ended", host.id, report.session)
             return host
@@ -192,20 +192,20 @@
         host.lease.sessionShown(report.session, now)
         if (hello) {
             // A copy of an older report renews nothing and proves nothing.
-            if (stamp <= host.lastHello) return host
-            host.lastHello = stamp
+            if (position <= host.lastHeartbeat) return host
+            host.lastHeartbeat = position
             host.lease.renewed(now)
         }
-        if (stamp <= host.stamp) return host
-        if (report.session > host.stamp.session || report.token > host.token) {
+        if (position <= host.position) return host
+        if (report.session > host.position.session || report.token > host.token) {
             // Direct commands carry session and token, so those of an earlier one can't be executed any more.
             host.unresolved.clear()
         }
-        val firstHeard = host.heardAt == null
-        host.stamp = stamp
+        val firstHeard = host.lastContactAt == null
+        host.position = position
         host.token = report.token
-        host.heardAt = now
-        host.lost = false
+        host.lastContactAt = now
+        host.isLeaseExpired = false
         host.type = report.type
         host.zone = report.zone
         host.spot = report.spot
@@ -213,35 +213,35 @@
         host.noticeUntil = report.noticeS?.let { now + (it * 1000).toLong() }
         host.tasks = report.tasks.associateBy { it.attempt }
         if (firstHeard) planWanted = true
-        takeTasks(host, stamp, hello, now)
+        applyTasks(host, position, hello, now)
         return host
     }
 
-    private fun takeTasks(host: Machine, stamp: Stamp, hello: Boolean, now: Long) {
+    private fun applyTasks(host: Machine, position: HeartbeatPosition, hello: Boolean, now: Long) {
         val settled = host.isSettled(token)
         for (placed in host.live.values.toList()) {
             val seen = host.tasks[placed.attempt]
             if (seen != null) {
                 placed.answeredAt = null
                 placed.inherited = false
-                host.deafUntil = 0L
-                takeSeen(host, placed, seen, now)
+                host.unresponsiveUntil = 0L
+                applyTaskStatus(host, placed, seen, now)
                 continue
             }
             val isAbsent = settled && placed.inherited
             if (settled) placed.inherited = false
             val answered = placed.answeredAt
             // One report is in flight at a time: after a newer one, an older answer is executed or dropped for good.
-            if (hello && answered != null && stamp > answered) placed.answeredAt = null
+            if (hello && answered != null && position > answered) placed.answeredAt = null
             placed.seen = null
             if (host.mayBeThere(placed, token)) continue
-            if (!placed.isWanted || isAbsent && limits.isOver(placed.job.spec.team, jobs.values, now)) {
+            if (!placed.isWanted || isAbsent && limits.isOverQuota(placed.job.spec.team, jobs.values, now)) {
                 // The former leader saw it end and gave its room away, but ended before it had stored the end.
                 remove(placed)
             } else if (hello && placed.isOverdue(now, timing.workerLeaseRawMs)) {
                 // Its reports arrive, but what we say does not: the work goes elsewhere.
                 log.info("{} does not take {}", host.id, placed.attempt)
-                host.deafUntil = now + timing.deafMs
+                host.unresponsiveUntil = now + timing.unresponsiveMs
                 remove(placed)
             }
         }
@@ -261,7 +261,7 @@
         invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
     }
 
-    private fun takeSeen(host: Machine, placed: Live, seen: ReportedTask, now: Long) {
+    private fun applyTaskStatus(host: Machine, placed: TaskAttempt, seen: ReportedTask, now: Long) {
         val job = placed.job
         if (seen.state == TaskState.RUNNING && placed.seen != TaskState.RUNNING) {
             placed.seenRunningAt = now
@@ -278,12 +278,12 @@
                 job.markDone(placed.task, now)
             }
             ExitCause.STOPPED -> Unit
-            ExitCause.ERROR -> Failures.onError(host, job, now, timing)
+            ExitCause.ERROR -> FailureBackoff.onError(host, job, now, timing)
             ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN, ExitCause.PEERS_GONE, ExitCause.ALONE,
             ExitCause.OTHER, null,
             -> {
                 log.info("{} was refused on {}: {}", placed.attempt, host.id, seen.cause)
-                Failures.onRefused(host, job, now, timing)
+                FailureBackoff.onRefused(host, job, now, timing)
             }
         }
         remove(placed)
@@ -325,10 +325,10 @@
         .filter { it.job.phase == Phase.CANCELLED && it.seen != null && it.seen != TaskState.EXITED }
         .map { WorkerCommand.Stop(it.attempt, 0.0) }
 
-    private fun addStart(host: Machine, placed: Live, now: Long, result: ArrayList<WorkerCommand>) {
+    private fun addStart(host: Machine, placed: TaskAttempt, now: Long, result: ArrayList<WorkerCommand>) {
         if (placed.isWanted) {
             // Its next report will show our token, and then it is settled whether this one is still to run.
-            val waits = placed.inherited && limits.isOver(placed.job.spec.team, jobs.values, now)
+            val waits = placed.inherited && limits.isOverQuota(placed.job.spec.team, jobs.values, now)
             if (!waits) result.add(WorkerCommand.Start(placed.attempt))
             return
         }
@@ -342,7 +342,7 @@
         }
     }
 
-    private fun stop(placed: Live, seen: ReportedTask): WorkerCommand? {
+    private fun stop(placed: TaskAttempt, seen: ReportedTask): WorkerCommand? {
         val spec = placed.job.spec
         if (placed.job.phase != Phase.ACTIVE) return WorkerCommand.Stop(placed.attempt, 0.0)
         if (seen.state == TaskState.SAVING) return null
@@ -350,7 +350,7 @@
     }
 
     /** Forgetting makes a repeated start effective again, so no start of the attempt may be on its way. */
-    private fun mayForget(host: Machine, attempt: Attempt): Boolean {
+    private fun mayForget(host: Machine, attempt: AttemptId): Boolean {
         if (attempt in host.unresolved || attempt in host.directInFlight) return false
         val job = jobs[attempt.task.job] ?: return true
         return !job.isStored(attempt)
@@ -358,12 +358,12 @@
 
     /** Proof 4: the present session's lease is over, and no other token can have renewed it. */
     fun expire(host: Machine, now: Long): Boolean {
-        if (host.lost || host.token != token || !host.lease.isOver(now, timing.workerExpiryMs)) return false
+        if (host.isLeaseExpired || host.token != token || !host.lease.isExpired(now, timing.workerExpiryMs)) return false
         log.info(
             "{} is silent and its lease in session {} is over, counted for {} ms, {} attempts are gone",
-            host.id, host.stamp.session, host.lease.countsFromMs?.let { now - it }, host.live.size,
+            host.id, host.position.session, host.lease.countsFromMs?.let { now - it }, host.live.size,
         )
-        host.lost = true
+        host.isLeaseExpired = true
         host.lease.end()
         host.unresolved.clear()
         host.tasks = emptyMap()
@@ -377,8 +377,8 @@
 
     /** Proofs 2 and 3: the cloud took it back, lists it as failed, or lists it no more. */
     fun removeMachine(id: MachineId, why: String) {
-        gone.add(id)
-        sweepWanted = true
+        removed.add(id)
+        hasOrphans = true
         val host = machines[id] ?: return
         log.info("{} is gone: {}, {} attempts with it", id, why, host.live.size)
         for (placed in host.live.values.toList()) remove(placed)
@@ -387,11 +387,11 @@
     }
 
     /** Attempts on machines that an earlier proof removed. */
-    fun sweep() {
-        if (!sweepWanted) return
-        sweepWanted = false
+    fun removeOrphans() {
+        if (!hasOrphans) return
+        hasOrphans = false
         for (job in jobs.values) {
-            for (placed in job.live.values.toList()) if (placed.machine in gone) remove(placed)
+            for (placed in job.live.values.toList()) if (placed.machine in removed) remove(placed)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/Failures.kt
+++ b/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
@@ -3,7 +3,7 @@
 import oxbowlug.timing.Timing
 
 /** Errors suspect the machine first; the same job failing on several machines suspects the job. */
-object Failures {
+object FailureBackoff {
     private const val JOBS_TO_SUSPECT_MACHINE = 2
     private const val MACHINES_TO_SUSPECT_JOB = 3
     private const val MAX_DOUBLINGS = 6
@@ -13,7 +13,7 @@
         job.failedOn.add(host.id)
         job.avoid[host.id] = now + timing.avoidMs
         host.failedJobs.add(job.id.value)
-        if (host.failedJobs.size >= JOBS_TO_SUSPECT_MACHINE) host.quarantined = true
+        if (host.failedJobs.size >= JOBS_TO_SUSPECT_MACHINE) host.isQuarantined = true
         if (job.failedOn.size >= MACHINES_TO_SUSPECT_JOB) {
             val doublings = (job.failedOn.size - MACHINES_TO_SUSPECT_JOB).coerceAtMost(MAX_DOUBLINGS)
             job.holdUntil = now + minOf(timing.errorPauseMs shl doublings, timing.errorPauseMaxMs)
--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -3,8 +3,8 @@
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
-import oxbowlug.resource.amounts
-import oxbowlug.wire.Attempt
+import oxbowlug.resource.resources
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
 import java.util.BitSet
@@ -13,12 +13,12 @@
 class Job(record: JobRecord, version: Long, private val onDirty: (Job) -> Unit = {}) {
     val id: JobId = record.spec.id
     val spec = record.spec
-    val need = spec.amounts()
+    val need = spec.resources()
     val submittedMs = record.submittedMs
     var phase = record.phase
         private set
     val done: BitSet = record.done.clone() as BitSet
-    val live = LinkedHashMap<Int, Live>()
+    val live = LinkedHashMap<Int, TaskAttempt>()
     var nextAttempt = record.nextAttempt
         private set
 
@@ -68,25 +68,25 @@
 
     val remaining: Int get() = spec.tasks - done.cardinality()
 
-    fun liveFrom(record: JobRecord) {
+    fun restoreAttempts(record: JobRecord) {
         live.clear()
         for ((task, placement) in record.placements) {
-            live[task] = Live(this, task, placement.machine, placement.attempt).apply {
+            live[task] = TaskAttempt(this, task, placement.machine, placement.attempt).apply {
                 committed = true
                 inherited = true
             }
         }
     }
 
-    fun place(task: Int, machine: MachineId, now: Long): Live {
-        val placed = Live(this, task, machine, nextAttempt)
+    fun place(task: Int, machine: MachineId, now: Long): TaskAttempt {
+        val placed = TaskAttempt(this, task, machine, nextAttempt)
         live[task] = placed
         touch(now, urgent = true)
         return placed
     }
 
     /** Tasks placed in one round share an attempt number, which keeps the record short. */
-    fun closeRound() {
+    fun nextRound() {
         nextAttempt++
     }
 
@@ -121,11 +121,11 @@
         return if (count == result.size) result else result.copyOf(count)
     }
 
-    fun isStored(attempt: Attempt): Boolean = holds(stored, attempt) || pendingRecord?.let {
+    fun isStored(attempt: AttemptId): Boolean = holds(stored, attempt) || pendingRecord?.let {
         holds(it.placements, attempt)
     } == true
 
-    private fun holds(placements: Map<Int, Placement>, attempt: Attempt): Boolean =
+    private fun holds(placements: Map<Int, Placement>, attempt: AttemptId): Boolean =
         placements[attempt.task.index]?.attempt == attempt.number
 
     /** What is to be written now, under the name [write]; [isBrief] leaves out what nobody asks for any more. */
@@ -217,7 +217,7 @@
             cancelledAt = now
         }
         if (replaced) {
-            liveFrom(record)
+            restoreAttempts(record)
             touch(now, urgent = false)
         }
         return replaced
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -2,9 +2,9 @@
 
 import oxbowlug.config.Address
 import oxbowlug.lease.WorkerLease
-import oxbowlug.resource.Amounts
-import oxbowlug.resource.amounts
-import oxbowlug.wire.Attempt
+import oxbowlug.resource.Resources
+import oxbowlug.resource.resources
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MachineState
@@ -16,52 +16,52 @@
 import oxbowlug.wire.Zone
 
 /** The leader's account of one rented machine. */
-class Machine(val id: MachineId, val knownSince: Long) {
+class Machine(val id: MachineId, val firstSeenAt: Long) {
     var type: TypeName? = null
     var zone: Zone? = null
     var spot = false
     var endpoint: Address? = null
     var listed: MachineState? = null
     var listedAt = 0L
-    var rentedAt = knownSince
+    var rentedAt = firstSeenAt
 
     /** The newest account of the worker, from a report or a direct command's answer. */
-    var stamp = Stamp(0, 0)
-    var lastHello = Stamp(0, 0)
+    var position = HeartbeatPosition(0, 0)
+    var lastHeartbeat = HeartbeatPosition(0, 0)
     var token = Token(0)
-    var tasks: Map<Attempt, ReportedTask> = emptyMap()
-    var heardAt: Long? = null
+    var tasks: Map<AttemptId, ReportedTask> = emptyMap()
+    var lastContactAt: Long? = null
 
     val lease = WorkerLease()
 
     /** Its lease is over, and nothing was heard of it since. */
-    var lost = false
+    var isLeaseExpired = false
     var noticeUntil: Long? = null
     var idleSince: Long? = null
-    var returning = false
-    var quarantined = false
+    var isReleasing = false
+    var isQuarantined = false
 
     /** What was on it is being moved, so that it can be returned. */
-    var emptying = false
+    var isDraining = false
 
     /** It reports, but doesn't do what it is told: our answers and commands don't reach it. */
-    var deafUntil = 0L
+    var unresponsiveUntil = 0L
     val failedJobs = HashSet<String>()
 
-    val live = LinkedHashMap<Attempt, Live>()
+    val live = LinkedHashMap<AttemptId, TaskAttempt>()
     val images = LinkedHashSet<ImageName>()
 
-    var directInFlight: List<Attempt> = emptyList()
+    var directInFlight: List<AttemptId> = emptyList()
     var directBusy = false
     var directNotBefore = 0L
 
     /** Starts sent directly and not answered: they may be executed minutes later. */
-    val unresolved = HashSet<Attempt>()
+    val unresolved = HashSet<AttemptId>()
 
     /** Heard under our token, so that its report tells everything that is on it. */
-    fun isSettled(current: Token): Boolean = heardAt != null && token == current && !lost
+    fun isSettled(current: Token): Boolean = lastContactAt != null && token == current && !isLeaseExpired
 
-    fun mayBeThere(placed: Live, current: Token): Boolean {
+    fun mayBeThere(placed: TaskAttempt, current: Token): Boolean {
         if (placed.attempt in unresolved || placed.attempt in directInFlight) return true
         if (placed.inherited && !isSettled(current)) return true
         if (placed.answeredAt != null) return true
@@ -70,8 +70,8 @@
     }
 
     /** Free room: everything that is placed or still reported takes its part. */
-    fun free(type: MachineType, strangers: Amounts): Amounts {
-        var free = type.amounts() - strangers
+    fun free(type: MachineType, unmanagedUsage: Resources): Resources {
+        var free = type.resources() - unmanagedUsage
         for (placed in live.values) free -= placed.job.need
         return free
     }
--- a/src/main/kotlin/oxbowlug/cluster/Live.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -1,7 +1,7 @@
 package oxbowlug.cluster
 
 import oxbowlug.record.Phase
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.TaskId
 import oxbowlug.wire.TaskState
@@ -9,8 +9,8 @@
 enum class StopReason { PREEMPTED, DRAINED }
 
 /** One attempt that is, or may be, on a machine. It counts for every limit until it is proven gone. */
-class Live(val job: Job, val task: Int, val machine: MachineId, val number: Long) {
-    val attempt = Attempt(TaskId(job.id, task), number)
+class TaskAttempt(val job: Job, val task: Int, val machine: MachineId, val number: Long) {
+    val attempt = AttemptId(TaskId(job.id, task), number)
 
     /** Written to the state service: only then may it be started. */
     var committed = false
@@ -23,7 +23,7 @@
     var seenRunningAt = 0L
 
     /** A start went out in the answer to this report; a newer one that lacks the attempt shows it was dropped. */
-    var answeredAt: Stamp? = null
+    var answeredAt: HeartbeatPosition? = null
     private var firstSentAt: Long? = null
     var stop: StopReason? = null
 
@@ -31,8 +31,8 @@
     var target: MachineId? = null
     val isWanted: Boolean get() = stop == null && job.phase == Phase.ACTIVE
 
-    fun sentInAnswer(stamp: Stamp, now: Long) {
-        answeredAt = stamp
+    fun sentInAnswer(position: HeartbeatPosition, now: Long) {
+        answeredAt = position
         sentDirectly(now)
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatCounts.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -8,7 +8,7 @@
  * Which machines are silent, counted once a tick and zone by zone: asked for each machine, it would cost the square of
  * the fleet. Some silent machines of a zone hang or are dead; most of a zone is a cut, or trouble of our own.
  */
-class HeartbeatCounts(machines: Collection<Machine>, timing: Timing, startedAt: Long, now: Long) {
+class ZoneLiveness(machines: Collection<Machine>, timing: Timing, startedAt: Long, now: Long) {
     private class Count {
         var expected = 0
         var heard = 0
@@ -24,21 +24,21 @@
     init {
         for (host in machines) {
             val count = zones.getOrPut(host.zone, ::Count)
-            val heardAt = host.heardAt
-            if (heardAt == null && host.listed != MachineState.RUNNING) continue
+            val lastContactAt = host.lastContactAt
+            if (lastContactAt == null && host.listed != MachineState.RUNNING) continue
             count.expected++
-            if (heardAt != null && now - heardAt <= timing.quietMs) count.heard++
-            if (host.returning) continue
+            if (lastContactAt != null && now - lastContactAt <= timing.quietMs) count.heard++
+            if (host.isReleasing) continue
             count.known++
             // A leader elected during a cut has never heard the machines behind it.
-            val since = heardAt ?: maxOf(startedAt, host.knownSince)
+            val since = lastContactAt ?: maxOf(startedAt, host.firstSeenAt)
             if (now - since > timing.cutSignMs) count.silent++
-            if (heardAt != null && now - heardAt > timing.suspectMs) suspects.add(host)
+            if (lastContactAt != null && now - lastContactAt > timing.suspectMs) suspects.add(host)
         }
     }
 
     /** If most of a zone is silent, returning its machines would make it worse. */
-    fun mostAreHeard(zone: Zone?): Boolean = zones[zone]?.let { it.heard * 2 > it.expected } ?: false
+    fun isMajorityAlive(zone: Zone?): Boolean = zones[zone]?.let { it.heard * 2 > it.expected } ?: false
 
     fun isCut(zone: Zone?): Boolean = zones[zone]?.let { it.silent > maxOf(1, it.known / CUT) } ?: false
 
--- a/src/main/kotlin/oxbowlug/commit/Commits.kt
+++ b/src/main/kotlin/oxbowlug/commit/Commits.kt
@@ -2,7 +2,7 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.StateCache
-import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.Job
 import oxbowlug.config.Settings
 import oxbowlug.config.WriteLimits
@@ -38,7 +38,7 @@
     private val timing: Timing,
     private val budget: RateBudget,
     private val cache: StateCache,
-    private val fleet: Fleet,
+    private val cluster: ClusterState,
     private val decisions: DecisionContext,
 ) {
     private var inFlight = 0
@@ -48,7 +48,7 @@
     var deposed = false
         private set
 
-    val backlog: Int get() = fleet.dirty.size
+    val backlog: Int get() = cluster.dirty.size
 
     fun flush() {
         val now = clock.steadyMs()
@@ -70,12 +70,12 @@
     }
 
     private fun nextGroup(now: Long): List<Prepared> {
-        if (fleet.dirty.isEmpty() || cache.writableFormat == WritableFormat.NONE) return emptyList()
+        if (cluster.dirty.isEmpty() || cache.writableFormat == WritableFormat.NONE) return emptyList()
         val limits = writeLimits()
         val tokens = budget.available(now)
         if (tokens < 1.0) return emptyList()
         val spare = budget.spare(now)
-        val due = fleet.dirty.filter { job ->
+        val due = cluster.dirty.filter { job ->
             !job.isWriting && now >= job.writeNotBefore && (job.isUrgent || isLesserDue(job, spare, now))
         }
         val group = ArrayList<Prepared>()
@@ -139,7 +139,7 @@
 
     /** Placements that aren't stored were never sent, so they can be taken back; without them the record is smaller. */
     private fun makeSmaller(job: Job, now: Long) {
-        val takenBack = fleet.takeBackUncommitted(job)
+        val takenBack = cluster.withdrawUncommitted(job)
         log.error("the record of {} is larger than the state service takes, {} placements back", job.id, takenBack)
         job.writeNotBefore = now + timing.workerLeaseRawMs
     }
@@ -154,7 +154,7 @@
             val job = prepared.job
             conditions.add(Condition(Keys.job(job.id.value), job.version))
             job.beginWrite(prepared.record, prepared.form.parts)
-            fleet.dirty.remove(job)
+            cluster.dirty.remove(job)
         }
         state.commit(Transaction(conditions, changes)) { outcome ->
             inFlight--
@@ -170,7 +170,7 @@
                 for (prepared in group) {
                     // The watch may have brought the write before its answer did.
                     prepared.job.written(prepared.record, outcome.revision)
-                    pokeAfterWrite(prepared.job)
+                    pushAfterWrite(prepared.job)
                 }
             }
             is CommitOutcome.Conflict -> {
@@ -201,9 +201,9 @@
         "${prepared.job.id} ${record.phase.wire}, ${record.placements.size} placed$after"
     }
 
-    private fun pokeAfterWrite(job: Job) {
+    private fun pushAfterWrite(job: Job) {
         for (placed in job.live.values) {
-            if (placed.seen == null || job.phase == Phase.CANCELLED) fleet.pokes.add(placed.machine)
+            if (placed.seen == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(placed.machine)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/controller/Core.kt
+++ b/src/main/kotlin/oxbowlug/controller/Core.kt
@@ -102,7 +102,7 @@
     val submissionLimit: Int get() = jobRequests.limit
     val commitBacklog: Int get() = leader?.commitBacklog ?: 0
     val waitingTasks: Int get() = leader?.waitingTasks ?: 0
-    val machineCount: Int get() = leader?.fleet?.machines?.size ?: 0
+    val machineCount: Int get() = leader?.cluster?.machines?.size ?: 0
     val writesLeft: Double get() = leaderWrites.available(clock.steadyMs())
     val cloudCallsLeft: Double get() = cloudBudget.available(clock.steadyMs())
     val openCancellations: Int get() = cancellations.open.count { !it.hasEnded }
@@ -157,7 +157,7 @@
 
     /** Whether all attempts of a job are proven gone, as far as this controller has it in its account. */
     private fun hasEnded(id: JobId): Boolean? = when (election.role()) {
-        is LeadershipRole.Leader, is LeadershipRole.RenewalOnly -> leader?.fleet?.jobs?.get(id)?.live?.isEmpty()
+        is LeadershipRole.Leader, is LeadershipRole.RenewalOnly -> leader?.cluster?.jobs?.get(id)?.live?.isEmpty()
         is LeadershipRole.Follower, LeadershipRole.Unknown -> null
     }
 
@@ -166,7 +166,7 @@
      * successor that didn't know would have replicas fetch again what lies on the next machine. Empty elsewhere.
      */
     fun images(): Map<MachineId, List<ImageName>> =
-        if (isLeading) leader?.fleet?.machines?.mapValues { it.value.images.toList() }.orEmpty() else emptyMap()
+        if (isLeading) leader?.cluster?.machines?.mapValues { it.value.images.toList() }.orEmpty() else emptyMap()
 
     /** Who answers for a machine. With one part, the leader answers for all of them. */
     private fun owner(
@@ -348,12 +348,12 @@
         }
 
         override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) {
-            leader?.fleet?.takeJob(id, job, value)
+            leader?.cluster?.applyJob(id, job, value)
             cancellations.learned(id, job, value)
         }
 
         override fun onDependencyChanged(id: JobId) {
-            leader?.fleet?.dependencyChanged(id)
+            leader?.cluster?.dependencyChanged(id)
         }
 
         override fun onWritableFormat(format: WritableFormat) {
--- a/src/main/kotlin/oxbowlug/leader/Leader.kt
+++ b/src/main/kotlin/oxbowlug/leader/Leader.kt
@@ -3,11 +3,11 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.StateCache
 import oxbowlug.cache.cancelledWork
-import oxbowlug.cluster.Fleet
-import oxbowlug.cluster.HeartbeatCounts
+import oxbowlug.cluster.ClusterState
+import oxbowlug.cluster.HeartbeatPosition
 import oxbowlug.cluster.Machine
-import oxbowlug.cluster.Stamp
 import oxbowlug.cluster.StopReason
+import oxbowlug.cluster.ZoneLiveness
 import oxbowlug.commit.Commits
 import oxbowlug.config.Settings
 import oxbowlug.forecast.Arrivals
@@ -62,16 +62,16 @@
 ) {
     private val decisions = invariants.decisions
     private val startedAt = clock.steadyMs()
-    val fleet = Fleet(
+    val cluster = ClusterState(
         leadership.token, clock, timing, Arrivals(settings, timing.arrivalsMs), rememberedImages, settings.teams,
         cache::dependencyState, invariants,
     )
     val delegates = RenewalDelegates(leadership, settings, state, clock, timing, cache)
-    private val commits = Commits(leadership, requestIds, settings, state, clock, timing, writeBudget, cache, fleet, decisions)
-    private val rentals = Rentals(requestIds, settings, cloud, clock, timing, cloudBudget, fleet, decisions)
-    private val planning = Planning(settings, clock, timing, fleet, rentals, startedAt) { cache.writableFormat }
+    private val commits = Commits(leadership, requestIds, settings, state, clock, timing, writeBudget, cache, cluster, decisions)
+    private val rentals = Rentals(requestIds, settings, cloud, clock, timing, cloudBudget, cluster, decisions)
+    private val planning = Planning(settings, clock, timing, cluster, rentals, startedAt) { cache.writableFormat }
     private val tokenPropagation =
-        TokenPropagation(fleet, workers, timing, startedAt, settings.limits.maxSockets / SPREAD_SHARE, mayBeAnswered)
+        TokenPropagation(cluster, workers, timing, startedAt, settings.limits.maxSockets / SPREAD_SHARE, mayBeAnswered)
     private var nextPlanAt = 0L
     private var nextRoundAt = 0L
     private var nextMoveAt = startedAt + (settings.policy.replanS * 1000).toLong()
@@ -83,7 +83,7 @@
     val waitingTasks: Int get() = unplaced
 
     init {
-        cache.forEachActive { id, stored -> stored.value?.let { fleet.takeJob(id, stored, it) } }
+        cache.forEachActive { id, stored -> stored.value?.let { cluster.applyJob(id, stored, it) } }
     }
 
     /** Large records are looked for once, when a lease's time has passed: a new leader has more urgent things to do. */
@@ -104,8 +104,8 @@
         val limit = settings.state.lowest.valueKb * BYTES_PER_KB
         val now = clock.steadyMs()
         // What was too large to be written whole may be written in parts at once.
-        for (job in fleet.jobs.values) job.writeNotBefore = now
-        fleet.jobs.values
+        for (job in cluster.jobs.values) job.writeNotBefore = now
+        cluster.jobs.values
             .map { job -> job to if (job.storedParts.isEmpty()) job.record("").encode().sizeAsJson() else 0 }
             .filter { (_, bytes) -> bytes > limit }
             .sortedByDescending { (_, bytes) -> bytes }
@@ -117,7 +117,7 @@
     /** Workers reported in this term, and for some reports' time none does: either all hang, or we are cut off. */
     fun hasLostItsWorkers(now: Long): Boolean {
         val last = lastReportAt ?: return false
-        val expected = fleet.machines.values.any { it.heardAt != null && !it.returning }
+        val expected = cluster.machines.values.any { it.lastContactAt != null && !it.isReleasing }
         return expected && now - last > timing.workersLostMs
     }
 
@@ -126,19 +126,19 @@
      * machine or its session is gone, and nothing may renew it.
      */
     fun onReport(report: WorkerReport): List<WorkerCommand>? {
-        val host = fleet.hear(report, hello = true) ?: return null
+        val host = cluster.hear(report, hello = true) ?: return null
         lastReportAt = clock.steadyMs()
         // A copy that came late, or our proof was wrong: renewed, the session would live on with all that was given up
         // in it and that nobody stops there.
         if (host.lease.hasEnded(report.session)) return null
         if (!decisions.mayLead) return emptyList()
-        val stamp = Stamp(report.session, report.sequence)
+        val position = HeartbeatPosition(report.session, report.sequence)
         // The answer to a copy goes nowhere; it must not look as if the worker had been told.
-        if (stamp < host.lastHello) return emptyList()
-        val commands = storedOnly(host, fleet.commands(host, clock.steadyMs()))
-        if (stamp == host.stamp) requireStops(report, commands)
+        if (position < host.lastHeartbeat) return emptyList()
+        val commands = storedOnly(host, cluster.commands(host, clock.steadyMs()))
+        if (position == host.position) requireStops(report, commands)
         for (command in commands) {
-            if (command is WorkerCommand.Start) host.live[command.attempt]?.sentInAnswer(stamp, clock.steadyMs())
+            if (command is WorkerCommand.Start) host.live[command.attempt]?.sentInAnswer(position, clock.steadyMs())
         }
         return commands
     }
@@ -146,16 +146,16 @@
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
         delegates.tick(now)
-        val heartbeats = HeartbeatCounts(fleet.machines.values, timing, startedAt, now)
+        val heartbeats = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
         val hasRoom by lazy(LazyThreadSafetyMode.NONE) { planning.hasRoomFor(heartbeats.suspects, types) }
-        for (host in fleet.machines.values.toList()) watchOver(host, now, types, heartbeats) { hasRoom }
-        fleet.sweep()
+        for (host in cluster.machines.values.toList()) watchOver(host, now, types, heartbeats) { hasRoom }
+        cluster.removeOrphans()
         divideWhenDue(now)
         tokenPropagation.tick(now)
         rentals.tick(types)
-        if (types.isNotEmpty() && (now >= nextRoundAt || (fleet.planWanted && now >= nextPlanAt))) plan(types, now)
+        if (types.isNotEmpty() && (now >= nextRoundAt || (cluster.planWanted && now >= nextPlanAt))) plan(types, now)
         flush()
-        fleet.forgetFinished(cache)
+        cluster.forgetFinished(cache)
     }
 
     /**
@@ -164,9 +164,9 @@
      */
     fun endCancelledWork() {
         val now = clock.steadyMs()
-        val heartbeats = HeartbeatCounts(fleet.machines.values, timing, startedAt, now)
-        for (host in fleet.machines.values.toList()) endCancelled(host, now, heartbeats)
-        fleet.sweep()
+        val heartbeats = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
+        for (host in cluster.machines.values.toList()) endCancelled(host, now, heartbeats)
+        cluster.removeOrphans()
         rentals.returnDue()
         flush()
     }
@@ -175,15 +175,15 @@
     fun flush() {
         if (decisions.mayLead) commits.flush()
         val now = clock.steadyMs()
-        if (fleet.pokes.isEmpty()) return
-        for (id in fleet.pokes.toList()) {
-            val host = fleet.machines[id]
-            if (host == null || commandDirectly(host, now)) fleet.pokes.remove(id)
+        if (cluster.pendingPushes.isEmpty()) return
+        for (id in cluster.pendingPushes.toList()) {
+            val host = cluster.machines[id]
+            if (host == null || commandDirectly(host, now)) cluster.pendingPushes.remove(id)
         }
     }
 
     private fun plan(types: Map<TypeName, MachineType>, now: Long) {
-        fleet.planWanted = false
+        cluster.planWanted = false
         val began = clock.nanoTime()
         val mayMove = now >= nextMoveAt
         val snapshot = planning.snapshot(types, mayMove)
@@ -201,7 +201,7 @@
         unplaced = plan.unplaced
         // On a large fleet plans take long: they may take a part of the time only, or nobody else is answered.
         nextPlanAt = now + maxOf(timing.planGapMs, tookNs / NS_PER_MS * PLAN_RESTS)
-        val soon = plan.unplaced > 0 || plan.reserved.isNotEmpty() || fleet.jobs.values.any { now < it.holdUntil }
+        val soon = plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.holdUntil }
         nextRoundAt = now + if (soon) timing.replanSoonMs else (settings.policy.replanS * 1000).toLong()
     }
 
@@ -209,18 +209,18 @@
         host: Machine,
         now: Long,
         types: Map<TypeName, MachineType>,
-        heartbeats: HeartbeatCounts,
+        heartbeats: ZoneLiveness,
         hasRoom: () -> Boolean,
     ) {
         endCancelled(host, now, heartbeats)
         drain(host, now)
-        if (host.returning) return
+        if (host.isReleasing) return
         // Where no other can be had, a machine that may go on is worth more than the rent of its silence.
         val patience = if (rentals.isScarce(host, now)) SCARCE_PATIENCE else 1
         val silentMs = (settings.policy.silentLeases * timing.workerLeaseRawMs).toLong() * patience
-        val lastHeard = host.heardAt ?: maxOf(startedAt, host.knownSince)
-        val expected = host.heardAt != null || host.listed == MachineState.RUNNING
-        if (expected && now - lastHeard > silentMs && heartbeats.mostAreHeard(host.zone)) {
+        val lastHeard = host.lastContactAt ?: maxOf(startedAt, host.firstSeenAt)
+        val expected = host.lastContactAt != null || host.listed == MachineState.RUNNING
+        if (expected && now - lastHeard > silentMs && heartbeats.isMajorityAlive(host.zone)) {
             rentals.scheduleReturn(host, "silent")
         }
         if (isWorthGivingUp(host, now, types) && !heartbeats.isCut(host.zone) &&
@@ -228,7 +228,7 @@
         ) {
             rentals.scheduleReturn(host, "silent, and its work is worth more")
         }
-        if (host.quarantined && host.live.isEmpty()) rentals.scheduleReturn(host, "fails its tasks")
+        if (host.isQuarantined && host.live.isEmpty()) rentals.scheduleReturn(host, "fails its tasks")
         returnIdle(host, now, types)
     }
 
@@ -238,7 +238,7 @@
      * no other machine can be had, there must be room enough without it.
      */
     private fun isWorthGivingUp(host: Machine, now: Long, types: Map<TypeName, MachineType>): Boolean {
-        if (!isSuspect(host, now) || host.lost) return false
+        if (!isSuspect(host, now) || host.isLeaseExpired) return false
         val countsFrom = host.lease.countsFromMs ?: return false
         val type = types[host.type] ?: return false
         val leftS = (timing.workerExpiryMs - (now - countsFrom)) / 1000.0
@@ -246,7 +246,7 @@
     }
 
     private fun isSuspect(host: Machine, now: Long): Boolean =
-        host.heardAt?.let { now - it > timing.suspectMs } ?: false
+        host.lastContactAt?.let { now - it > timing.suspectMs } ?: false
 
     /** Tasks that can save are stopped just in time for it; others run on until the cloud takes the machine. */
     private fun drain(host: Machine, now: Long) {
@@ -254,14 +254,14 @@
         for (placed in host.live.values.toList()) {
             val spec = placed.job.spec
             if (!spec.savesWork || placed.stop != null) continue
-            if (until - now < spec.saveS * 1000 + timing.drainMarginMs) fleet.stop(placed, StopReason.DRAINED)
+            if (until - now < spec.saveS * 1000 + timing.drainMarginMs) cluster.stop(placed, StopReason.DRAINED)
         }
     }
 
-    private fun endCancelled(host: Machine, now: Long, heartbeats: HeartbeatCounts) {
+    private fun endCancelled(host: Machine, now: Long, heartbeats: ZoneLiveness) {
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
         val mayBeOver = decisions.mayLead && delegates.isSurelyOver(host.zone, host.lease.countsFromMs ?: now)
-        if (mayBeOver) fleet.expire(host, now)
+        if (mayBeOver) cluster.expire(host, now)
         val patienceMs = if (heartbeats.isCut(host.zone)) timing.cancelPatienceCutMs else timing.cancelPatienceMs
         for (placed in host.live.values) {
             val cancelledAt = placed.job.cancelledAt ?: continue
@@ -271,7 +271,7 @@
     }
 
     private fun returnIdle(host: Machine, now: Long, types: Map<TypeName, MachineType>) {
-        val busy = host.live.isNotEmpty() || host.id in reserved || host.heardAt == null ||
+        val busy = host.live.isNotEmpty() || host.id in reserved || host.lastContactAt == null ||
             host.tasks.values.any { it.state != TaskState.EXITED }
         if (busy) {
             host.idleSince = null
@@ -283,7 +283,7 @@
             return
         }
         val bootMs = (types[host.type]?.bootS ?: return) * 1000.0
-        if (host.emptying || now - since > settings.policy.idleBoots * bootMs) rentals.scheduleReturn(host, "idle")
+        if (host.isDraining || now - since > settings.policy.idleBoots * bootMs) rentals.scheduleReturn(host, "idle")
     }
 
     /** The account and the copy have to agree on what is cancelled, or one of them lacks it. */
@@ -304,21 +304,21 @@
     /** True once nothing is left to be said directly. */
     private fun commandDirectly(host: Machine, now: Long): Boolean {
         val endpoint = host.endpoint ?: return true
-        val heardAt = host.heardAt ?: return true
-        if (!host.isSettled(fleet.token) || now - heardAt > timing.quietMs || now < host.directNotBefore) return true
+        val lastContactAt = host.lastContactAt ?: return true
+        if (!host.isSettled(cluster.token) || now - lastContactAt > timing.quietMs || now < host.directNotBefore) return true
         if (host.directBusy) return false
         val commands =
-            if (decisions.mayLead) storedOnly(host, fleet.commands(host, now)) else fleet.cancelledStops(host)
+            if (decisions.mayLead) storedOnly(host, cluster.commands(host, now)) else cluster.cancelledStops(host)
         if (commands.all { it is WorkerCommand.Forget }) return true
         host.directBusy = true
         host.directInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
         for (attempt in host.directInFlight) host.live[attempt]?.sentDirectly(now)
-        workers.command(endpoint, fleet.token, host.stamp.session, commands) { outcome ->
+        workers.command(endpoint, cluster.token, host.position.session, commands) { outcome ->
             val starts = host.directInFlight
             host.directBusy = false
             host.directInFlight = emptyList()
             when (outcome) {
-                is DirectOutcome.Answered -> fleet.hear(outcome.report, hello = false)
+                is DirectOutcome.Answered -> cluster.hear(outcome.report, hello = false)
                 DirectOutcome.NotSent -> host.directNotBefore = clock.steadyMs() + timing.quietMs
                 DirectOutcome.Unanswered -> {
                     // It may be executed minutes later; from here on the answers to reports carry the commands.
--- a/src/main/kotlin/oxbowlug/leader/TokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/TokenPropagation.kt
@@ -1,6 +1,6 @@
 package oxbowlug.leader
 
-import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.Machine
 import oxbowlug.port.WorkerPort
 import oxbowlug.timing.Timing
@@ -13,7 +13,7 @@
  * which steps down. This renews no lease and proves nothing: the worker has to report here for that.
  */
 class TokenPropagation(
-    private val fleet: Fleet,
+    private val cluster: ClusterState,
     private val workers: WorkerPort,
     private val timing: Timing,
     private val startedAt: Long,
@@ -29,8 +29,8 @@
         if (now - startedAt < timing.propagateTokenAfterMs || now < nextRoundAt || !mayBeAnswered()) return
         nextRoundAt = now + timing.peerHeartbeatMs
         // All of them at once would take the time that those who report need.
-        var left = (fleet.machines.size * timing.peerHeartbeatMs / timing.propagateTokenAfterMs + 1).toInt()
-        for (host in fleet.machines.values) {
+        var left = (cluster.machines.size * timing.peerHeartbeatMs / timing.propagateTokenAfterMs + 1).toInt()
+        for (host in cluster.machines.values) {
             if (left == 0 || inFlight >= mostAtOnce) return
             if (!isMissing(host, now) || now < (nextAt[host] ?: 0)) continue
             left--
@@ -39,7 +39,7 @@
     }
 
     private fun isMissing(host: Machine, now: Long) =
-        host.heardAt == null && !host.returning && now - host.knownSince > timing.quietMs &&
+        host.lastContactAt == null && !host.isReleasing && now - host.firstSeenAt > timing.quietMs &&
             (host.listed == MachineState.RUNNING || host.live.isNotEmpty())
 
     private fun show(host: Machine, now: Long) {
@@ -47,10 +47,10 @@
         inFlight++
         nextAt[host] = now + timing.suspectMs
         workers.status(endpoint) { report ->
-            if (report == null || report.machine != host.id || report.token >= fleet.token) {
+            if (report == null || report.machine != host.id || report.token >= cluster.token) {
                 inFlight--
             } else {
-                workers.command(endpoint, fleet.token, report.session, emptyList()) { inFlight-- }
+                workers.command(endpoint, cluster.token, report.session, emptyList()) { inFlight-- }
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/lease/RenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/RenewalDelegate.kt
@@ -47,8 +47,8 @@
 
     private fun aloneMs(): Long {
         val leader = cache.leadership?.leader
-        val heardAt = heard?.takeIf { it.leader == leader }?.atMs ?: cache.lastContactMs
-        return clock.steadyMs() - maxOf(heardAt, cache.lastContactMs)
+        val lastContactAt = heard?.takeIf { it.leader == leader }?.atMs ?: cache.lastContactMs
+        return clock.steadyMs() - maxOf(lastContactAt, cache.lastContactMs)
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
@@ -29,7 +29,7 @@
     }
 
     /** Whether it has run out, as long as nobody else may have renewed it. */
-    fun isOver(now: Long, expiryMs: Long): Boolean = countsFromMs?.let { now >= it + expiryMs } ?: false
+    fun isExpired(now: Long, expiryMs: Long): Boolean = countsFromMs?.let { now >= it + expiryMs } ?: false
 
     /** It has run out, and with it the session that was shown last. */
     fun end() {
--- a/src/main/kotlin/oxbowlug/plan/Consolidation.kt
+++ b/src/main/kotlin/oxbowlug/plan/Consolidation.kt
@@ -1,8 +1,8 @@
 package oxbowlug.plan
 
-import oxbowlug.resource.Amounts
+import oxbowlug.resource.Resources
 import oxbowlug.resource.share
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.MachineId
@@ -14,7 +14,7 @@
  */
 object Consolidation {
     /** [targets] says where the replicas of [machine] go. */
-    class Move(val machine: MachineId, val targets: Map<Attempt, MachineId>) {
+    class Move(val machine: MachineId, val targets: Map<AttemptId, MachineId>) {
         val jobs: Int get() = targets.keys.distinctBy { it.task.job }.size
     }
 
@@ -47,9 +47,9 @@
         return saved - maxOf(boot, down)
     }
 
-    private fun elsewhere(machine: PlanMachine, hosts: List<PlanMachine>): Map<Attempt, MachineId>? {
-        val targets = LinkedHashMap<Attempt, MachineId>()
-        val free = HashMap<PlanMachine, Amounts>()
+    private fun elsewhere(machine: PlanMachine, hosts: List<PlanMachine>): Map<AttemptId, MachineId>? {
+        val targets = LinkedHashMap<AttemptId, MachineId>()
+        val free = HashMap<PlanMachine, Resources>()
         val zoneUse = HashMap<String, HashMap<Zone, Int>>()
         for (tenant in machine.tenants) {
             val spec = tenant.spec
--- a/src/main/kotlin/oxbowlug/plan/Offers.kt
+++ b/src/main/kotlin/oxbowlug/plan/Offers.kt
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.ints.IntArrayList
 import oxbowlug.plan.index.ChangedMachines
 import oxbowlug.plan.index.CostHeap
-import oxbowlug.resource.Amounts
+import oxbowlug.resource.Resources
 import oxbowlug.resource.fetchS
 import oxbowlug.wire.Zone
 
@@ -85,12 +85,12 @@
     var visited = 0L
         private set
     private lateinit var job: PlanJob
-    private lateinit var need: Amounts
+    private lateinit var need: Resources
     private var yields = false
     private var startWeight = 0.0
 
     /** What a guarantee covers doesn't spare scarce room for others, and its start is awaited. */
-    fun begin(next: PlanJob, nextNeed: Amounts, guaranteed: Boolean) {
+    fun begin(next: PlanJob, nextNeed: Resources, guaranteed: Boolean) {
         job = next
         need = nextNeed
         yields = !guaranteed && next.spec.spot
@@ -210,7 +210,7 @@
         return column.cost[index]
     }
 
-    private fun leastNeed(jobs: List<PlanJob>): Amounts {
+    private fun leastNeed(jobs: List<PlanJob>): Resources {
         var cores = Double.POSITIVE_INFINITY
         var gpus = Double.POSITIVE_INFINITY
         var memoryGb = Double.POSITIVE_INFINITY
@@ -219,7 +219,7 @@
             gpus = minOf(gpus, next.spec.gpus)
             memoryGb = minOf(memoryGb, next.spec.memoryGb)
         }
-        return Amounts(cores, gpus, memoryGb)
+        return Resources(cores, gpus, memoryGb)
     }
 
     private fun price(machine: PlanMachine, room: Room): Double {
--- a/src/main/kotlin/oxbowlug/plan/Planner.kt
+++ b/src/main/kotlin/oxbowlug/plan/Planner.kt
@@ -1,10 +1,10 @@
 package oxbowlug.plan
 
 import oxbowlug.plan.index.ChangedMachines
-import oxbowlug.resource.Amounts
-import oxbowlug.resource.amounts
+import oxbowlug.resource.Resources
 import oxbowlug.resource.fetchS
-import oxbowlug.wire.Attempt
+import oxbowlug.resource.resources
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.Zone
@@ -23,8 +23,8 @@
     private val machinesInZone = HashMap<Zone, Int>()
     private val hasMachinesWithoutGpus = machines.any { it.type.gpus <= 0.0 }
     private val starts = ArrayList<Start>()
-    private val stops = ArrayList<Attempt>()
-    private val targets = HashMap<Attempt, MachineId>()
+    private val stops = ArrayList<AttemptId>()
+    private val targets = HashMap<AttemptId, MachineId>()
     private val rentals = LinkedHashMap<Kind, Int>()
     private val reserved = LinkedHashSet<MachineId>()
     private var unplaced = 0
@@ -59,7 +59,7 @@
 
     /** How far the tasks of one job have been placed. */
     private class Placing(val job: PlanJob, val team: PlanTeam) {
-        val need = job.spec.amounts()
+        val need = job.spec.resources()
         val zones = ZoneRule(job)
         val starts = ArrayList<Start>()
         var next = 0
@@ -81,7 +81,7 @@
 
     /** Holds room for tasks that are expected, or rents it; whatever is really there goes first. */
     private fun reserve(job: PlanJob) {
-        val need = job.spec.amounts()
+        val need = job.spec.resources()
         val zones = ZoneRule(job)
         startWeight = 0.0
         offers.begin(job, need, guaranteed = false)
@@ -166,9 +166,9 @@
         return true
     }
 
-    private fun promise(host: PlanMachine, need: Amounts) {
+    private fun promise(host: PlanMachine, need: Resources) {
         // The room is part free now and part coming: what is free must not be given away meanwhile.
-        val now = Amounts(
+        val now = Resources(
             minOf(need.cores, host.free.cores).coerceAtLeast(0.0),
             minOf(need.gpus, host.free.gpus).coerceAtLeast(0.0),
             minOf(need.memoryGb, host.free.memoryGb).coerceAtLeast(0.0),
@@ -190,7 +190,7 @@
         }
     }
 
-    private fun relieve(job: PlanJob, need: Amounts, zones: ZoneRule): PlanMachine? {
+    private fun relieve(job: PlanJob, need: Resources, zones: ZoneRule): PlanMachine? {
         if (!hasMachinesWithoutGpus) return null
         val choice = Relief.choose(job, need, zones, machines, snapshot) ?: return null
         for (move in choice.moved) {
@@ -220,7 +220,7 @@
         return if (rental.kind.spot && rental.cost < scarce.cost && startsInS < job.estimateS) rent(rental) else null
     }
 
-    private fun bootingOrRented(job: PlanJob, need: Amounts, zones: ZoneRule, left: Int): PlanMachine? {
+    private fun bootingOrRented(job: PlanJob, need: Resources, zones: ZoneRule, left: Int): PlanMachine? {
         val booting = offers.cheapest(Room.BOOTING, zones)
         val rental = if (snapshot.mayRent) cheapestRental(job, need, zones, left) else null
         if (rental == null) return booting?.machine
@@ -241,13 +241,13 @@
     }
 
     /** A machine of the cheapest kind that may still be had. */
-    private fun cheapestRental(job: PlanJob, need: Amounts, zones: ZoneRule, left: Int): RentalOffer? =
+    private fun cheapestRental(job: PlanJob, need: Resources, zones: ZoneRule, left: Int): RentalOffer? =
         rentalPrices.cheapest(job, need, zones, left, startWeight) { zone ->
             // Between equal offers the zone with fewer machines is taken, so that one zone's loss costs less.
             1.0 + (machinesInZone[zone] ?: 0) * CROWDING + zones.used(zone) * CROWDING
         }
 
-    private fun roomiestZone(job: PlanJob, need: Amounts): Zone? {
+    private fun roomiestZone(job: PlanJob, need: Resources): Zone? {
         val room = HashMap<Zone, Int>()
         for (machine in machines) {
             if (!Constraints.allow(job, machine)) continue
--- a/src/main/kotlin/oxbowlug/plan/Preemption.kt
+++ b/src/main/kotlin/oxbowlug/plan/Preemption.kt
@@ -1,6 +1,6 @@
 package oxbowlug.plan
 
-import oxbowlug.resource.Amounts
+import oxbowlug.resource.Resources
 import oxbowlug.resource.fetchS
 import oxbowlug.wire.TeamName
 
@@ -14,7 +14,7 @@
 
     fun preempted(
         job: PlanJob,
-        need: Amounts,
+        need: Resources,
         guaranteed: Boolean,
         startWeight: Double,
         machine: PlanMachine,
@@ -87,11 +87,11 @@
     var asked = 0
         private set
     private lateinit var job: PlanJob
-    private lateinit var need: Amounts
+    private lateinit var need: Resources
     private var guaranteed = false
     private var startWeight = 0.0
 
-    fun begin(next: PlanJob, nextNeed: Amounts, guaranteedOnly: Boolean) {
+    fun begin(next: PlanJob, nextNeed: Resources, guaranteedOnly: Boolean) {
         job = next
         startWeight = Pricing.startWeight(next, guaranteedOnly, snapshot)
         need = nextNeed
--- a/src/main/kotlin/oxbowlug/plan/Pricing.kt
+++ b/src/main/kotlin/oxbowlug/plan/Pricing.kt
@@ -1,6 +1,6 @@
 package oxbowlug.plan
 
-import oxbowlug.resource.Amounts
+import oxbowlug.resource.Resources
 import oxbowlug.resource.share
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.MachineType
@@ -11,7 +11,7 @@
     /** The job's part of the machine for its run time, plus the weighted tardiness of its start there. */
     fun cost(
         job: PlanJob,
-        need: Amounts,
+        need: Resources,
         type: MachineType,
         price: Double,
         delayS: Double,
@@ -33,7 +33,7 @@
     fun serviceS(snapshot: Snapshot): Double = snapshot.horizonS * SERVICE_HORIZONS
 
     /** mu for each slot that stays idle, in the price of the slot for one second. */
-    fun idleCost(type: MachineType, price: Double, left: Amounts, snapshot: Snapshot): Double {
+    fun idleCost(type: MachineType, price: Double, left: Resources, snapshot: Snapshot): Double {
         val idle = if (type.gpus > 0.0) left.gpus else left.cores
         val slots = type.slots.coerceAtLeast(1.0)
         return snapshot.idleSlotPenalty * maxOf(0.0, idle) / slots * price / HOUR_S
@@ -43,13 +43,13 @@
      * GPUs that no job could use any more, because [need] takes the cores or the memory that belong beside them.
      * A service may stay for long, so they count for many horizons.
      */
-    fun strandCost(type: MachineType, price: Double, free: Amounts, need: Amounts, snapshot: Snapshot): Double {
+    fun strandCost(type: MachineType, price: Double, free: Resources, need: Resources, snapshot: Snapshot): Double {
         if (type.gpus <= 0.0) return 0.0
-        val lost = usableGpus(free, snapshot.besideGpu) - usableGpus(free - need, snapshot.besideGpu) - need.gpus
+        val lost = usableGpus(free, snapshot.resourcesPerGpu) - usableGpus(free - need, snapshot.resourcesPerGpu) - need.gpus
         return maxOf(0.0, lost) * price / type.gpus / HOUR_S * snapshot.horizonS * STRAND_HORIZONS
     }
 
-    private fun usableGpus(free: Amounts, beside: Amounts): Double {
+    private fun usableGpus(free: Resources, beside: Resources): Double {
         var usable = free.gpus
         if (beside.cores > 0.0) usable = minOf(usable, free.cores / beside.cores)
         if (beside.memoryGb > 0.0) usable = minOf(usable, free.memoryGb / beside.memoryGb)
--- a/src/main/kotlin/oxbowlug/plan/Relief.kt
+++ b/src/main/kotlin/oxbowlug/plan/Relief.kt
@@ -1,6 +1,6 @@
 package oxbowlug.plan
 
-import oxbowlug.resource.Amounts
+import oxbowlug.resource.Resources
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.Zone
 
@@ -15,7 +15,7 @@
 
     fun choose(
         job: PlanJob,
-        need: Amounts,
+        need: Resources,
         zones: ZoneRule,
         machines: List<PlanMachine>,
         snapshot: Snapshot,
@@ -36,7 +36,7 @@
     }
 
     private fun moves(
-        need: Amounts,
+        need: Resources,
         machine: PlanMachine,
         hosts: List<PlanMachine>,
         snapshot: Snapshot,
@@ -44,7 +44,7 @@
         var room = machine.free + machine.coming
         val movable = machine.tenants.filter { mayMove(it, machine, snapshot) }
         if (!need.fitsIn(movable.fold(room) { sum, tenant -> sum + tenant.need })) return null
-        val taken = HashMap<PlanMachine, Amounts>()
+        val taken = HashMap<PlanMachine, Resources>()
         val moved = ArrayList<Moved>()
         for (tenant in movable) {
             if (need.fitsIn(room)) break
--- a/src/main/kotlin/oxbowlug/plan/RentalPrices.kt
+++ b/src/main/kotlin/oxbowlug/plan/RentalPrices.kt
@@ -1,8 +1,8 @@
 package oxbowlug.plan
 
-import oxbowlug.resource.Amounts
-import oxbowlug.resource.amounts
+import oxbowlug.resource.Resources
 import oxbowlug.resource.fetchS
+import oxbowlug.resource.resources
 import oxbowlug.resource.share
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.Zone
@@ -44,7 +44,7 @@
     /** A machine of the cheapest kind that may still be had; [crowd] is a zone's factor. */
     fun cheapest(
         job: PlanJob,
-        need: Amounts,
+        need: Resources,
         zones: ZoneRule,
         left: Int,
         startWeight: Double,
@@ -55,7 +55,7 @@
         var bestType: MachineType? = null
         var bestCost = Double.POSITIVE_INFINITY
         for (candidate in types) {
-            if (!Constraints.allow(job, candidate.type) || !need.fitsIn(candidate.type.amounts())) continue
+            if (!Constraints.allow(job, candidate.type) || !need.fitsIn(candidate.type.resources())) continue
             for (choice in candidate.choices) {
                 val kind = choice.kind
                 if (kind.spot && !job.spec.spot) continue
@@ -72,7 +72,7 @@
         return RentalOffer(chosen.kind, bestType ?: return null, bestCost)
     }
 
-    private fun price(job: PlanJob, need: Amounts, left: Int, startWeight: Double) {
+    private fun price(job: PlanJob, need: Resources, left: Int, startWeight: Double) {
         if (job === pricedFor && left == pricedLeft && startWeight == pricedWeight) return
         val isSameJob = job === pricedFor && startWeight == pricedWeight
         for (candidate in types) {
@@ -88,19 +88,19 @@
         pricedWeight = startWeight
     }
 
-    private fun tasksPerMachine(type: MachineType, need: Amounts): Int =
+    private fun tasksPerMachine(type: MachineType, need: Resources): Int =
         (1.0 / type.share(need).coerceAtLeast(LEAST_SHARE)).toInt().coerceAtLeast(1)
 
     private fun baseCost(
         job: PlanJob,
-        need: Amounts,
+        need: Resources,
         type: MachineType,
         spot: Boolean,
         left: Int,
         startWeight: Double,
     ): Double {
         val filled = minOf(left, tasksPerMachine(type, need))
-        val leftover = Amounts(
+        val leftover = Resources(
             type.cores - need.cores * filled,
             type.gpus - need.gpus * filled,
             type.memoryGb - need.memoryGb * filled,
@@ -109,7 +109,7 @@
         val delayS = type.bootS + type.fetchS(job.spec)
         return Pricing.cost(job, need, type, price, delayS, startWeight, snapshot) +
             Pricing.idleCost(type, price, leftover, snapshot) * (type.bootS + Pricing.serviceS(snapshot)) +
-            Pricing.strandCost(type, price, type.amounts(), need, snapshot)
+            Pricing.strandCost(type, price, type.resources(), need, snapshot)
     }
 
     private fun slot(spot: Boolean) = if (spot) 1 else 0
--- a/src/main/kotlin/oxbowlug/plan/Snapshot.kt
+++ b/src/main/kotlin/oxbowlug/plan/Snapshot.kt
@@ -1,10 +1,10 @@
 package oxbowlug.plan
 
 import oxbowlug.plan.index.ChangedMachines
-import oxbowlug.resource.Amounts
-import oxbowlug.resource.amounts
+import oxbowlug.resource.Resources
 import oxbowlug.resource.fetchS
-import oxbowlug.wire.Attempt
+import oxbowlug.resource.resources
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobKind
@@ -21,7 +21,7 @@
 
 /** A task that holds part of a machine. */
 class Tenant(
-    val attempt: Attempt,
+    val attempt: AttemptId,
     val spec: JobSpec,
     /** Where its job's tasks are. */
     val zoneUse: Map<Zone, Int>,
@@ -36,7 +36,7 @@
     val priority: Priority = spec.priority,
 ) {
     val team: TeamName get() = spec.team
-    val need: Amounts = spec.amounts()
+    val need: Resources = spec.resources()
 
     /** Time to stop it with its work saved. */
     val saveS: Double get() = if (spec.savesWork) spec.saveS else 0.0
@@ -62,14 +62,14 @@
     val type: MachineType,
     val zone: Zone,
     val spot: Boolean,
-    free: Amounts,
+    free: Resources,
     /** Zero: can be given work now. Otherwise it is booting, or hasn't been heard yet. */
     val readyInS: Double,
     val images: Set<ImageName>,
     val fetching: Set<ImageName>,
     val isEmpty: Boolean,
     /** What those of its tenants take that are on their way out. */
-    leaving: Amounts,
+    leaving: Resources,
     /** Most plans look at few machines' tenants, so they are listed only when asked for. */
     tenants: Lazy<List<Tenant>>,
     /** No tenant that isn't on its way out is less urgent than this; null where there is none at all. */
@@ -94,23 +94,23 @@
         changed?.add(index)
     }
 
-    var free: Amounts = free
+    var free: Resources = free
         private set
 
     /** What comes free on its own or through this plan's stops, less what this plan has promised of it. */
-    var coming: Amounts = leaving
+    var coming: Resources = leaving
         private set
-    val stopped = HashSet<Attempt>()
+    val stopped = HashSet<AttemptId>()
     val isReady: Boolean get() = readyInS <= 0.0
     val isGettingRoom: Boolean get() = coming.cores > 0.0 || coming.gpus > 0.0 || coming.memoryGb > 0.0
 
     /** Takes [need] of what is free now. */
-    fun take(need: Amounts) {
+    fun take(need: Resources) {
         free -= need
         noteChange()
     }
 
-    fun promise(need: Amounts) {
+    fun promise(need: Resources) {
         coming -= need
         noteChange()
     }
@@ -132,7 +132,7 @@
     companion object {
         /** An empty machine without a name yet. */
         fun ordered(type: MachineType, zone: Zone, spot: Boolean, readyInS: Double) = PlanMachine(
-            null, type, zone, spot, type.amounts(), readyInS, emptySet(), emptySet(), true, Amounts.NONE,
+            null, type, zone, spot, type.resources(), readyInS, emptySet(), emptySet(), true, Resources.NONE,
             lazyOf(emptyList()),
         )
     }
@@ -169,28 +169,28 @@
     private var stoppingCores = 0.0
     private var stoppingGpus = 0.0
 
-    fun add(need: Amounts) {
+    fun add(need: Resources) {
         cores += need.cores
         gpus += need.gpus
     }
 
     /** [need] is on its way out: it still counts for the limit, but is not borrowed a second time. */
-    fun expectStop(need: Amounts) {
+    fun expectStop(need: Resources) {
         stoppingCores += need.cores
         stoppingGpus += need.gpus
     }
 
-    fun hasRoomFor(need: Amounts): Boolean =
+    fun hasRoomFor(need: Resources): Boolean =
         cores + need.cores <= maxCores + SLACK && gpus + need.gpus <= maxGpus + SLACK
 
     /** A guarantee of 0 is none, so a team needs a guarantee in whatever the task takes. */
-    fun guarantees(need: Amounts): Boolean {
+    fun guarantees(need: Resources): Boolean {
         val anything = guaranteedCores > 0.0 || guaranteedGpus > 0.0
         return anything && within(cores + need.cores, guaranteedCores) && within(gpus + need.gpus, guaranteedGpus)
     }
 
     /** Whether it stays at or above its guarantee without [need], so that [need] is borrowed. */
-    fun borrows(need: Amounts): Boolean {
+    fun borrows(need: Resources): Boolean {
         val coresOver = guaranteedCores > 0.0 && need.cores > 0.0 &&
             cores - stoppingCores - need.cores >= guaranteedCores - SLACK
         val gpusOver = guaranteedGpus > 0.0 && need.gpus > 0.0 &&
@@ -224,7 +224,7 @@
     val idleSlotPenalty: Double,
     val mayRent: Boolean,
     /** The most cores and memory that a job of today takes beside each GPU. */
-    val besideGpu: Amounts = Amounts.NONE,
+    val resourcesPerGpu: Resources = Resources.NONE,
     /** A task that was started less than this long ago is not moved: its start would not count. */
     val settledS: Double = 30.0,
     val mayMove: Boolean = false,
@@ -238,9 +238,9 @@
 
 class Plan(
     val starts: List<Start>,
-    val stops: List<Attempt>,
+    val stops: List<AttemptId>,
     /** Where those of [stops] go that are only moved. */
-    val targets: Map<Attempt, MachineId>,
+    val targets: Map<AttemptId, MachineId>,
     val rentals: Map<Kind, Int>,
     /** Machines, ready or not, on which this plan relies for tasks that can't start yet. */
     val reserved: Set<MachineId>,
--- a/src/main/kotlin/oxbowlug/request/Admission.kt
+++ b/src/main/kotlin/oxbowlug/request/Admission.kt
@@ -1,7 +1,7 @@
 package oxbowlug.request
 
 import oxbowlug.config.Settings
-import oxbowlug.resource.amounts
+import oxbowlug.resource.resources
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.MachineType
@@ -11,10 +11,10 @@
 object Admission {
     fun problem(spec: JobSpec, settings: Settings, types: Map<TypeName, MachineType>): String? {
         val team = settings.teams[spec.team] ?: return "yoke: is not a known team"
-        val need = spec.amounts()
+        val need = spec.resources()
         val fits = types.values.any { type ->
             (spec.types == null || type.name in spec.types) && (spec.zone == null || spec.zone in type.zones) &&
-                need.fitsIn(type.amounts())
+                need.fitsIn(type.resources())
         }
         if (!fits) return "a task fits no allowed machine type"
         if (spec.kind != JobKind.ARRAY && spec.oneZone && spec.zoneCap < spec.tasks) {
--- a/src/main/kotlin/oxbowlug/scaling/Rentals.kt
+++ b/src/main/kotlin/oxbowlug/scaling/Rentals.kt
@@ -1,7 +1,7 @@
 package oxbowlug.scaling
 
 import org.slf4j.LoggerFactory
-import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.Machine
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
@@ -31,7 +31,7 @@
     private val clock: Clock,
     private val timing: Timing,
     private val budget: RateBudget,
-    private val fleet: Fleet,
+    private val cluster: ClusterState,
     private val decisions: DecisionContext,
 ) {
     val ordered = ArrayList<Ordered>()
@@ -39,7 +39,7 @@
     private val toReturn = LinkedHashSet<MachineId>()
     private var listing = false
     private var nextListAt = 0L
-    private var returning = false
+    private var isReleasing = false
     private var nextReturnAt = 0L
 
     /** Machines that the list shows are known before anything is rented. */
@@ -59,7 +59,7 @@
 
     fun returnDue() {
         val now = clock.steadyMs()
-        if (!returning && toReturn.isNotEmpty() && now >= nextReturnAt && budget.tryTake(1.0, now)) returnMachines()
+        if (!isReleasing && toReturn.isNotEmpty() && now >= nextReturnAt && budget.tryTake(1.0, now)) returnMachines()
     }
 
     fun rent(kind: Kind, count: Int) {
@@ -86,7 +86,7 @@
                     ordered.remove(order)
                     log.info("rented {} of {} {}", outcome.machines.size, request.count, kind)
                     for (id in outcome.machines) {
-                        val machine = fleet.machine(id) ?: continue
+                        val machine = cluster.machine(id) ?: continue
                         machine.type = request.type
                         machine.zone = request.zone
                         machine.spot = request.spot
@@ -104,7 +104,7 @@
                     if (now > order.orderedAt + timing.orderPatienceMs) ordered.remove(order)
                 }
             }
-            fleet.planWanted = true
+            cluster.planWanted = true
         }
     }
 
@@ -129,8 +129,8 @@
     }
 
     fun scheduleReturn(machine: Machine, why: String) {
-        if (machine.returning) return
-        machine.returning = true
+        if (machine.isReleasing) return
+        machine.isReleasing = true
         log.info("returning {}: {}", machine.id, why)
         toReturn.add(machine.id)
     }
@@ -138,12 +138,12 @@
     private fun returnMachines() {
         val batch = toReturn.take(CloudCodec.MAX_RETURNED)
         log.info("asking for the return of {}: {}", batch, decisions.describe())
-        returning = true
+        isReleasing = true
         cloud.returnMachines(batch) { ok ->
-            returning = false
+            isReleasing = false
             if (ok) {
                 toReturn.removeAll(batch.toSet())
-                for (id in batch) fleet.removeMachine(id, "returned")
+                for (id in batch) cluster.removeMachine(id, "returned")
             } else {
                 nextReturnAt = clock.steadyMs() + timing.retryMs() * 2
             }
@@ -156,7 +156,7 @@
             listing = false
             nextListAt = clock.steadyMs() + if (machines == null) timing.retryMs() * 2 else timing.listEveryMs
             if (machines != null) {
-                if (!listedOnce) fleet.planWanted = true
+                if (!listedOnce) cluster.planWanted = true
                 listedOnce = true
                 take(machines, askedAt, types)
             }
@@ -172,8 +172,8 @@
         val present = HashSet<MachineId>(machines.size * 2)
         for (listed in machines) {
             present.add(listed.id)
-            val machine = fleet.machine(listed.id) ?: continue
-            if (machine.listed == null) fleet.planWanted = true
+            val machine = cluster.machine(listed.id) ?: continue
+            if (machine.listed == null) cluster.planWanted = true
             machine.listed = listed.state
             machine.listedAt = now
             if (machine.type == null) {
@@ -184,16 +184,16 @@
             if (machine.endpoint == null) machine.endpoint = Address.parse(listed.endpoint)
             machine.rentedAt = minOf(machine.rentedAt, now - (listed.ageS * 1000).toLong())
             if (listed.state == MachineState.FAILED) {
-                fleet.removeMachine(listed.id, "listed as failed")
+                cluster.removeMachine(listed.id, "listed as failed")
                 toReturn.add(listed.id)
             } else {
                 checkBoot(machine, now, types)
             }
         }
-        for (machine in fleet.machines.values.toList()) {
+        for (machine in cluster.machines.values.toList()) {
             // Lists lag and can go backwards: only one asked for long after the machine was known proves its absence.
-            if (machine.id !in present && machine.knownSince < askedAt - timing.listAgeMs) {
-                fleet.removeMachine(machine.id, "no longer listed")
+            if (machine.id !in present && machine.firstSeenAt < askedAt - timing.listAgeMs) {
+                cluster.removeMachine(machine.id, "no longer listed")
             }
         }
     }
@@ -201,7 +201,7 @@
     /** Some machines never come up and are charged until they are returned. */
     private fun checkBoot(machine: Machine, now: Long, types: Map<TypeName, MachineType>) {
         val bootMs = (types[machine.type]?.bootS ?: return) * 1000.0
-        if (machine.heardAt != null || machine.listed != MachineState.BOOTING) return
+        if (machine.lastContactAt != null || machine.listed != MachineState.BOOTING) return
         if (now - machine.rentedAt > settings.policy.bootPatience * bootMs) scheduleReturn(machine, "never came up")
     }
 
--- a/src/main/kotlin/oxbowlug/scheduling/Planning.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/Planning.kt
@@ -1,10 +1,10 @@
 package oxbowlug.scheduling
 
-import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.Job
-import oxbowlug.cluster.Live
 import oxbowlug.cluster.Machine
 import oxbowlug.cluster.StopReason
+import oxbowlug.cluster.TaskAttempt
 import oxbowlug.config.Settings
 import oxbowlug.plan.Plan
 import oxbowlug.plan.PlanJob
@@ -18,7 +18,7 @@
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.TaskRanges
 import oxbowlug.record.WritableFormat
-import oxbowlug.resource.Amounts
+import oxbowlug.resource.Resources
 import oxbowlug.resource.fetchS
 import oxbowlug.scaling.Ordered
 import oxbowlug.scaling.Rentals
@@ -37,7 +37,7 @@
     private val settings: Settings,
     private val clock: Clock,
     private val timing: Timing,
-    private val fleet: Fleet,
+    private val cluster: ClusterState,
     private val rentals: Rentals,
     private val startedAt: Long,
     private val writableFormat: () -> WritableFormat,
@@ -51,11 +51,11 @@
 
     fun snapshot(types: Map<TypeName, MachineType>, mayMove: Boolean): Snapshot {
         val now = clock.steadyMs()
-        InheritedUrgency.update(fleet.jobs, types.values, timing.pipelineStageMs)
+        InheritedUrgency.update(cluster.jobs, types.values, timing.pipelineStageMs)
         val teams = settings.teams.mapValues { (_, team) ->
             PlanTeam(team.maxCores, team.maxGpus, team.guaranteedCores, team.guaranteedGpus)
         }
-        for (job in fleet.jobs.values) {
+        for (job in cluster.jobs.values) {
             val need = job.need
             val team = teams[job.spec.team] ?: continue
             for (placed in job.live.values) {
@@ -64,13 +64,13 @@
             }
         }
         machineNameBytes = machineNameBytes()
-        val machines = ArrayList<PlanMachine>(fleet.machines.size)
-        val zoneUses = ZoneUses(fleet, settings.zones)
+        val machines = ArrayList<PlanMachine>(cluster.machines.size)
+        val zoneUses = ZoneUses(cluster, settings.zones)
         val pledges = pledges()
-        for (host in fleet.machines.values) machine(host, types, zoneUses, pledges, now)?.let(machines::add)
+        for (host in cluster.machines.values) machine(host, types, zoneUses, pledges, now)?.let(machines::add)
         for (order in rentals.ordered) addOrdered(order, types, now, machines)
         return Snapshot(
-            jobs = fleet.jobs.values.mapNotNull { job(it, zoneUses, now) } + reserves(types),
+            jobs = cluster.jobs.values.mapNotNull { job(it, zoneUses, now) } + reserves(types),
             machines = machines,
             teams = teams,
             types = types.values.toList(),
@@ -79,23 +79,23 @@
             postponeFactor = policy.postponeFactor,
             idleSlotPenalty = policy.idleSlotPenalty,
             mayRent = rentals.listedOnce,
-            besideGpu = besideGpu(),
+            resourcesPerGpu = resourcesPerGpu(),
             settledS = timing.settledS,
             mayMove = mayMove,
             guaranteeWeight = weights.guarantee,
         )
     }
 
-    private fun besideGpu(): Amounts {
+    private fun resourcesPerGpu(): Resources {
         var cores = 0.0
         var memoryGb = 0.0
-        for (job in fleet.jobs.values) {
+        for (job in cluster.jobs.values) {
             val spec = job.spec
             if (spec.gpus <= 0.0 || job.phase != Phase.ACTIVE) continue
             cores = maxOf(cores, spec.cores / spec.gpus)
             memoryGb = maxOf(memoryGb, spec.memoryGb / spec.gpus)
         }
-        return Amounts(cores, 0.0, memoryGb)
+        return Resources(cores, 0.0, memoryGb)
     }
 
     private fun job(job: Job, zoneUses: ZoneUses, now: Long): PlanJob? {
@@ -126,7 +126,7 @@
 
     /** Room for what is expected to come while a machine boots, as one job a class. */
     private fun reserves(types: Map<TypeName, MachineType>): List<PlanJob> {
-        val expected = fleet.arrivals.expected(clock.wallMs()) { spec ->
+        val expected = cluster.arrivals.expected(clock.wallMs()) { spec ->
             types.values.filter { spec.types == null || it.name in spec.types }.minOfOrNull { it.bootS } ?: 0.0
         }
         return expected.map { (example, count) ->
@@ -150,7 +150,7 @@
         if (writableFormat() == WritableFormat.HEAD_AND_PARTS) return dividedRoom(job)
         val perTask = JobRecord.PLACEMENT_BOUND + TaskRanges.RANGE_BOUND
         val room = valueLimit - JobRecord.SPEC_BOUND - TaskRanges.sizeBound(job.done)
-        val many = (room - fleet.machines.size * JobRecord.MACHINE_BOUND) / perTask
+        val many = (room - cluster.machines.size * JobRecord.MACHINE_BOUND) / perTask
         val few = room / (perTask + JobRecord.MACHINE_BOUND)
         return (maxOf(many, few) - job.live.size).coerceAtLeast(0)
     }
@@ -169,7 +169,7 @@
 
     /** The longest machine name less what all of them share. */
     private fun machineNameBytes(): Int {
-        val names = fleet.machines.keys.map { it.value }
+        val names = cluster.machines.keys.map { it.value }
         val longest = names.maxOfOrNull { it.length } ?: return LONG_MACHINE_NAME
         return longest - if (names.size > 1) RecordLayout.commonPrefix(names).length else 0
     }
@@ -178,12 +178,12 @@
         host: Machine,
         types: Map<TypeName, MachineType>,
         zoneUses: ZoneUses,
-        pledges: Map<MachineId, Amounts>,
+        pledges: Map<MachineId, Resources>,
         now: Long,
     ): PlanMachine? {
         val type = types[host.type ?: return null] ?: return null
         val zone = host.zone ?: return null
-        val isUnfit = host.returning || host.emptying || host.quarantined || now < host.deafUntil || host.lost
+        val isUnfit = host.isReleasing || host.isDraining || host.isQuarantined || now < host.unresponsiveUntil || host.isLeaseExpired
         if (isUnfit || host.noticeUntil != null) return null
         val readyInS = readyInS(host, type, now) ?: return null
         return PlanMachine(
@@ -191,10 +191,10 @@
             type = type,
             zone = zone,
             spot = host.spot,
-            free = host.free(type, strangers(host)) - (pledges[host.id] ?: Amounts.NONE),
+            free = host.free(type, unmanagedUsage(host)) - (pledges[host.id] ?: Resources.NONE),
             readyInS = readyInS,
             images = host.images,
-            fetching = fleet.fetching(host),
+            fetching = cluster.fetching(host),
             isEmpty = host.live.isEmpty(),
             leaving = leaving(host),
             tenants = lazy(LazyThreadSafetyMode.NONE) { host.live.values.map { tenant(it, type, zoneUses, now) } },
@@ -204,41 +204,41 @@
 
     /** Zero for a machine that can be given work, null for one that can't be counted on. */
     private fun readyInS(host: Machine, type: MachineType, now: Long): Double? {
-        val heardAt = host.heardAt
-        if (heardAt != null) {
-            if (now - heardAt > timing.quietMs) return null
-            return if (host.token == fleet.token) 0.0 else SOON_S
+        val lastContactAt = host.lastContactAt
+        if (lastContactAt != null) {
+            if (now - lastContactAt > timing.quietMs) return null
+            return if (host.token == cluster.token) 0.0 else SOON_S
         }
         if (host.listed == MachineState.RUNNING) {
-            return if (now - maxOf(startedAt, host.knownSince) < timing.workerLeaseRawMs) SOON_S else null
+            return if (now - maxOf(startedAt, host.firstSeenAt) < timing.workerLeaseRawMs) SOON_S else null
         }
         return maxOf(SOON_S, type.bootS - (now - host.rentedAt) / 1000.0)
     }
 
     /** Tasks that the worker shows but that aren't ours any more hold their room until they have exited. */
-    private fun strangers(host: Machine): Amounts {
-        var sum = Amounts.NONE
+    private fun unmanagedUsage(host: Machine): Resources {
+        var sum = Resources.NONE
         for (task in host.tasks.values) {
             if (task.state == TaskState.EXITED || task.attempt in host.live) continue
-            fleet.jobs[task.attempt.task.job]?.let { sum += it.need }
+            cluster.jobs[task.attempt.task.job]?.let { sum += it.need }
         }
         return sum
     }
 
     /** Room for tasks that are being stopped to go there: taken by others, it would leave them without a place. */
-    private fun pledges(): Map<MachineId, Amounts> {
-        val result = HashMap<MachineId, Amounts>()
-        for (job in fleet.jobs.values) {
+    private fun pledges(): Map<MachineId, Resources> {
+        val result = HashMap<MachineId, Resources>()
+        for (job in cluster.jobs.values) {
             for (placed in job.live.values) {
                 val target = placed.target ?: continue
-                if (placed.stop != null) result.merge(target, job.need, Amounts::plus)
+                if (placed.stop != null) result.merge(target, job.need, Resources::plus)
             }
         }
         return result
     }
 
-    private fun leaving(host: Machine): Amounts {
-        var sum = Amounts.NONE
+    private fun leaving(host: Machine): Resources {
+        var sum = Resources.NONE
         for (placed in host.live.values) if (!placed.isWanted) sum += placed.job.need
         return sum
     }
@@ -252,7 +252,7 @@
         return least
     }
 
-    private fun tenant(placed: Live, type: MachineType, zoneUses: ZoneUses, now: Long): Tenant {
+    private fun tenant(placed: TaskAttempt, type: MachineType, zoneUses: ZoneUses, now: Long): Tenant {
         val spec = placed.job.spec
         val ranS = if (placed.seen == TaskState.RUNNING) (now - placed.seenRunningAt) / 1000.0 else 0.0
         return Tenant(
@@ -288,14 +288,14 @@
 
     /** Whether what these machines hold would fit elsewhere, with some to spare since room comes in pieces. */
     fun hasRoomFor(hosts: List<Machine>, types: Map<TypeName, MachineType>): Boolean {
-        var need = Amounts.NONE
+        var need = Resources.NONE
         for (host in hosts) for (placed in host.live.values) if (placed.isWanted) need += placed.job.need
-        var free = Amounts.NONE
+        var free = Resources.NONE
         val now = clock.steadyMs()
-        for (host in fleet.machines.values) {
+        for (host in cluster.machines.values) {
             val type = types[host.type] ?: continue
-            val isReady = !host.returning && host.heardAt?.let { now - it <= timing.quietMs } ?: false
-            if (isReady && !host.spot) free += host.free(type, strangers(host))
+            val isReady = !host.isReleasing && host.lastContactAt?.let { now - it <= timing.quietMs } ?: false
+            if (isReady && !host.spot) free += host.free(type, unmanagedUsage(host))
         }
         return (need * SPARE).fitsIn(free)
     }
@@ -303,21 +303,21 @@
     fun apply(plan: Plan) {
         val touched = LinkedHashSet<Job>()
         for (start in plan.starts) {
-            val job = fleet.jobs[start.job] ?: continue
-            val host = fleet.machines[start.machine] ?: continue
-            fleet.place(job, start.task, host)
+            val job = cluster.jobs[start.job] ?: continue
+            val host = cluster.machines[start.machine] ?: continue
+            cluster.place(job, start.task, host)
             touched.add(job)
         }
-        for (job in touched) job.closeRound()
+        for (job in touched) job.nextRound()
         for (attempt in plan.stops) {
-            val placed = fleet.jobs[attempt.task.job]?.live?.get(attempt.task.index) ?: continue
-            if (placed.attempt == attempt) fleet.stop(placed, StopReason.PREEMPTED, plan.targets[attempt])
+            val placed = cluster.jobs[attempt.task.job]?.live?.get(attempt.task.index) ?: continue
+            if (placed.attempt == attempt) cluster.stop(placed, StopReason.PREEMPTED, plan.targets[attempt])
         }
         plan.move?.let { move ->
-            fleet.machines[move.machine]?.emptying = true
+            cluster.machines[move.machine]?.isDraining = true
             for ((attempt, target) in move.targets) {
-                val placed = fleet.jobs[attempt.task.job]?.live?.get(attempt.task.index) ?: continue
-                if (placed.attempt == attempt) fleet.stop(placed, StopReason.DRAINED, target)
+                val placed = cluster.jobs[attempt.task.job]?.live?.get(attempt.task.index) ?: continue
+                if (placed.attempt == attempt) cluster.stop(placed, StopReason.DRAINED, target)
             }
         }
         for ((kind, count) in plan.rentals) rentals.rent(kind, count)
--- a/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
@@ -1,13 +1,13 @@
 package oxbowlug.scheduling
 
-import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.Job
-import oxbowlug.cluster.Live
+import oxbowlug.cluster.TaskAttempt
 import oxbowlug.wire.JobId
 import oxbowlug.wire.Zone
 
 /** Where the tasks of each job are, counted once a plan: tenants of one job on many machines all ask for it. */
-class ZoneUses(private val fleet: Fleet, private val zones: List<Zone>) {
+class ZoneUses(private val cluster: ClusterState, private val zones: List<Zone>) {
     private val known = HashMap<JobId, Map<Zone, Int>>()
 
     /** A new leader may know from the records of a machine that it hasn't heard and that no list shows yet. */
@@ -23,5 +23,5 @@
         use
     }
 
-    private fun zoneOf(placed: Live): Zone? = fleet.machines[placed.machine]?.zone
+    private fun zoneOf(placed: TaskAttempt): Zone? = cluster.machines[placed.machine]?.zone
 }
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -103,7 +103,7 @@
     val errorPauseMaxMs: Long = workerLeaseRawMs * 3
 
     /** A machine that didn't take what it was told isn't given more for as long as that took to show. */
-    val deafMs: Long = workerLeaseRawMs * 2
+    val unresponsiveMs: Long = workerLeaseRawMs * 2
     val refusedPauseMs: Long = reportMs.toLong() * 3
 
     /** Ends of tasks wait this long for others of the same job, so that they share a write. */
--- a/src/main/kotlin/oxbowlug/wire/Ids.kt
+++ b/src/main/kotlin/oxbowlug/wire/Ids.kt
@@ -71,6 +71,6 @@
 }
 
 /** One attempt at a task: what a worker is told to run. */
-data class Attempt(val task: TaskId, val number: Long) {
+data class AttemptId(val task: TaskId, val number: Long) {
     override fun toString(): String = "$task#$number"
 }
--- a/src/main/kotlin/oxbowlug/wire/Worker.kt
+++ b/src/main/kotlin/oxbowlug/wire/Worker.kt
@@ -22,7 +22,7 @@
     OTHER(""),
 }
 
-data class ReportedTask(val attempt: Attempt, val state: TaskState, val cause: ExitCause?, val saved: Boolean)
+data class ReportedTask(val attempt: AttemptId, val state: TaskState, val cause: ExitCause?, val saved: Boolean)
 
 /** One worker's account of itself. The larger (session, sequence) is the newer one. */
 data class WorkerReport(
@@ -42,13 +42,13 @@
 }
 
 sealed interface WorkerCommand {
-    val attempt: Attempt
+    val attempt: AttemptId
 
-    data class Start(override val attempt: Attempt) : WorkerCommand
+    data class Start(override val attempt: AttemptId) : WorkerCommand
 
-    data class Stop(override val attempt: Attempt, val graceS: Double) : WorkerCommand
+    data class Stop(override val attempt: AttemptId, val graceS: Double) : WorkerCommand
 
-    data class Forget(override val attempt: Attempt) : WorkerCommand
+    data class Forget(override val attempt: AttemptId) : WorkerCommand
 }
 
 object WorkerCodec {
@@ -77,7 +77,7 @@
         val state = fields.text("stance")
         val cause = fields.textOrNull("cause")
         return ReportedTask(
-            attempt = Attempt(task, fields.count("try")),
+            attempt = AttemptId(task, fields.count("try")),
             state = TaskState.entries.firstOrNull { it.wire == state } ?: throw InvalidField("stance", "is unknown"),
             cause = cause?.let { text -> ExitCause.entries.firstOrNull { it.wire == text } ?: ExitCause.OTHER },
             saved = fields.flagOr("saved", false),
--- a/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
@@ -7,7 +7,7 @@
 import oxbowlug.standin.SimCloud
 import oxbowlug.standin.SimWorker
 import oxbowlug.standin.World
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MachineType
@@ -24,7 +24,7 @@
     private val plan: FleetPlan,
     private val connections: ReportConnections,
     /** Whether a stored record names the attempt. */
-    isStored: (Attempt) -> Boolean = { true },
+    isStored: (AttemptId) -> Boolean = { true },
 ) : JobBook {
     private val cancelMs = (options.leaseS * ControllerFiles.CANCEL_LEASES * MS).toLong()
     val rules = Rules(world, plan.teams.associate { it.name to it.maxGpus }, cancelMs, isStored)
@@ -74,7 +74,7 @@
 
     override fun runMs(job: String): Long = runMs.getValue(job)
 
-    override fun onStarted(machine: SimWorker, attempt: Attempt) {
+    override fun onStarted(machine: SimWorker, attempt: AttemptId) {
         starts++
         rules.started(machine, attempt)
         val id = attempt.task.job.value
@@ -83,7 +83,7 @@
         }
     }
 
-    override fun onDone(attempt: Attempt) = rules.done(attempt)
+    override fun onDone(attempt: AttemptId) = rules.done(attempt)
 
     fun tasksRunning(): Int = cloud.workers.sumOf { worker ->
         worker.tasks.values.count { it.state == TaskState.RUNNING }
--- a/src/scale/kotlin/oxbowlug/scale/Users.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Users.kt
@@ -157,11 +157,11 @@
         timeoutMs: Long,
         done: (Answer?) -> Unit,
     ) {
-        var isOver = false
+        var isOverQuota = false
 
         fun end(answer: Answer?) {
-            if (isOver) return
-            isOver = true
+            if (isOverQuota) return
+            isOverQuota = true
             done(answer)
         }
         world.after(timeoutMs) { end(null) }
--- a/src/scale/kotlin/oxbowlug/scale/Wire.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Wire.kt
@@ -1,7 +1,7 @@
 package oxbowlug.scale
 
 import oxbowlug.lease.ReportAnswer
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.Fields
@@ -45,7 +45,7 @@
 
     fun decodeCommands(fields: Fields): List<WorkerCommand> = fields.maps("calls").mapNotNull { call ->
         val task = TaskId.parse(call.text("furrow")) ?: return@mapNotNull null
-        val attempt = Attempt(task, call.count("try"))
+        val attempt = AttemptId(task, call.count("try"))
         when (call.text("call")) {
             "run" -> WorkerCommand.Start(attempt)
             "kill" -> WorkerCommand.Stop(attempt, call.amountOr("slack_s", 0.0))
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -78,7 +78,7 @@
             FaultKind.REPEAT_REPORTS_TO_NEXT_LEADER -> hold(fault) { keepsForNext = it }
             FaultKind.HOLD_PEER_FRAMES ->
                 network.cutLinks(fault.forMs) { from, to -> from is Endpoint.Controller && to is Endpoint.Controller }
-            FaultKind.DEAF_WORKERS -> some(fault).forEach { it.deafUntil = world.nowMs + fault.forMs }
+            FaultKind.DEAF_WORKERS -> some(fault).forEach { it.unresponsiveUntil = world.nowMs + fault.forMs }
             FaultKind.MUTE_WORKERS -> some(fault).forEach { it.muteUntil = world.nowMs + fault.forMs }
             FaultKind.HANG_WORKERS -> some(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
             FaultKind.UNANSWERED_THEN_MUTE_WORKERS -> some(fault).forEach { LostAnswers(world, leaseMs).begin(it) }
--- a/src/scale/kotlin/oxbowlug/standin/Rules.kt
+++ b/src/scale/kotlin/oxbowlug/standin/Rules.kt
@@ -1,7 +1,7 @@
 package oxbowlug.standin
 
 import oxbowlug.request.UserAnswer
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.JobState
@@ -13,7 +13,7 @@
     private val limits: Map<String, Double>,
     private val cancelMs: Long,
     /** Whether a stored record names the attempt: only then does whoever leads next know of it. */
-    private val isStored: (Attempt) -> Boolean = { true },
+    private val isStored: (AttemptId) -> Boolean = { true },
 ) {
     class Known(val spec: JobSpec) {
         /** When a user was first told that it is known. */
@@ -49,11 +49,11 @@
         broken.add("${world.nowMs} ms $rule: $what")
     }
 
-    fun done(attempt: Attempt) {
+    fun done(attempt: AttemptId) {
         jobs.getValue(attempt.task.job.value).done.add(attempt.task.index)
     }
 
-    fun started(machine: SimWorker, attempt: Attempt) {
+    fun started(machine: SimWorker, attempt: AttemptId) {
         starts++
         val job = jobs.getValue(attempt.task.job.value)
         if (job.cancelledAt != null) startsAfterCancellation++
@@ -83,7 +83,7 @@
         }
     }
 
-    private fun checkMachine(machine: SimWorker, attempt: Attempt, spec: JobSpec) {
+    private fun checkMachine(machine: SimWorker, attempt: AttemptId, spec: JobSpec) {
         if (machine.spot && !spec.spot) fail("wrong_place", "$attempt on a spot machine")
         if (spec.zone != null && spec.zone != machine.zone) fail("wrong_place", "$attempt in ${machine.zone}")
         val types = spec.types
@@ -129,7 +129,7 @@
         }
     }
 
-    private val unstoredSince = HashMap<Pair<SimWorker, Attempt>, Long>()
+    private val unstoredSince = HashMap<Pair<SimWorker, AttemptId>, Long>()
 
     /** Tasks that run on, though no controller could learn of them from what is stored. */
     fun checkStored(workers: List<SimWorker>) {
--- a/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
@@ -1,7 +1,7 @@
 package oxbowlug.standin
 
 import oxbowlug.lease.ReportAnswer
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.ExitCause
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
@@ -20,9 +20,9 @@
 
     fun runMs(job: String): Long
 
-    fun onStarted(machine: SimWorker, attempt: Attempt)
+    fun onStarted(machine: SimWorker, attempt: AttemptId)
 
-    fun onDone(attempt: Attempt)
+    fun onDone(attempt: AttemptId)
 }
 
 /** One controller, as a worker reports to it. */
@@ -79,7 +79,7 @@
     endpoint: String? = null,
 ) {
     class Running(
-        val attempt: Attempt,
+        val attempt: AttemptId,
         var state: TaskState,
         var cause: ExitCause? = null,
         var saved: Boolean = false
@@ -90,7 +90,7 @@
 
     val endpoint = endpoint ?: id.value.substringAfterLast('-').toInt()
         .let { "10.${it shr 16}.${it shr 8 and 255}.${it and 255}:9000" }
-    val tasks = LinkedHashMap<Attempt, Running>()
+    val tasks = LinkedHashMap<AttemptId, Running>()
     private val results = HashSet<String>()
     private val images = HashSet<String>()
     private var session = 1L
@@ -118,7 +118,7 @@
     var muteUntil = 0L
 
     /** Its reports arrive, but answers and commands don't reach it. */
-    var deafUntil = 0L
+    var unresponsiveUntil = 0L
 
     /** Its reports arrive, but their answers don't reach it, while direct commands do. */
     var unansweredUntil = 0L
@@ -228,7 +228,7 @@
 
     private fun take(answer: ReportAnswer?, message: WorkerReport, sentAt: Long) {
         inFlight = false
-        if (world.nowMs < deafUntil || world.nowMs < unansweredUntil) return tryNextNode()
+        if (world.nowMs < unresponsiveUntil || world.nowMs < unansweredUntil) return tryNextNode()
         when (answer) {
             is ReportAnswer.Taken -> {
                 if (world.nowMs > leaseFrom + leaseMs) expire()
@@ -260,7 +260,7 @@
     /** A direct command, which a hanging machine executes when it goes on. Null: nobody answers. */
     fun direct(given: Token, inSession: Long, commands: List<WorkerCommand>, answer: (WorkerReport, Boolean) -> Unit) {
         whenAwake {
-            if (world.nowMs >= deafUntil) {
+            if (world.nowMs >= unresponsiveUntil) {
                 if (world.nowMs > leaseFrom + leaseMs) expire()
                 val valid = given >= token && inSession == session
                 if (valid) {
@@ -272,7 +272,7 @@
         }
     }
 
-    fun status(answer: (WorkerReport) -> Unit) = whenAwake { if (world.nowMs >= deafUntil) answer(account()) }
+    fun status(answer: (WorkerReport) -> Unit) = whenAwake { if (world.nowMs >= unresponsiveUntil) answer(account()) }
 
     private fun execute(command: WorkerCommand) {
         when (command) {
@@ -284,7 +284,7 @@
         }
     }
 
-    private fun start(attempt: Attempt) {
+    private fun start(attempt: AttemptId) {
         if (attempt in tasks) return
         val spec = book.spec(attempt.task.job.value)
         val running = Running(attempt, TaskState.FETCHING)
@@ -329,7 +329,7 @@
         }
     }
 
-    private fun stop(attempt: Attempt, graceS: Double) {
+    private fun stop(attempt: AttemptId, graceS: Double) {
         val running = tasks[attempt] ?: return
         if (running.state == TaskState.EXITED) return
         val spec = book.spec(attempt.task.job.value)
--- a/src/scale/kotlin/oxbowlug/standin/StoredPlacements.kt
+++ b/src/scale/kotlin/oxbowlug/standin/StoredPlacements.kt
@@ -3,11 +3,11 @@
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
 import oxbowlug.record.RecordLayout
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.InvalidField
 
 /** Whether the stored record of its job names the attempt: only then does whoever leads next know of it. */
-fun SimStore.names(attempt: Attempt): Boolean {
+fun SimStore.names(attempt: AttemptId): Boolean {
     val id = attempt.task.job.value
     val head = entry(Keys.job(id))?.value ?: return false
     return try {
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -28,7 +28,7 @@
 import oxbowlug.testing.SettingsTexts
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.Change
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpecCodec
@@ -64,7 +64,7 @@
     private val clock = ManualClock()
 
     /** Attempts that run on the machine. */
-    private val running = LinkedHashSet<Attempt>()
+    private val running = LinkedHashSet<AttemptId>()
     private var obeys = true
     private val returned = ArrayList<MachineId>()
 
@@ -122,7 +122,7 @@
         self, settings, clock, timing, cache, cancellations, peerHealth, cloud, workers, RateBudget(10.0),
     )
 
-    private fun attempt(job: JobId) = Attempt(TaskId(job, 0), 1)
+    private fun attempt(job: JobId) = AttemptId(TaskId(job, 0), 1)
 
     private fun cancelled(job: JobId) {
         val spec = JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(id = job)
@@ -154,13 +154,13 @@
     @Test
     fun `each cancelled job's attempts on a shared machine are stopped`() {
         play(listOf(first, second), forMs = timing.cancelPatienceMs)
-        assertEquals(emptySet<Attempt>(), running)
+        assertEquals(emptySet<AttemptId>(), running)
     }
 
     @Test
     fun `that one job's attempts are gone isn't taken for the other's`() {
         play(listOf(second), forMs = timing.cancelPatienceMs)
-        assertEquals(emptySet<Attempt>(), running)
+        assertEquals(emptySet<AttemptId>(), running)
     }
 
     @Test
--- a/src/test/kotlin/oxbowlug/cluster/FleetTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -28,7 +28,7 @@
 import oxbowlug.testing.permissiveContext
 import oxbowlug.timing.RateBudget
 import oxbowlug.timing.Timing
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.ExitCause
 import oxbowlug.wire.JobId
@@ -51,15 +51,15 @@
 import kotlin.random.Random
 
 /** When an attempt is gone, and when it only seems so. */
-class FleetTest {
+class ClusterStateTest {
     private val clock = ManualClock()
     private val settings = SettingsFile.parse(SettingsTexts.valid, Policy())
     private val timing = Timing(settings, Random(1))
     private val token = Token(5)
-    private val fleet = Fleet(token, clock, timing, Arrivals(settings, 60_000), invariants = failingInvariants)
+    private val cluster = ClusterState(token, clock, timing, Arrivals(settings, 60_000), invariants = failingInvariants)
     private val machine = MachineId("host-000001")
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
-    private val attempt = Attempt(TaskId(spec.id, 0), 1)
+    private val attempt = AttemptId(TaskId(spec.id, 0), 1)
 
     private fun record(phase: Phase = Phase.ACTIVE, placed: Boolean = true, write: String = "w") = JobRecord(
         spec, 0, phase, BitSet(), 2, if (placed) mapOf(0 to Placement(machine, 1)) else emptyMap(), write,
@@ -68,10 +68,10 @@
     private fun take(record: JobRecord, version: Long) {
         val value = Cbor.decode(Cbor.encode(record.encode()))
         val stored = CachedJob(record.phase, version, spec.tasks, 0, record.placements.size, value)
-        fleet.takeJob(spec.id, stored, value)
+        cluster.applyJob(spec.id, stored, value)
     }
 
-    private val job: Job get() = fleet.jobs.getValue(spec.id)
+    private val job: Job get() = cluster.jobs.getValue(spec.id)
 
     private fun report(
         sequence: Long,
@@ -82,25 +82,25 @@
 
     private fun Job.begin(write: String): JobRecord = record(write).also { beginWrite(it, emptyList()) }
 
-    private fun hello(report: WorkerReport) = fleet.hear(report, hello = true)
+    private fun hello(report: WorkerReport) = cluster.hear(report, hello = true)
 
     private fun task(state: TaskState, cause: ExitCause? = null) = ReportedTask(attempt, state, cause, false)
 
-    private fun commands() = fleet.commands(fleet.machines.getValue(machine), clock.now)
+    private fun commands() = cluster.commands(cluster.machines.getValue(machine), clock.now)
 
     private val isHeld: Boolean get() = 0 in job.live
 
     @Test
     fun `a job that waits for others is never placed`() {
         var state = DependencyState.WAITING
-        val waiting = Fleet(
+        val waiting = ClusterState(
             token, clock, timing, Arrivals(settings, 60_000), dependencyState = {
                 state
             }, invariants = failingInvariants,
         )
         val needy = spec.copy(waitsOn = listOf(JobId("run-needed")))
         val value = Cbor.decode(Cbor.encode(JobRecord(needy, 0, Phase.ACTIVE, BitSet(), 1, emptyMap(), "w").encode()))
-        waiting.takeJob(spec.id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 0, value), value)
+        waiting.applyJob(spec.id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 0, value), value)
         val host = waiting.machine(machine) ?: error("it is there")
         val needyJob = waiting.jobs.getValue(spec.id)
         assertThrows(IllegalStateException::class.java) { waiting.place(needyJob, 0, host) }
@@ -125,7 +125,7 @@
         class Case(val maxGpus: Double, val isStarted: Boolean)
         for (case in listOf(Case(1.5, isStarted = false), Case(2.0, isStarted = true))) {
             val team = Team(spec.team, 0.0, 1e9, 0.0, spec.gpus * case.maxGpus)
-            val here = Fleet(
+            val here = ClusterState(
                 token, clock, timing, Arrivals(settings, 60_000), teams = mapOf(team.name to team),
                 invariants = failingInvariants,
             )
@@ -134,9 +134,9 @@
                     spec.copy(id = id), 0, Phase.ACTIVE, BitSet(), 2, mapOf(0 to Placement(machine, 1)), "w-$id",
                 )
                 val value = Cbor.decode(Cbor.encode(stored.encode()))
-                here.takeJob(id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 1, value), value)
+                here.applyJob(id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 1, value), value)
             }
-            val other = ReportedTask(Attempt(TaskId(JobId("run-000999"), 0), 1), TaskState.RUNNING, null, false)
+            val other = ReportedTask(AttemptId(TaskId(JobId("run-000999"), 0), 1), TaskState.RUNNING, null, false)
             val start = WorkerCommand.Start(attempt)
             here.hear(report(1, seen = Token(4), tasks = listOf(other)), hello = true)
             val host = here.machines.getValue(machine)
@@ -154,33 +154,33 @@
         hello(report(9))
         assertTrue(isHeld, "an older report lacks it")
         clock.now += timing.workerLeaseRawMs - 100
-        assertFalse(fleet.expire(fleet.machines.getValue(machine), clock.now))
+        assertFalse(cluster.expire(cluster.machines.getValue(machine), clock.now))
         hello(report(8))
         clock.now += timing.workerExpiryMs - timing.workerLeaseRawMs + 100
-        assertTrue(fleet.expire(fleet.machines.getValue(machine), clock.now), "a copy renews nothing")
+        assertTrue(cluster.expire(cluster.machines.getValue(machine), clock.now), "a copy renews nothing")
         assertFalse(isHeld)
         assertFalse(hello(report(11, tasks = listOf(task(TaskState.RUNNING)))) == null)
-        assertEquals(emptyMap<Attempt, ReportedTask>(), fleet.machines.getValue(machine).tasks, "that session is over")
+        assertEquals(emptyMap<AttemptId, ReportedTask>(), cluster.machines.getValue(machine).tasks, "that session is over")
     }
 
     @Test
     fun `a session that a direct answer shows has a lease of its own`() {
         take(record(placed = false), 7)
         hello(report(1))
-        val host = fleet.machines.getValue(machine)
+        val host = cluster.machines.getValue(machine)
         clock.now += timing.workerLeaseRawMs - 1_000
         // It heard none of our last answers, so its session ended, and the next one began without a report to us.
-        fleet.hear(report(2, session = 2), hello = false)
-        fleet.place(job, 0, host)
+        cluster.hear(report(2, session = 2), hello = false)
+        cluster.place(job, 0, host)
         job.written(job.begin("w2"), 8)
-        val started = Attempt(TaskId(spec.id, 0), 2)
+        val started = AttemptId(TaskId(spec.id, 0), 2)
         val running = ReportedTask(started, TaskState.RUNNING, null, false)
-        fleet.hear(report(3, session = 2, tasks = listOf(running)), hello = false)
+        cluster.hear(report(3, session = 2, tasks = listOf(running)), hello = false)
         clock.now += 2_000
-        fleet.expire(host, clock.now)
+        cluster.expire(host, clock.now)
         assertTrue(isHeld, "the new session's lease is not over, and the task runs")
         clock.now += timing.workerExpiryMs
-        assertTrue(fleet.expire(host, clock.now), "a lease after it was shown, it is")
+        assertTrue(cluster.expire(host, clock.now), "a lease after it was shown, it is")
         assertFalse(isHeld)
     }
 
@@ -189,7 +189,7 @@
         take(record(), 7)
         hello(report(10, seen = Token(4), tasks = listOf(task(TaskState.RUNNING))))
         clock.now += timing.workerExpiryMs * 3
-        assertFalse(fleet.expire(fleet.machines.getValue(machine), clock.now))
+        assertFalse(cluster.expire(cluster.machines.getValue(machine), clock.now))
         assertTrue(isHeld)
     }
 
@@ -197,7 +197,7 @@
     fun `a machine that the cloud took back takes its attempts along, and late reports of it don't count`() {
         take(record(), 7)
         hello(report(1, tasks = listOf(task(TaskState.RUNNING))))
-        fleet.removeMachine(machine, "returned")
+        cluster.removeMachine(machine, "returned")
         assertFalse(isHeld)
         assertEquals(null, hello(report(2, tasks = listOf(task(TaskState.RUNNING)))))
     }
@@ -206,7 +206,7 @@
     fun `a direct start that wasn't answered counts as possibly there until a new session`() {
         take(record(), 7)
         hello(report(1))
-        val host = fleet.machines.getValue(machine)
+        val host = cluster.machines.getValue(machine)
         host.unresolved.add(attempt)
         take(record(phase = Phase.CANCELLED), 8)
         hello(report(2))
@@ -236,7 +236,7 @@
     @Test
     fun `a refused start is an exit of the attempt, not of the task`() {
         for (cause in listOf(ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN, ExitCause.ERROR, ExitCause.STOPPED)) {
-            val fresh = FleetTest()
+            val fresh = ClusterStateTest()
             fresh.take(fresh.record(), 7)
             fresh.hello(fresh.report(1, tasks = listOf(fresh.task(TaskState.EXITED, cause))))
             assertFalse(fresh.isHeld, cause.name)
@@ -256,10 +256,10 @@
     fun `a start waits for its commit`() {
         take(record(placed = false), 7)
         hello(report(1))
-        fleet.place(job, 0, fleet.machines.getValue(machine))
+        cluster.place(job, 0, cluster.machines.getValue(machine))
         assertEquals(emptyList<WorkerCommand>(), commands())
         job.written(job.begin("w2"), 8)
-        assertEquals(listOf(WorkerCommand.Start(Attempt(TaskId(spec.id, 0), 2))), commands())
+        assertEquals(listOf(WorkerCommand.Start(AttemptId(TaskId(spec.id, 0), 2))), commands())
     }
 
     @Test
@@ -292,27 +292,27 @@
         take(record(write = "late"), 8)
         assertTrue(isHeld)
         assertEquals(1, job.live.getValue(0).number)
-        assertTrue(attempt in fleet.machines.getValue(machine).live)
+        assertTrue(attempt in cluster.machines.getValue(machine).live)
     }
 
     @Test
     fun `errors suspect the machine first, and the job when it fails on several`() {
-        val host = fleet.machine(machine) ?: error("new")
+        val host = cluster.machine(machine) ?: error("new")
         take(record(), 7)
-        Failures.onError(host, job, clock.now, timing)
-        assertFalse(host.quarantined)
+        FailureBackoff.onError(host, job, clock.now, timing)
+        assertFalse(host.isQuarantined)
         assertEquals(0, job.holdUntil)
         host.failedJobs.add("another")
-        Failures.onError(host, job, clock.now, timing)
-        assertTrue(host.quarantined)
+        FailureBackoff.onError(host, job, clock.now, timing)
+        assertTrue(host.isQuarantined)
         val pauses = (2..6).map { index ->
-            Failures.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
+            FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
             maxOf(0, job.holdUntil - clock.now)
         }
         assertEquals(0, pauses.first(), "two machines don't make it the job's fault")
         assertEquals(pauses.sorted(), pauses, "the pause grows")
         assertTrue(pauses.last() > pauses[1])
-        for (index in 7..30) Failures.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
+        for (index in 7..30) FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
         val longest = maxOf(job.holdUntil - clock.now, timing.avoidMs)
         assertTrue(longest <= 75_000, "after the trouble it would be left waiting for $longest ms beside free room")
     }
@@ -322,15 +322,15 @@
         val type = MachineType(TypeName("g8"), 64.0, spec.gpus, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, listOf(Zone("a")))
         val types = mapOf(type.name to type)
         val names = RequestIds(Member("n0", "x"))
-        val rentals = Rentals(names, settings, NoCloud, clock, timing, RateBudget(1.0), fleet, permissiveContext)
-        val planning = Planning(settings, clock, timing, fleet, rentals, clock.now) { WritableFormat.SINGLE_VALUE }
+        val rentals = Rentals(names, settings, NoCloud, clock, timing, RateBudget(1.0), cluster, permissiveContext)
+        val planning = Planning(settings, clock, timing, cluster, rentals, clock.now) { WritableFormat.SINGLE_VALUE }
         take(record(), 1)
-        fleet.hear(report(1, tasks = listOf(ReportedTask(attempt, TaskState.RUNNING, null, false))), hello = true)
-        val silent = fleet.machines.getValue(machine)
+        cluster.hear(report(1, tasks = listOf(ReportedTask(attempt, TaskState.RUNNING, null, false))), hello = true)
+        val silent = cluster.machines.getValue(machine)
         clock.now += timing.suspectMs
         assertFalse(planning.hasRoomFor(listOf(silent), types), "it is the only one")
         for (name in listOf("host-000002", "host-000003")) {
-            fleet.hear(report(1).copy(machine = MachineId(name)), hello = true)
+            cluster.hear(report(1).copy(machine = MachineId(name)), hello = true)
         }
         assertTrue(planning.hasRoomFor(listOf(silent), types))
         clock.now += timing.quietMs + 1
@@ -342,7 +342,7 @@
         // Found on the bench: a leader elected during a cut counted the time allowed from its own start.
         val told = record(Phase.CANCELLED)
         val value = Cbor.decode(Cbor.encode(told.encode() + (JobRecord.CANCELLED_AT to clock.now - 12_000)))
-        fleet.takeJob(spec.id, CachedJob(told.phase, 1, spec.tasks, 0, 1, value), value)
+        cluster.applyJob(spec.id, CachedJob(told.phase, 1, spec.tasks, 0, 1, value), value)
         assertEquals(clock.now - 12_000, job.cancelledAt)
         assertEquals(clock.now - 12_000, job.begin("w2").cancelledMs)
     }
@@ -364,10 +364,10 @@
                 Machine(MachineId("host-$index"), 0).apply {
                     zone = Zone("a")
                     listed = MachineState.RUNNING
-                    heardAt = ago?.let { clock.now - it }
+                    lastContactAt = ago?.let { clock.now - it }
                 }
             }
-            val heartbeats = HeartbeatCounts(hosts, timing, clock.now - silent, clock.now)
+            val heartbeats = ZoneLiveness(hosts, timing, clock.now - silent, clock.now)
             assertEquals(case.isCut, heartbeats.isCut(Zone("a")), case.name)
             assertEquals(case.suspects, heartbeats.suspects.size, case.name)
         }
@@ -377,12 +377,12 @@
     fun `tasks on a machine of which nothing is known yet count in every zone`() {
         // Found by the simulation: a new leader left them out, and more than half of a spread job came into one zone.
         take(record(), 1)
-        val uses = ZoneUses(fleet, settings.zones)
+        val uses = ZoneUses(cluster, settings.zones)
         assertEquals(settings.zones.associateWith { 1 }, uses.of(job))
         assertFalse(uses.isKnown(job))
         hello(report(1))
-        val known = ZoneUses(fleet, settings.zones)
-        assertEquals(mapOf(fleet.machines.getValue(machine).zone to 1), known.of(job))
+        val known = ZoneUses(cluster, settings.zones)
+        assertEquals(mapOf(cluster.machines.getValue(machine).zone to 1), known.of(job))
         assertTrue(known.isKnown(job))
     }
 
--- a/src/test/kotlin/oxbowlug/commit/CommitsTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/CommitsTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.cache.CachedJob
 import oxbowlug.cache.StateCache
-import oxbowlug.cluster.Fleet
+import oxbowlug.cluster.ClusterState
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
 import oxbowlug.forecast.Arrivals
@@ -63,7 +63,7 @@
         }
     }
 
-    private val fleet = Fleet(Token(1), clock, timing, Arrivals(settings, 60_000), invariants = failingInvariants)
+    private val cluster = ClusterState(Token(1), clock, timing, Arrivals(settings, 60_000), invariants = failingInvariants)
     private lateinit var commits: Commits
 
     private fun put(key: String, value: Map<String, Any?>) {
@@ -78,10 +78,10 @@
         for (record in records) put(Keys.job(record.spec.id.value), record.encode())
         val cache = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
         val version = store.entry(Keys.LEADERSHIP)?.version ?: error("it was just written")
-        cache.forEachActive { id, stored -> stored.value?.let { fleet.takeJob(id, stored, it) } }
+        cache.forEachActive { id, stored -> stored.value?.let { cluster.applyJob(id, stored, it) } }
         commits = Commits(
             leadership.copy(version = version), RequestIds(leadership.leader), settings, Port(), clock, timing, RateBudget(rate),
-            cache, fleet, permissiveContext,
+            cache, cluster, permissiveContext,
         )
     }
 
@@ -91,9 +91,9 @@
     )
 
     private fun place(id: String, tasks: IntRange) {
-        val job = fleet.jobs.getValue(JobId(id))
-        for (task in tasks) fleet.place(job, task, fleet.machine(MachineId("host-%06d".format(task))) ?: error("there"))
-        job.closeRound()
+        val job = cluster.jobs.getValue(JobId(id))
+        for (task in tasks) cluster.place(job, task, cluster.machine(MachineId("host-%06d".format(task))) ?: error("there"))
+        job.nextRound()
     }
 
     private fun flush(times: Int = 1) = repeat(times) {
@@ -114,7 +114,7 @@
         world.runUntil(world.nowMs + 1_000)
         place("big", 0..199)
         flush(2)
-        val job = fleet.jobs.getValue(JobId("big"))
+        val job = cluster.jobs.getValue(JobId("big"))
         assertEquals(200, stored("big").placements.size)
         assertTrue(job.live.values.all { it.committed })
         assertTrue(store.keys(Keys.PARTS).isNotEmpty())
@@ -139,7 +139,7 @@
     fun `ends that can wait leave writes for placements, but not for ever`() {
         val arrays = List(12) { record("array-$it", 40, placed = 1) }
         lead(isSwitchedOn = true, *arrays.toTypedArray(), record("service", 2), rate = 8.0)
-        for (array in arrays) fleet.jobs.getValue(array.spec.id).drop(0, clock.steadyMs())
+        for (array in arrays) cluster.jobs.getValue(array.spec.id).drop(0, clock.steadyMs())
         world.after(timing.lazyWriteMs) {}
         world.runUntil(world.nowMs + timing.lazyWriteMs)
         commits.flush()
@@ -157,7 +157,7 @@
         place("big", 0..199)
         flush()
         val first = sent.last().changes.size
-        fleet.jobs.getValue(JobId("big")).drop(199, clock.steadyMs())
+        cluster.jobs.getValue(JobId("big")).drop(199, clock.steadyMs())
         flush(2)
         assertTrue(first == 3 && sent.last().changes.size == 2, "$first, then ${sent.last().changes.size}")
     }
@@ -172,7 +172,7 @@
         flush(6)
         assertEquals(4, stored("small").placements.size, "the other one is written")
         assertEquals(emptyMap<Int, Placement>(), stored("big").placements)
-        assertEquals(emptySet<Int>(), fleet.jobs.getValue(JobId("big")).live.keys, "its placements are taken back")
+        assertEquals(emptySet<Int>(), cluster.jobs.getValue(JobId("big")).live.keys, "its placements are taken back")
         val tooLarge = sent.map { it.changes }.filter { changes ->
             changes.any { it is Change.Put && Cbor.encode(it.value).size > 2048 }
         }
@@ -188,7 +188,7 @@
     private fun watchBrings(id: String) {
         val head = store.entry(Keys.job(id)) ?: error("$id is stored")
         val whole = RecordLayout.merge(head.value) { store.entry(Keys.part(id, it))?.value }
-        fleet.takeJob(JobId(id), CachedJob.read(whole, head.version), whole)
+        cluster.applyJob(JobId(id), CachedJob.read(whole, head.version), whole)
     }
 
     @Test
@@ -203,7 +203,7 @@
         commits.flush()
         assertEquals(2, waiting.size, "the second write is on its way")
         waiting[0].answer(CommitOutcome.Applied(store.revision))
-        val job = fleet.jobs.getValue(JobId("job"))
+        val job = cluster.jobs.getValue(JobId("job"))
         assertEquals(listOf(true, false), job.live.values.map { it.committed }, "what may be started")
         waiting[1].answer(CommitOutcome.Refused)
         held = null
--- a/src/test/kotlin/oxbowlug/lease/RenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/RenewalDelegateTest.kt
@@ -80,9 +80,9 @@
         return RenewalDelegates(leadership, settings, Port(), clock, timing, cache).apply { tick(clock.now) }
     }
 
-    /** A word of the deputy: that it last heard the leader at [heardAt], and how much it has renewed. */
-    private fun word(heardAt: Long, renewals: Long = 0) =
-        PeerHeartbeat(delegate, 3, leader, seesState = true, atMs = 0, echo = HeartbeatEcho(leader, heardAt, renewals))
+    /** A word of the deputy: that it last heard the leader at [lastContactAt], and how much it has renewed. */
+    private fun word(lastContactAt: Long, renewals: Long = 0) =
+        PeerHeartbeat(delegate, 3, leader, seesState = true, atMs = 0, echo = HeartbeatEcho(leader, lastContactAt, renewals))
 
     @Test
     fun `a lease is surely over once the deputy's word covers all of it`() {
--- a/src/test/kotlin/oxbowlug/plan/OffersTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/OffersTest.kt
@@ -4,9 +4,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.plan.index.ChangedMachines
-import oxbowlug.resource.Amounts
-import oxbowlug.resource.amounts
-import oxbowlug.wire.Attempt
+import oxbowlug.resource.Resources
+import oxbowlug.resource.resources
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
@@ -45,27 +45,27 @@
         val type = types.random(random)
         val spec = spec(random, "tenant-$index", 1)
         val tenants = List(random.nextInt(3)) { number ->
-            Tenant(Attempt(TaskId(spec.id, number), 1), spec, emptyMap(), 50.0, 1.0, 1.0, stopping = false)
+            Tenant(AttemptId(TaskId(spec.id, number), 1), spec, emptyMap(), 50.0, 1.0, 1.0, stopping = false)
         }
-        val used = tenants.fold(Amounts.NONE) { sum, tenant -> sum + tenant.need }
+        val used = tenants.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
         return PlanMachine(
             MachineId("host-%04d".format(index)), type, zones.random(random), random.nextInt(4) == 0,
-            type.amounts() - used, if (random.nextInt(3) == 0) 20.0 else 0.0, setOf(images.random(random)), emptySet(),
-            tenants.isEmpty(), Amounts.NONE, lazyOf(tenants),
+            type.resources() - used, if (random.nextInt(3) == 0) 20.0 else 0.0, setOf(images.random(random)), emptySet(),
+            tenants.isEmpty(), Resources.NONE, lazyOf(tenants),
         )
     }
 
     private fun snapshot(jobs: List<PlanJob>, machines: List<PlanMachine>) = Snapshot(
         jobs, machines, emptyMap(), types, mapOf(Kind(types[1].name, zones[0], false) to Refusal(false, 0.5)), 30.0,
-        100.0, 1.0, mayRent = true, besideGpu = Amounts(5.0, 0.0, 16.0), guaranteeWeight = 1.0,
+        100.0, 1.0, mayRent = true, resourcesPerGpu = Resources(5.0, 0.0, 16.0), guaranteeWeight = 1.0,
     )
 
     /** Something that a plan may do to a machine between two tasks. */
     private fun change(random: Random, machines: ArrayList<PlanMachine>, changed: ChangedMachines) {
         val machine = machines[random.nextInt(machines.size)]
         when (random.nextInt(4)) {
-            0 -> machine.take(Amounts(1.0, 0.0, 4.0))
-            1 -> machine.promise(Amounts(1.0, 0.0, 4.0))
+            0 -> machine.take(Resources(1.0, 0.0, 4.0))
+            1 -> machine.promise(Resources(1.0, 0.0, 4.0))
             2 -> machine.tenants.firstOrNull { it.attempt !in machine.stopped }?.let(machine::stop)
             3 -> {
                 val rented = PlanMachine.ordered(types.random(random), zones.random(random), random.nextBoolean(), 30.0)
@@ -87,7 +87,7 @@
             machines.forEachIndexed { index, machine -> machine.reportChangesTo(changed, index) }
             val offers = Offers(machines, snapshot, changed)
             for (job in jobs) {
-                val need = job.spec.amounts()
+                val need = job.spec.resources()
                 val rule = ZoneRule(job)
                 val guaranteed = random.nextBoolean()
                 offers.begin(job, need, guaranteed)
@@ -122,7 +122,7 @@
         val changed = ChangedMachines()
         machines.forEachIndexed { index, machine -> machine.reportChangesTo(changed, index) }
         val offers = Offers(machines, snapshot(listOf(wanted), machines), changed)
-        val need = wanted.spec.amounts()
+        val need = wanted.spec.resources()
         val rule = ZoneRule(wanted)
         offers.begin(wanted, need, false)
         repeat(tasks) { offers.cheapest(Room.READY, rule)?.machine?.take(need) ?: error("there is room") }
@@ -142,8 +142,8 @@
                 val weight = random.nextInt(2).toDouble()
                 val crowd = { zone: Zone -> 1.0 + zones.indexOf(zone) * 0.01 }
                 val rule = ZoneRule(job)
-                val cached = kept.cheapest(job, job.spec.amounts(), rule, left, weight, crowd)
-                val fresh = RentalPrices(snapshot).cheapest(job, job.spec.amounts(), rule, left, weight, crowd)
+                val cached = kept.cheapest(job, job.spec.resources(), rule, left, weight, crowd)
+                val fresh = RentalPrices(snapshot).cheapest(job, job.spec.resources(), rule, left, weight, crowd)
                 assertEquals(fresh?.kind, cached?.kind, "seed $seed, ${job.id}, $left left")
                 assertEquals(fresh?.cost, cached?.cost, "seed $seed, ${job.id}, $left left")
             }
--- a/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
@@ -3,9 +3,9 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.resource.Amounts
-import oxbowlug.resource.amounts
-import oxbowlug.wire.Attempt
+import oxbowlug.resource.Resources
+import oxbowlug.resource.resources
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
@@ -51,15 +51,15 @@
         images: Set<ImageName> = emptySet(),
         tenants: List<Tenant> = emptyList(),
     ): PlanMachine {
-        val used = tenants.fold(Amounts.NONE) { sum, tenant -> sum + tenant.need }
+        val used = tenants.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
         return PlanMachine(
-            MachineId(name), type, zone, spot, type.amounts() - used, 0.0, images, emptySet(), tenants.isEmpty(),
-            tenants.filter { it.stopping }.fold(Amounts.NONE) { sum, tenant -> sum + tenant.need }, lazyOf(tenants),
+            MachineId(name), type, zone, spot, type.resources() - used, 0.0, images, emptySet(), tenants.isEmpty(),
+            tenants.filter { it.stopping }.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }, lazyOf(tenants),
         )
     }
 
     private fun tenant(spec: JobSpec, ranS: Double = 100.0) =
-        Tenant(Attempt(TaskId(spec.id, 0), 1), spec, mapOf(a to 1), ranS, 2.0, 1.0, stopping = false)
+        Tenant(AttemptId(TaskId(spec.id, 0), 1), spec, mapOf(a to 1), ranS, 2.0, 1.0, stopping = false)
 
     private fun teams(red: PlanTeam = PlanTeam(1e9, 1e9, 0.0, 0.0), blue: PlanTeam = PlanTeam(1e9, 1e9, 0.0, 0.0)) =
         mapOf(TeamName("red") to red, TeamName("blue") to blue)
@@ -73,7 +73,7 @@
         guaranteeWeight: Double = 0.0,
     ) = Snapshot(
         jobs, machines, teams, listOf(g8, c32), refusals, 30.0, 100.0, 1.0, mayRent = true,
-        besideGpu = Amounts(5.5, 0.0, 18.0), mayMove = mayMove, guaranteeWeight = guaranteeWeight,
+        resourcesPerGpu = Resources(5.5, 0.0, 18.0), mayMove = mayMove, guaranteeWeight = guaranteeWeight,
     )
 
     private fun plan(snapshot: Snapshot) = Planner(snapshot).plan()
@@ -120,7 +120,7 @@
 
     @Test
     fun `a team's limit counts what is and may be there`() {
-        val red = PlanTeam(1e9, 4.0, 0.0, 0.0).apply { add(Amounts(0.0, 3.0, 0.0)) }
+        val red = PlanTeam(1e9, 4.0, 0.0, 0.0).apply { add(Resources(0.0, 3.0, 0.0)) }
         val plan = plan(snapshot(listOf(job(spec(tasks = 3))), listOf(machine("m1")), teams(red = red)))
         assertEquals(1, plan.starts.size)
         assertTrue(plan.rentals.isEmpty())
@@ -148,8 +148,8 @@
 
     @Test
     fun `preemption keeps to the protocol's cases`() {
-        val borrowing = PlanTeam(1e9, 1e9, 0.0, 8.0).apply { add(Amounts(0.0, 16.0, 0.0)) }
-        val within = PlanTeam(1e9, 1e9, 0.0, 32.0).apply { add(Amounts(0.0, 8.0, 0.0)) }
+        val borrowing = PlanTeam(1e9, 1e9, 0.0, 8.0).apply { add(Resources(0.0, 16.0, 0.0)) }
+        val within = PlanTeam(1e9, 1e9, 0.0, 32.0).apply { add(Resources(0.0, 8.0, 0.0)) }
         val none = PlanTeam(1e9, 1e9, 0.0, 0.0)
 
         class Case(
@@ -173,7 +173,7 @@
             val job = job(spec(priority = case.job))
             val preemptedTask = tenant(spec("run-9", priority = case.preemptedTask, team = "blue"))
             val teams = teams(case.red, case.blue)
-            val guaranteed = case.red.guarantees(job.spec.amounts())
+            val guaranteed = case.red.guarantees(job.spec.resources())
             assertEquals(case.may, Preemption.mayStop(job, guaranteed, preemptedTask, teams), case.name)
         }
     }
@@ -183,7 +183,7 @@
         // Found on the bench: the borrowed job took the room that had been made for the other one, was stopped for it
         // again in the next plan, and so on twenty times a second.
         val red = PlanTeam(1e9, 1e9, 0.0, 8.0)
-        val blue = PlanTeam(1e9, 1e9, 0.0, 2.0).apply { add(Amounts(0.0, 4.0, 0.0)) }
+        val blue = PlanTeam(1e9, 1e9, 0.0, 2.0).apply { add(Resources(0.0, 4.0, 0.0)) }
         val borrowed = PlanJob(
             JobId("run-1"), spec("run-1", gpus = 8.0, team = "blue"), intArrayOf(0), emptyMap(), 90.0, 0.0, null, 1.0,
             emptySet(),
@@ -191,7 +191,7 @@
         val covered = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL, gpus = 8.0))
         val plan = plan(snapshot(listOf(borrowed, covered), listOf(machine("m1")), teams(red, blue)))
         assertEquals(listOf(Start(JobId("run-2"), 0, MachineId("m1"))), plan.starts)
-        assertEquals(emptyList<Attempt>(), plan.stops)
+        assertEquals(emptyList<AttemptId>(), plan.stops)
     }
 
     @Test
@@ -207,7 +207,7 @@
         val small = job(spec("run-1", gpus = 0.0, cores = 4.0).copy(types = listOf(g8.name)))
         val plan = plan(snapshot(listOf(small), listOf(roomMade, full)))
         assertEquals(listOf(Start(JobId("run-1"), 0, MachineId("m1"))), plan.starts)
-        assertEquals(emptyList<Attempt>(), plan.stops)
+        assertEquals(emptyList<AttemptId>(), plan.stops)
     }
 
     @Test
@@ -231,7 +231,7 @@
         val leaving = Tenant(stopping.attempt, stopping.spec, mapOf(a to 1), 100.0, 2.0, 1.0, stopping = true)
         val other = tenant(spec("run-8", JobKind.ARRAY, Priority.NORMAL, gpus = 0.0))
         val second = plan(snapshot(listOf(job(spec())), listOf(machine("m1", tenants = listOf(leaving, other)))))
-        assertEquals(emptyList<Attempt>(), second.stops)
+        assertEquals(emptyList<AttemptId>(), second.stops)
         assertEquals(setOf(MachineId("m1")), second.reserved)
     }
 
@@ -248,7 +248,7 @@
         assertEquals(mapOf(plan.stops.single() to MachineId("m2")), plan.targets)
         assertEquals(emptyMap<Kind, Int>(), plan.rentals)
         val nowhere = plan(snapshot(listOf(gpuJob), listOf(machine("m1", tenants = small))))
-        assertEquals(emptyList<Attempt>(), nowhere.stops)
+        assertEquals(emptyList<AttemptId>(), nowhere.stops)
     }
 
     @Test
@@ -321,7 +321,7 @@
             val blue = PlanTeam(1e9, 1e9, 0.0, 0.0).also { it.add(tenant.need) }
             return plan(snapshot(listOf(job(spec())), listOf(holder, machine("m2")), teams(red, blue)))
         }
-        assertEquals(emptyList<Attempt>(), plan(JobKind.SERVICE, Priority.PRODUCTION).stops)
+        assertEquals(emptyList<AttemptId>(), plan(JobKind.SERVICE, Priority.PRODUCTION).stops)
         assertEquals(1, plan(JobKind.ARRAY, Priority.NORMAL).stops.size, "a young task may be")
     }
 }
--- a/src/test/kotlin/oxbowlug/plan/index/CostHeapTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/index/CostHeapTest.kt
@@ -30,9 +30,9 @@
             assertEquals(prices.cheapest(), heap.first, "seed $seed, at first")
             repeat(300) { step ->
                 val index = random.nextInt(prices.costs.size)
-                val isGone = random.nextInt(4) == 0
+                val isRemoved = random.nextInt(4) == 0
                 // Few values, so that ties are frequent.
-                prices.costs[index] = if (isGone) Double.POSITIVE_INFINITY else random.nextInt(6).toDouble()
+                prices.costs[index] = if (isRemoved) Double.POSITIVE_INFINITY else random.nextInt(6).toDouble()
                 heap.update(index)
                 assertEquals(prices.cheapest(), heap.first, "seed $seed, step $step")
             }
--- a/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
@@ -62,7 +62,7 @@
     @Test
     fun `a job writes before the switch what the version before wrote`() {
         val job = Job(JobRecord.decode(Cbor.decode(bytes("record running"))), 1).apply {
-            liveFrom(JobRecord.decode(Cbor.decode(bytes("record running"))))
+            restoreAttempts(JobRecord.decode(Cbor.decode(bytes("record running"))))
         }
         assertArrayEquals(bytes("record running"), Cbor.encode(job.record("n0-x-2").encode()))
     }
--- a/src/test/kotlin/oxbowlug/record/RecordsTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordsTest.kt
@@ -54,7 +54,7 @@
         val placements = (99_401 until 99_600).associateWith { Placement(MachineId("host-%06d".format(it % 64)), 999L) }
         val record = JobRecord(big, 123, Phase.ACTIVE, done, 1000, placements, "n-1")
         val size = Cbor.encode(record.encode()).size
-        val job = Job(record, 1).apply { liveFrom(record) }
+        val job = Job(record, 1).apply { restoreAttempts(record) }
         assertTrue(size <= RecordSize.bound(job), "$size bytes, bound ${RecordSize.bound(job)}")
         assertTrue(RecordSize.bound(job) < 16 * 1024)
     }
--- a/src/test/kotlin/oxbowlug/scale/WireTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/WireTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import oxbowlug.lease.ReportAnswer
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
@@ -26,7 +26,7 @@
 class WireTest {
     private fun throughCbor(value: Map<String, Any?>) = Cbor.decode(Cbor.encode(value))
 
-    private val attempt = Attempt(TaskId(JobId("run-1"), 3), 2)
+    private val attempt = AttemptId(TaskId(JobId("run-1"), 3), 2)
 
     @Test
     fun `a report comes back as it was`() {
@@ -34,7 +34,7 @@
             MachineId("host-1"), "127.64.0.1:9000", TypeName("t"), Zone("z"), false, 2, 7, Token(41), 12.5,
             listOf(
                 ReportedTask(attempt, TaskState.RUNNING, null, saved = false),
-                ReportedTask(Attempt(attempt.task, 1), TaskState.EXITED, ExitCause.STOPPED, saved = true),
+                ReportedTask(AttemptId(attempt.task, 1), TaskState.EXITED, ExitCause.STOPPED, saved = true),
             ),
         )
         assertEquals(report, WorkerCodec.decodeReport(throughCbor(Wire.encodeReport(report))))
--- a/src/test/kotlin/oxbowlug/sim/GapTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/GapTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 import oxbowlug.standin.SimWorker
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobKind
 
 /**
@@ -40,7 +40,7 @@
 
         fun at(ms: Long, action: () -> Unit) = day.world.after(REFUSED_MS + ms - day.world.nowMs, action)
 
-        fun running(): Set<Attempt> = day.cloud.workers.flatMap { it.onMachine() }
+        fun running(): Set<AttemptId> = day.cloud.workers.flatMap { it.onMachine() }
             .filter { day.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }.map { it.attempt }.toSet()
 
         fun hosts(job: String): List<SimWorker> = day.cloud.workers.filter { worker ->
@@ -109,7 +109,7 @@
                 assertEquals(CANCELLED, confirmed, "${case.name}: cancellations confirmed")
             }
             assertTrue(before.isNotEmpty(), "${case.name}: nothing ran")
-            if (case.runsOn) assertEquals(emptySet<Attempt>(), lost, "${case.name}: ended in the outage")
+            if (case.runsOn) assertEquals(emptySet<AttemptId>(), lost, "${case.name}: ended in the outage")
             assertEquals(emptyList<String>(), day.rules.unfinished(), "${case.name}: not served")
         }
     }
@@ -180,7 +180,7 @@
                 at(450) { hosts(cancelled.last()).forEach { it.hungUntil = day.world.nowMs + 33_000 } }
             },
             Case("machines that hold cancelled work hear nothing", runsOn = false) {
-                at(400) { hosts(cancelled.first()).forEach { it.deafUntil = day.world.nowMs + 60_000 } }
+                at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 60_000 } }
             },
             Case("only the old leader reaches workers, and learns of it when it no longer leads") {
                 leaveAllTo(leader)
@@ -191,7 +191,7 @@
                 leaveAllTo(leader)
                 leader.withoutPeers = true
                 at(6_000) { leader.withoutPeers = false }
-                at(400) { hosts(cancelled.first()).forEach { it.deafUntil = day.world.nowMs + 7_000 } }
+                at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 7_000 } }
                 // Each time within the lease, and not awake for long enough to take an order.
                 for (ms in 7_500L..44_000L step 8_000) {
                     at(ms) { hosts(cancelled.first()).forEach { it.hungUntil = day.world.nowMs + 7_950 } }
--- a/src/test/kotlin/oxbowlug/sim/MeetingsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/MeetingsTest.kt
@@ -4,12 +4,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.standin.SimWorker
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobKind
 
 /** Two troubles at once, each brought about on purpose; docs/safety.md has the table. */
 class MeetingsTest {
-    private fun Simulation.running(): Set<Attempt> = cloud.workers.flatMap { it.onMachine() }
+    private fun Simulation.running(): Set<AttemptId> = cloud.workers.flatMap { it.onMachine() }
         .filter { spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }.map { it.attempt }.toSet()
 
     private fun Simulation.hosts(job: String) =
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -96,12 +96,12 @@
         /** The job that a running or waiting stage needs is called off, and users ask about everything at once. */
         private fun Simulation.cancelFirstStages(count: Int, atMs: Long) = at(atMs) {
             val first = rules.jobs.values.filter {
-                it.spec.id.value.endsWith("-a") && it.accepted && it.told?.isOver != true
+                it.spec.id.value.endsWith("-a") && it.accepted && it.told?.isOverQuota != true
             }
             for (job in first.takeLast(count)) world.after(world.between(0, 200)) { cancel(job.spec.id.value) }
         }
 
-        private val oxbowlug.wire.JobState.isOver: Boolean
+        private val oxbowlug.wire.JobState.isOverQuota: Boolean
             get() = this == oxbowlug.wire.JobState.DONE || this == oxbowlug.wire.JobState.CANCELLED
 
         @JvmStatic
--- a/src/test/kotlin/oxbowlug/sim/RulesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RulesTest.kt
@@ -8,7 +8,7 @@
 import oxbowlug.standin.Rules
 import oxbowlug.standin.SimWorker
 import oxbowlug.standin.World
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
@@ -48,9 +48,9 @@
 
         override fun runMs(job: String): Long = 10_000_000
 
-        override fun onStarted(machine: SimWorker, attempt: Attempt) = rules.started(machine, attempt)
+        override fun onStarted(machine: SimWorker, attempt: AttemptId) = rules.started(machine, attempt)
 
-        override fun onDone(attempt: Attempt) = rules.done(attempt)
+        override fun onDone(attempt: AttemptId) = rules.done(attempt)
     }
 
     private fun submit(given: JobSpec = spec) {
@@ -64,7 +64,7 @@
         rules.told(spec.id.value, UserAnswer.Known(view(state)), askedMs)
 
     private fun start(task: Int, host: Int, attempt: Long = 1) {
-        val command = WorkerCommand.Start(Attempt(TaskId(spec.id, task), attempt))
+        val command = WorkerCommand.Start(AttemptId(TaskId(spec.id, task), attempt))
         workers[host].direct(Token(1), 1, listOf(command)) { _, _ -> }
         pass(1)
     }
@@ -159,7 +159,7 @@
             Case(null, "all that it needs is done") {
                 submit(spec.copy(waitsOn = listOf(needed.id)))
                 submit(needed)
-                repeat(needed.tasks) { rules.done(Attempt(TaskId(needed.id, it), 1)) }
+                repeat(needed.tasks) { rules.done(AttemptId(TaskId(needed.id, it), 1)) }
                 start(0, 0)
             },
             Case("orphaned", "queued long after a job that it needs through another one was cancelled") {
--- a/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
@@ -50,7 +50,7 @@
             FaultKind.REPEAT_REPORTS -> hold(fault) { weather.lateReports = if (it) OFTEN else 0.0 }
             FaultKind.REPEAT_REPORTS_TO_NEXT_LEADER -> hold(fault) { weather.reportsForNext = if (it) SELDOM else 0.0 }
             FaultKind.HOLD_PEER_FRAMES -> hold(fault) { weather.heldFrames = if (it) SELDOM / 10 else 0.0 }
-            FaultKind.DEAF_WORKERS -> some(fault).forEach { it.deafUntil = world.nowMs + fault.forMs }
+            FaultKind.DEAF_WORKERS -> some(fault).forEach { it.unresponsiveUntil = world.nowMs + fault.forMs }
             FaultKind.MUTE_WORKERS -> some(fault).forEach { it.muteUntil = world.nowMs + fault.forMs }
             FaultKind.HANG_WORKERS -> some(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
             FaultKind.UNANSWERED_THEN_MUTE_WORKERS -> some(fault).forEach { LostAnswers(world, leaseMs).begin(it) }
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -21,7 +21,7 @@
 import oxbowlug.standin.SimWorker
 import oxbowlug.standin.World
 import oxbowlug.standin.names
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
@@ -151,7 +151,7 @@
 
     override fun runMs(job: String): Long = runMs.getValue(job)
 
-    override fun onStarted(machine: SimWorker, attempt: Attempt) = rules.started(machine, attempt)
+    override fun onStarted(machine: SimWorker, attempt: AttemptId) = rules.started(machine, attempt)
 
     /** Share of the tasks' ends at which the job is called off in the same moment, the last ones above all. */
     var cancelsAtEnd = 0.0
@@ -159,7 +159,7 @@
     /** Told of each task's end. */
     var onAnyDone: () -> Unit = {}
 
-    override fun onDone(attempt: Attempt) {
+    override fun onDone(attempt: AttemptId) {
         rules.done(attempt)
         onAnyDone()
         val id = attempt.task.job.value
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -10,7 +10,7 @@
 import oxbowlug.lease.ReportAnswer
 import oxbowlug.record.Keys
 import oxbowlug.request.UserAnswer
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobKind
 
 /** Days on virtual time: after every step the protocol's rules hold, and once all is well again all work is served. */
@@ -78,7 +78,7 @@
             day.weather.cutZones.add(cut)
             day.run(50_000)
             assertTrue(before.isNotEmpty(), "seed $seed: nothing ran")
-            assertEquals(emptySet<Attempt>(), before - running(), "seed $seed: ended in the cut")
+            assertEquals(emptySet<AttemptId>(), before - running(), "seed $seed: ended in the cut")
             day.weather.cutZones.clear()
             day.run(200_000)
             assertEquals(emptyList<String>(), day.rules.broken.take(5), "seed $seed")
@@ -136,7 +136,7 @@
             spell(atMs, forMs, { weather.reportsForNext = share }, { weather.reportsForNext = 0.0 })
 
         private fun Simulation.deaf(count: Int, atMs: Long, forMs: Long) = at(atMs) {
-            cloud.workers.shuffled(world.random).take(count).forEach { it.deafUntil = atMs + forMs }
+            cloud.workers.shuffled(world.random).take(count).forEach { it.unresponsiveUntil = atMs + forMs }
         }
 
         private fun Simulation.mute(count: Int, atMs: Long, forMs: Long) = at(atMs) {
@@ -250,7 +250,7 @@
                 day.at(30_000) { randomWorker()?.let { cloud.fail(it.id) } }
                 day.at(45_000) { randomWorker()?.let { cloud.take(it.id) } }
             },
-            Trouble("a machine hears nothing") { day -> day.at(30_000) { randomWorker()?.deafUntil = 60_000 } },
+            Trouble("a machine hears nothing") { day -> day.at(30_000) { randomWorker()?.unresponsiveUntil = 60_000 } },
             Trouble("copies of reports come late") { day ->
                 repeat(60) { index ->
                     day.at(20_000L + index * 1500) {
--- a/src/test/kotlin/oxbowlug/sim/UnheardSessionTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/UnheardSessionTest.kt
@@ -49,7 +49,7 @@
             worker = simulation.cloud.workers.first()
             // Its reports arrive and are answered; it hears nothing until its session is over, and then reports nothing.
             val over = worker.leaseFrom + LEASE_MS + WORKER_TICK_MS
-            worker.deafUntil = over
+            worker.unresponsiveUntil = over
             at(over - MUTE_BEFORE_MS) { worker.muteUntil = over + LEASE_MS - BACK_BEFORE_MS }
             // The first start is refused, which shows the new session; with the second, all are executed there.
             at(over + FIRST_JOB_MS) { submitSpread("first", FIRST_GPUS) }
--- a/src/test/kotlin/oxbowlug/standin/ReportPacingTest.kt
+++ b/src/test/kotlin/oxbowlug/standin/ReportPacingTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.lease.ReportAnswer
-import oxbowlug.wire.Attempt
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.JobSpecCodec
@@ -47,9 +47,9 @@
 
         override fun runMs(job: String): Long = 700
 
-        override fun onStarted(machine: SimWorker, attempt: Attempt) = Unit
+        override fun onStarted(machine: SimWorker, attempt: AttemptId) = Unit
 
-        override fun onDone(attempt: Attempt) = Unit
+        override fun onDone(attempt: AttemptId) = Unit
     }
 
     private fun gaps(times: List<Long>) = times.zipWithNext { one, next -> next - one }
@@ -69,7 +69,7 @@
         worker.boot()
         world.advanceTo(10_000)
         val before = targets[0].at.size
-        val starts = (0 until 8).map { WorkerCommand.Start(Attempt(TaskId(JobId("run-1"), it), 1)) }
+        val starts = (0 until 8).map { WorkerCommand.Start(AttemptId(TaskId(JobId("run-1"), it), 1)) }
         for ((index, start) in starts.withIndex()) {
             world.after(index * 100L) { worker.direct(Token(1), 1, listOf(start)) { _, _ -> } }
         }
@@ -108,7 +108,7 @@
     fun `without renewal its tasks end with the lease and a new session begins`() {
         worker.boot()
         world.advanceTo(3_000)
-        val start = WorkerCommand.Start(Attempt(TaskId(JobId("run-1"), 0), 1))
+        val start = WorkerCommand.Start(AttemptId(TaskId(JobId("run-1"), 0), 1))
         worker.direct(Token(1), 1, listOf(start)) { _, _ -> }
         for (target in targets) target.isSilent = true
         world.advanceTo(3_000 + LEASE_MS + 500)
--- a/src/test/kotlin/oxbowlug/wire/CborMessagesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/CborMessagesTest.kt
@@ -38,7 +38,7 @@
             ),
         )
         val report = WorkerCodec.decodeReport(valid)
-        assertEquals(Attempt(TaskId(JobId("run-1"), 3), 2), report.tasks[0].attempt)
+        assertEquals(AttemptId(TaskId(JobId("run-1"), 3), 2), report.tasks[0].attempt)
         assertEquals(ExitCause.OTHER, report.tasks[1].cause)
         val wrong = mapOf(
             "beast" to null, "shift" to 1.5, "tally" to -1L, "brand" to "x", "stray" to 1L, "furrows" to "none",
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -40,7 +40,7 @@
  */
 class WireBytesTest {
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
-    private val attempt = Attempt(TaskId(JobId("run-1"), 3), 2)
+    private val attempt = AttemptId(TaskId(JobId("run-1"), 3), 2)
     private val commands = listOf(
         WorkerCommand.Start(attempt), WorkerCommand.Stop(attempt, 4.5), WorkerCommand.Forget(attempt),
     )
