--- a/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
+++ b/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
@@ -15,7 +15,7 @@
  * What one controller counts, and its text form. Recording is plain arithmetic; Micrometer's registry, which takes a
  * noticeable part of a start on a small machine, is only made when somebody reads the metrics for the first time.
  */
-class ServiceMetrics(windowNanos: Long) : Meters {
+internal class ServiceMetrics(windowNanos: Long) : Meters {
     private val durations = listOf("plan", "commit", "step", "queue.delay")
         .associateWith { RecordedDurations(windowNanos) }
     private val plans = durations.getValue("plan")
--- a/src/main/kotlin/oxbowlug/cache/CachedJob.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJob.kt
@@ -12,7 +12,7 @@
 import oxbowlug.wire.fields
 
 /** A job as the state service has it. [value] is kept only while the job isn't final. */
-class CachedJob(
+internal class CachedJob(
     val phase: Phase,
     val version: Long,
     val tasks: Int,
--- a/src/main/kotlin/oxbowlug/cache/CachedParts.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedParts.kt
@@ -12,7 +12,7 @@
  * read are of different moments, and the changes replayed over them begin before the last of them: there, heads meet
  * such parts, and joined they would be a record that was never stored.
  */
-class CachedParts {
+internal class CachedParts {
     private class Part(val value: Map<String, Any?>, val revision: Long)
 
     private val byJob = HashMap<String, HashMap<Int, Part>>()
--- a/src/main/kotlin/oxbowlug/cache/DependencyState.kt
+++ b/src/main/kotlin/oxbowlug/cache/DependencyState.kt
@@ -4,7 +4,7 @@
 import oxbowlug.wire.JobId
 
 /** What the jobs that a job names as its predecessors mean for it. It only ever moves forward. */
-enum class DependencyState {
+internal enum class DependencyState {
     /** Some predecessor isn't done yet. */
     WAITING,
 
--- a/src/main/kotlin/oxbowlug/cache/Dependents.kt
+++ b/src/main/kotlin/oxbowlug/cache/Dependents.kt
@@ -3,7 +3,7 @@
 import oxbowlug.wire.JobId
 
 /** Which unfinished jobs wait for a job: a change of it touches these only, however many jobs there are. */
-class Dependents {
+internal class Dependents {
     private val byPredecessor = HashMap<String, LinkedHashSet<String>>()
 
     fun add(id: JobId, predecessors: List<JobId>) {
--- a/src/main/kotlin/oxbowlug/cache/StateCache.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCache.kt
@@ -23,7 +23,7 @@
  * asks for all changes up to now; one such read answers every query that was waiting when it was sent, so that a
  * node never gives an answer older than what another node may have told, at a bounded rate of reads.
  */
-class StateCache(
+internal class StateCache(
     private val state: StatePort,
     private val clock: Clock,
     private val timing: Timing,
--- a/src/main/kotlin/oxbowlug/cache/StateCacheListener.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCacheListener.kt
@@ -4,7 +4,7 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.wire.JobId
 
-interface StateCacheListener {
+internal interface StateCacheListener {
     /** The view and the members have been read whole; the jobs are asked for right after this. */
     fun onMembersRead()
 
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -24,7 +24,7 @@
  * stops exactly the cancelled attempts there, and returns the machine where that can't be had in time. Late copies of
  * such stops harm nothing, since cancelled is final under every epoch.
  */
-class CancellationEnforcer(
+internal class CancellationEnforcer(
     private val self: Member,
     private val settings: Settings,
     private val clock: Clock,
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -16,7 +16,7 @@
  * are over in time. The others beyond a cut between zones are trusted to act themselves ([CancellationEnforcer]), since
  * somebody there is alive; ending all work of a zone that is cut off for it would cost much and cure nothing.
  */
-class CancellationFreshness(
+internal class CancellationFreshness(
     private val self: Member,
     private val settings: Settings,
     private val clock: Clock,
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -26,7 +26,7 @@
  * confirms one tells the others before the user, until each has said that it knows; whoever learns of one passes it on
  * to those that may have missed it; and what nobody entitled takes over ends by [CancellationEnforcer].
  */
-class CancellationTracker(
+internal class CancellationTracker(
     private val self: Member,
     private val settings: Settings,
     private val clock: Clock,
--- a/src/main/kotlin/oxbowlug/cli/ClassArchiveWarmUp.kt
+++ b/src/main/kotlin/oxbowlug/cli/ClassArchiveWarmUp.kt
@@ -24,7 +24,7 @@
  * is looked for in every jar of the class path. So the run goes through the ordinary start, and its controller is
  * elected, answers a worker, accepts, plans and cancels, against stand-ins of the services around it.
  */
-object ClassArchiveWarmUp {
+internal object ClassArchiveWarmUp {
     private const val ROUNDS = 10
     private const val ROUND_MS = 150L
     private const val CALL_TIMEOUT_MS = 1000L
--- a/src/main/kotlin/oxbowlug/cli/Logging.kt
+++ b/src/main/kotlin/oxbowlug/cli/Logging.kt
@@ -3,7 +3,7 @@
 import oxbowlug.config.InvalidSettings
 
 /** Logging is set up in code: no configuration file is looked for when the process starts. */
-object Logging {
+internal object Logging {
     private const val PREFIX = "org.slf4j.simpleLogger."
     private val levels = setOf("error", "warn", "info", "debug")
 
--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -30,7 +30,7 @@
 import kotlin.random.Random
 
 /** Wires the core to its adapters, all on one event loop. */
-class Service(private val settings: Settings) {
+internal class Service(private val settings: Settings) {
     private lateinit var core: Controller
     private var draining = false
 
--- a/src/main/kotlin/oxbowlug/cli/StandInServices.kt
+++ b/src/main/kotlin/oxbowlug/cli/StandInServices.kt
@@ -10,7 +10,7 @@
  * The least of a state service, a cloud and a worker that a controller needs to be elected and to place a task, for
  * [ClassArchiveWarmUp] alone: conditions of transactions are not checked, and leases never end.
  */
-class StandInServices(private val vertx: Vertx) {
+internal class StandInServices(private val vertx: Vertx) {
     private class Stored(val value: Any?, val revision: Long)
 
     private val store = sortedMapOf<String, Stored>()
--- a/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
+++ b/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
@@ -16,7 +16,7 @@
 import oxbowlug.wire.RentalRequest
 
 /** The cloud over HTTP. [settle] brings outcomes back to the core's queue. */
-class CloudClient(
+internal class CloudClient(
     private val address: Address,
     private val http: HttpCaller,
     private val scope: CoroutineScope,
--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -29,7 +29,7 @@
  * Jobs and machines as their leader knows them, kept in step. An attempt leaves the account only by one of the
  * proofs in docs/safety.md; silence, a refused connection or a young list prove nothing.
  */
-class ClusterState(
+internal class ClusterState(
     val token: FencingToken,
     private val clock: Clock,
     private val timing: Timing,
--- a/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
@@ -3,7 +3,7 @@
 import oxbowlug.timing.Timing
 
 /** Errors suspect the machine first; the same job failing on several machines suspects the job. */
-object FailureBackoff {
+internal object FailureBackoff {
     private const val JOBS_TO_SUSPECT_MACHINE = 2
     private const val MACHINES_TO_SUSPECT_JOB = 3
     private const val MAX_DOUBLINGS = 6
--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -10,7 +10,7 @@
 import java.util.BitSet
 
 /** The leader's account of a job: what the state service holds, and what is yet to be written there. */
-class Job(record: JobRecord, version: Long, private val onDirty: (Job) -> Unit = {}) {
+internal class Job(record: JobRecord, version: Long, private val onDirty: (Job) -> Unit = {}) {
     val id: JobId = record.spec.id
     val spec = record.spec
     val need = spec.resources()
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -16,7 +16,7 @@
 import oxbowlug.wire.Zone
 
 /** The leader's account of one rented machine. */
-class Machine(val id: MachineId, val firstSeenAt: Long) {
+internal class Machine(val id: MachineId, val firstSeenAt: Long) {
     var type: TypeName? = null
     var zone: Zone? = null
     var spot = false
--- a/src/main/kotlin/oxbowlug/cluster/RecordSize.kt
+++ b/src/main/kotlin/oxbowlug/cluster/RecordSize.kt
@@ -4,7 +4,7 @@
 import oxbowlug.record.TaskRanges
 
 /** An upper bound of a record's size as a single value, in the form in which the state service counts it. */
-object RecordSize {
+internal object RecordSize {
     fun bound(job: Job): Int {
         val machines = job.live.values.mapTo(HashSet()) { it.machine }.size
         return JobRecord.SPEC_BOUND + TaskRanges.sizeBound(job.done) +
--- a/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -6,10 +6,10 @@
 import oxbowlug.wire.TaskId
 import oxbowlug.wire.TaskState
 
-enum class StopReason { PREEMPTED, DRAINED }
+internal enum class StopReason { PREEMPTED, DRAINED }
 
 /** One attempt that is, or may be, on a machine. It counts for every limit until it is proven gone. */
-class TaskAttempt(val job: Job, val task: Int, val machine: MachineId, val number: Long) {
+internal class TaskAttempt(val job: Job, val task: Int, val machine: MachineId, val number: Long) {
     val attempt = AttemptId(TaskId(job.id, task), number)
 
     /** Written to the state service: only then may it be started. */
--- a/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
@@ -9,7 +9,7 @@
  * Whether the account of a new leader goes beyond a team's limit. The records of two jobs aren't written together: one
  * may hold a task whose end wasn't stored yet, the other a task that was given its room.
  */
-class TeamQuotas(private val teams: Map<TeamName, Team>, private val timing: Timing) {
+internal class TeamQuotas(private val teams: Map<TeamName, Team>, private val timing: Timing) {
     private val used = HashMap<TeamName, Resources>()
     private var countedAt = Long.MIN_VALUE
 
--- a/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
@@ -19,7 +19,7 @@
  * reads it. Each notes that in a key of its own, which outlives its lease: an upgraded controller never comes back old,
  * but one that isn't there now may. The marker is written under the leader's view and is never taken back.
  */
-class FormatUpgrade(
+internal class FormatUpgrade(
     private val settings: Settings,
     private val state: StatePort,
     private val clock: Clock,
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -29,7 +29,7 @@
  * Writes changed job records, the urgent ones first, in transactions that also compare the view: a late one of an
  * earlier leader can't apply. Lesser changes wait a little, so that several ends of one job become one write.
  */
-class JobRecordWriter(
+internal class JobRecordWriter(
     private val leadership: LeadershipRecord,
     private val requestIds: RequestIds,
     private val settings: Settings,
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -47,7 +47,7 @@
  * The single owner of all state. Adapters offer commands to its queue; it works through them in batches, and
  * whatever a batch changed is sent once, after it. Nothing else touches the model.
  */
-class Controller(
+internal class Controller(
     private val settings: Settings,
     val self: Member,
     private val state: StatePort,
--- a/src/main/kotlin/oxbowlug/controller/ControllerEvent.kt
+++ b/src/main/kotlin/oxbowlug/controller/ControllerEvent.kt
@@ -11,7 +11,7 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /** What adapters put into the owner's queue. */
-sealed interface ControllerEvent {
+internal sealed interface ControllerEvent {
     class Submit(val spec: JobSpec, val answer: (UserResponse) -> Unit) : ControllerEvent
 
     /** A submission with a field that can't be taken, whose id may be known all the same. */
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -21,7 +21,7 @@
  * This controller's lease, its member key, and the election. The view is changed by compare-and-set only, and only
  * while the former leader's member key is gone, which the same transaction checks.
  */
-class LeaderElection(
+internal class LeaderElection(
     private val self: Member,
     private val state: StatePort,
     private val clock: Clock,
--- a/src/main/kotlin/oxbowlug/election/LeadershipDecisionContext.kt
+++ b/src/main/kotlin/oxbowlug/election/LeadershipDecisionContext.kt
@@ -5,7 +5,7 @@
 import oxbowlug.port.Clock
 
 /** The basis of whoever decides here now. */
-class LeadershipDecisionContext(
+internal class LeadershipDecisionContext(
     private val clock: Clock,
     private val election: LeaderElection,
     private val cache: StateCache,
--- a/src/main/kotlin/oxbowlug/election/LeadershipRole.kt
+++ b/src/main/kotlin/oxbowlug/election/LeadershipRole.kt
@@ -4,7 +4,7 @@
 import oxbowlug.record.Member
 
 /** What this controller may do now. */
-sealed interface LeadershipRole {
+internal sealed interface LeadershipRole {
     /** Leads, and believes in its own lease: may place, start, stop, rent and return. */
     data class Leader(val leadership: LeadershipRecord) : LeadershipRole
 
--- a/src/main/kotlin/oxbowlug/forecast/DemandForecast.kt
+++ b/src/main/kotlin/oxbowlug/forecast/DemandForecast.kt
@@ -13,7 +13,7 @@
  * comes free by itself. Only classes for whose starts the platform has an objective are followed: for them a start is
  * worth more than its rent.
  */
-class DemandForecast(settings: Settings, private val windowMs: Long) {
+internal class DemandForecast(settings: Settings, private val windowMs: Long) {
     /** [tasks] is negative for those that left. */
     private class Change(val atMs: Long, val tasks: Int)
 
--- a/src/main/kotlin/oxbowlug/http/HttpCaller.kt
+++ b/src/main/kotlin/oxbowlug/http/HttpCaller.kt
@@ -12,7 +12,7 @@
 import oxbowlug.wire.MalformedBody
 
 /** What became of a call. */
-sealed interface CallResult {
+internal sealed interface CallResult {
     class Answered(val status: Int, private val bytes: ByteArray) : CallResult {
         /** Null when the body is not a CBOR map: such an answer counts as none. */
         val body: Map<String, Any?>? by lazy(LazyThreadSafetyMode.NONE) {
@@ -31,7 +31,7 @@
 }
 
 /** Calls with CBOR bodies over connections that stay open for [keepAliveS]; at most [waiting] calls wait for one. */
-class HttpCaller(vertx: Vertx, connections: Int, keepAliveS: Int = KEEP_ALIVE_S, waiting: Int = MAX_WAITING) {
+internal class HttpCaller(vertx: Vertx, connections: Int, keepAliveS: Int = KEEP_ALIVE_S, waiting: Int = MAX_WAITING) {
     private val client = vertx.httpClientBuilder()
         .with(
             HttpClientOptions()
--- a/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
+++ b/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
@@ -7,7 +7,7 @@
  * What the owner's steps cost, so that a controller that falls behind can be seen to: a step is one batch of commands
  * with all that follows from it, and a tick that comes late shows how long everything else waits too.
  */
-class ControllerLoad(private val meters: Meters, private val tickMs: Long, private val everyMs: Long) {
+internal class ControllerLoad(private val meters: Meters, private val tickMs: Long, private val everyMs: Long) {
     private class Window(val since: Long) {
         var steps = 0
         var longestStepNs = 0L
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -12,7 +12,7 @@
  * machines that it expects and doesn't hear. The worker's next report then shows the token to the earlier leader,
  * which steps down. This renews no lease and proves nothing: the worker has to report here for that.
  */
-class FencingTokenPropagation(
+internal class FencingTokenPropagation(
     private val cluster: ClusterState,
     private val workers: WorkerPort,
     private val timing: Timing,
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -43,7 +43,7 @@
 import oxbowlug.wire.sizeAsJson
 
 /** What a leader has beside its model: everything here ends with its view. */
-class LeaderTerm(
+internal class LeaderTerm(
     val leadership: LeadershipRecord,
     requestIds: RequestIds,
     private val settings: Settings,
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
@@ -17,7 +17,7 @@
  * [Timing.delegateAfterMs], and ends this as soon as it hears one of them or learns of a newer epoch. Without it all
  * work of a zone that is cut off for longer than a worker's lease would end, though controllers stand beside it.
  */
-class LeaseRenewalDelegate(
+internal class LeaseRenewalDelegate(
     private val self: Member,
     private val zone: Zone,
     private val regions: Regions,
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -23,7 +23,7 @@
  * The leader's side of [LeaseRenewalDelegate]: names one controller a zone, and knows until when each of them has surely
  * renewed nothing. Only such a span proves that a silent worker's lease is over, since the deputy may have renewed it.
  */
-class LeaseRenewalDelegates(
+internal class LeaseRenewalDelegates(
     private val leadership: LeadershipRecord,
     private val settings: Settings,
     private val state: StatePort,
--- a/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
@@ -5,7 +5,7 @@
  * clock. A lease belongs to a incarnation: what was answered in one says nothing of the next, which begins with a full
  * lease of its own, without any answer.
  */
-class WorkerLease {
+internal class WorkerLease {
     private var incarnation = 0L
     private var endedIncarnation = 0L
 
--- a/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
@@ -13,7 +13,7 @@
  * by one that hasn't read the jobs yet, and by a renewal delegate. A path of its own for one of them renewed cancelled
  * work without stopping it, for ever.
  */
-class WorkerLeaseRenewals(private val cache: StateCache, private val decisions: DecisionContext) {
+internal class WorkerLeaseRenewals(private val cache: StateCache, private val decisions: DecisionContext) {
     /**
      * Adds the stops of cancelled work to [commands], which are a leader's own; whoever decides nothing has none. They
      * are wanting where the report is older than a direct command's answer, and then they change nothing.
@@ -39,7 +39,7 @@
 }
 
 /** Those whose attempts none of [commands] stops. */
-fun List<WorkerCommand.Stop>.notAmong(commands: List<WorkerCommand>): List<WorkerCommand.Stop> {
+internal fun List<WorkerCommand.Stop>.notAmong(commands: List<WorkerCommand>): List<WorkerCommand.Stop> {
     val stopped = commands.mapNotNull { (it as? WorkerCommand.Stop)?.attempt }
     return filter { it.attempt !in stopped }
 }
--- a/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
@@ -18,10 +18,10 @@
 import oxbowlug.wire.MalformedBody
 
 /** A frame that isn't one of ours. */
-class MalformedFrame(message: String) : Exception(message)
+internal class MalformedFrame(message: String) : Exception(message)
 
 /** What controllers say to one another. */
-sealed interface PeerMessage {
+internal sealed interface PeerMessage {
     data class Heartbeat(val heartbeat: PeerHeartbeat) : PeerMessage
 
     /** A cancellation, or that it is known. */
@@ -32,7 +32,7 @@
 }
 
 /** Frames between controllers: a length of four bytes, a kind, and its fields, each text with its length before it. */
-object PeerFrames {
+internal object PeerFrames {
     private const val HEARTBEAT = 1
     private const val IMAGES = 2
     private const val CANCELLED = 3
--- a/src/main/kotlin/oxbowlug/peer/PeerLink.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerLink.kt
@@ -19,7 +19,7 @@
  * One connection to each other controller, over which this one tells its newest view. So a controller that lost
  * only the state service learns that it was succeeded, and sends its workers on.
  */
-class PeerLink(
+internal class PeerLink(
     private val vertx: Vertx,
     private val settings: Settings,
     private val everyMs: Long,
--- a/src/main/kotlin/oxbowlug/plan/BlockedDemand.kt
+++ b/src/main/kotlin/oxbowlug/plan/BlockedDemand.kt
@@ -8,7 +8,7 @@
  * Frees GPUs that stand idle for want of cores or memory: replicas without GPUs beside them are moved to machines
  * that have room and their image. They are down for a moment; the GPU job would wait until some of them end.
  */
-object BlockedDemand {
+internal object BlockedDemand {
     class Moved(val tenant: Tenant, val host: PlanMachine)
 
     class Choice(val machine: PlanMachine, val moved: List<Moved>)
--- a/src/main/kotlin/oxbowlug/plan/Consolidation.kt
+++ b/src/main/kotlin/oxbowlug/plan/Consolidation.kt
@@ -12,7 +12,7 @@
  * Empties one machine a round when everything on it fits elsewhere at once and what is saved outweighs both one
  * boot of machine time and the time that the moved replicas are down.
  */
-object Consolidation {
+internal object Consolidation {
     /** [targets] says where the replicas of [machine] go. */
     class Move(val machine: MachineId, val targets: Map<AttemptId, MachineId>) {
         val jobs: Int get() = targets.keys.distinctBy { it.task.job }.size
--- a/src/main/kotlin/oxbowlug/plan/Constraints.kt
+++ b/src/main/kotlin/oxbowlug/plan/Constraints.kt
@@ -3,7 +3,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.Zone
 
-object Constraints {
+internal object Constraints {
     fun allow(job: PlanJob, type: MachineType): Boolean = job.spec.types?.contains(type.name) ?: true
 
     fun allow(job: PlanJob, machine: PlanMachine): Boolean {
@@ -15,7 +15,7 @@
 }
 
 /** Where a job's next task may go, given where its others are or may be. */
-class ZoneRule(private val job: PlanJob) {
+internal class ZoneRule(private val job: PlanJob) {
     private val use = HashMap(job.zoneUse)
     var fixed: Zone? = if (job.spec.oneZone) job.zoneUse.keys.firstOrNull() else null
 
--- a/src/main/kotlin/oxbowlug/plan/Offers.kt
+++ b/src/main/kotlin/oxbowlug/plan/Offers.kt
@@ -8,7 +8,7 @@
 import oxbowlug.wire.Zone
 
 /** What one more task would cost at its cheapest place. */
-class Offer(
+internal class Offer(
     val machine: PlanMachine,
     val cost: Double,
     val delayS: Double,
@@ -18,7 +18,7 @@
 )
 
 /** Which room of a machine is meant. */
-enum class Room {
+internal enum class Room {
     /** Free on a machine that can be given work. */
     READY,
 
@@ -39,7 +39,7 @@
  * what the plan [changed] is looked at. Before that a plan's time grew with tasks times machines, and at some 3,000
  * machines it was longer than the leader's own lease.
  */
-class Offers(
+internal class Offers(
     private val machines: List<PlanMachine>,
     private val snapshot: Snapshot,
     private val changed: ChangedMachines,
--- a/src/main/kotlin/oxbowlug/plan/Planner.kt
+++ b/src/main/kotlin/oxbowlug/plan/Planner.kt
@@ -14,7 +14,7 @@
  * each in turn takes the cheapest place that its constraints allow: a ready machine, one that is coming, room made
  * by stopping work that may be stopped, or a new rental. Nothing that fits is postponed.
  */
-class Planner(private val snapshot: Snapshot) {
+internal class Planner(private val snapshot: Snapshot) {
     private val machines = ArrayList(snapshot.machines)
     private val changed = ChangedMachines()
     private val offers = Offers(machines, snapshot, changed)
--- a/src/main/kotlin/oxbowlug/plan/Preemption.kt
+++ b/src/main/kotlin/oxbowlug/plan/Preemption.kt
@@ -9,7 +9,7 @@
  * isn't; and for a job inside its team's guarantee also what another team runs beyond its own. Nothing else ever
  * displaces work of the same or a higher priority.
  */
-object Preemption {
+internal object Preemption {
     class Choice(val machine: PlanMachine, val preempted: List<Tenant>, val cost: Double)
 
     fun preempted(
@@ -74,7 +74,7 @@
  * The cheapest stops that make room for one more task of a job. Like [Offers], it asks a machine again only after it
  * changed; the teams change too with every stop, so the choice that is made is always a fresh one.
  */
-class Stops(private val machines: List<PlanMachine>, private val snapshot: Snapshot) {
+internal class Stops(private val machines: List<PlanMachine>, private val snapshot: Snapshot) {
     private class Asked(val choice: Preemption.Choice?, val atChange: Int)
 
     /** No machine is added to them while a plan is made. */
--- a/src/main/kotlin/oxbowlug/plan/Pricing.kt
+++ b/src/main/kotlin/oxbowlug/plan/Pricing.kt
@@ -5,7 +5,7 @@
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.MachineType
 
-object Pricing {
+internal object Pricing {
     const val HOUR_S = 3600.0
 
     /** The job's part of the machine for its run time, plus the weighted tardiness of its start there. */
--- a/src/main/kotlin/oxbowlug/plan/Ranking.kt
+++ b/src/main/kotlin/oxbowlug/plan/Ranking.kt
@@ -1,6 +1,6 @@
 package oxbowlug.plan
 
-object Ranking {
+internal object Ranking {
     /** By priority, then by the penalty of postponing, then the longest waiting; by id, so that a plan repeats. */
     fun order(jobs: List<PlanJob>, horizonS: Double, postponeFactor: Double): List<PlanJob> =
         jobs.sortedWith(
--- a/src/main/kotlin/oxbowlug/plan/RentalPrices.kt
+++ b/src/main/kotlin/oxbowlug/plan/RentalPrices.kt
@@ -8,14 +8,14 @@
 import oxbowlug.wire.Zone
 
 /** A machine of a kind that may be rented, and what the next task of a job would cost there. */
-class RentalOffer(val kind: MachineKind, val type: MachineType, val cost: Double)
+internal class RentalOffer(val kind: MachineKind, val type: MachineType, val cost: Double)
 
 /**
  * What new machines cost the tasks of a job. The same for every zone but for how crowded it is, so a type is priced
  * once for each number of tasks that it would take: done for every zone and task, it was most of the plan of a fleet
  * that expects thousands of tasks.
  */
-class RentalPrices(private val snapshot: Snapshot) {
+internal class RentalPrices(private val snapshot: Snapshot) {
     private class Choice(val kind: MachineKind, val penalty: Double)
 
     private class TypeChoices(val type: MachineType, val choices: List<Choice>) {
--- a/src/main/kotlin/oxbowlug/plan/Snapshot.kt
+++ b/src/main/kotlin/oxbowlug/plan/Snapshot.kt
@@ -17,10 +17,10 @@
 import oxbowlug.wire.Zone
 
 /** What can be rented: a type in a zone, spot or ordinary. */
-data class MachineKind(val type: TypeName, val zone: Zone, val spot: Boolean)
+internal data class MachineKind(val type: TypeName, val zone: Zone, val spot: Boolean)
 
 /** A task that holds part of a machine. */
-class Tenant(
+internal class Tenant(
     val attempt: AttemptId,
     val spec: JobSpec,
     /** Where its job's tasks are. */
@@ -56,7 +56,7 @@
     }
 }
 
-class PlanMachine(
+internal class PlanMachine(
     /** Null for a machine that this plan rents. */
     val id: MachineId?,
     val type: MachineType,
@@ -138,7 +138,7 @@
     }
 }
 
-class PlanJob(
+internal class PlanJob(
     val id: JobId,
     val spec: JobSpec,
     /** Tasks that wait for a machine, in the order in which they should start. */
@@ -161,7 +161,12 @@
     val priority: Priority = spec.priority,
 )
 
-class PlanTeam(val maxCores: Double, val maxGpus: Double, val guaranteedCores: Double, val guaranteedGpus: Double) {
+internal class PlanTeam(
+    val maxCores: Double,
+    val maxGpus: Double,
+    val guaranteedCores: Double,
+    val guaranteedGpus: Double,
+) {
     var cores = 0.0
         private set
     var gpus = 0.0
@@ -212,7 +217,7 @@
     }
 }
 
-class Snapshot(
+internal class Snapshot(
     val jobs: List<PlanJob>,
     val machines: List<PlanMachine>,
     val teams: Map<TeamName, PlanTeam>,
@@ -232,11 +237,11 @@
     val guaranteeWeight: Double = 0.0,
 )
 
-class CapacityRefusal(val blocked: Boolean, val penalty: Double)
+internal class CapacityRefusal(val blocked: Boolean, val penalty: Double)
 
-data class Start(val job: JobId, val task: Int, val machine: MachineId)
+internal data class Start(val job: JobId, val task: Int, val machine: MachineId)
 
-class Plan(
+internal class Plan(
     val starts: List<Start>,
     val stops: List<AttemptId>,
     /** Where those of [stops] go that are only moved. */
--- a/src/main/kotlin/oxbowlug/plan/index/CostHeap.kt
+++ b/src/main/kotlin/oxbowlug/plan/index/CostHeap.kt
@@ -5,7 +5,7 @@
  * index: so the choice is the one that a scan in the order of the machines makes. An indexed binary heap; a change of
  * one cost takes time by the logarithm of the machines, and the cheapest is at hand.
  */
-class CostHeap(private val costs: Costs) {
+internal class CostHeap(private val costs: Costs) {
     /** The present costs, by the machines' indexes; they only change between [update] and [clear]. */
     interface Costs {
         fun of(index: Int): Double
--- a/src/main/kotlin/oxbowlug/port/Clock.kt
+++ b/src/main/kotlin/oxbowlug/port/Clock.kt
@@ -1,7 +1,7 @@
 package oxbowlug.port
 
 /** Milliseconds of the steady clock, for every wait and proof, and of the day, only for what several nodes compare. */
-interface Clock {
+internal interface Clock {
     fun steadyMs(): Long
 
     fun wallMs(): Long
--- a/src/main/kotlin/oxbowlug/port/CloudPort.kt
+++ b/src/main/kotlin/oxbowlug/port/CloudPort.kt
@@ -5,7 +5,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.RentalRequest
 
-sealed interface RentalOutcome {
+internal sealed interface RentalOutcome {
     data class Rented(val machines: List<MachineId>) : RentalOutcome
 
     /** The provider has none of this kind now. */
@@ -17,7 +17,7 @@
     data object Unanswered : RentalOutcome
 }
 
-interface CloudPort {
+internal interface CloudPort {
     fun types(done: (List<MachineType>?) -> Unit)
 
     fun rent(request: RentalRequest, done: (RentalOutcome) -> Unit)
--- a/src/main/kotlin/oxbowlug/port/Meters.kt
+++ b/src/main/kotlin/oxbowlug/port/Meters.kt
@@ -1,7 +1,7 @@
 package oxbowlug.port
 
 /** What the core counts; the adapter publishes it. */
-interface Meters {
+internal interface Meters {
     /** A plan took so long, and priced so many machines, each counted once for a job and kind of room. */
     fun planned(nanos: Long, priced: Int)
 
--- a/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
@@ -6,7 +6,7 @@
  * What controllers tell one another: who they are, the newest view that they know, and whether the state service
  * answers them.
  */
-data class PeerHeartbeat(
+internal data class PeerHeartbeat(
     val sender: Member,
     val epoch: Long,
     val leader: Member?,
@@ -21,4 +21,4 @@
 )
 
 /** The newest word of the leader [of] that the sender had heard, by that one's clock, and its renewals as a deputy. */
-data class HeartbeatEcho(val of: Member, val atMs: Long, val renewals: Long)
+internal data class HeartbeatEcho(val of: Member, val atMs: Long, val renewals: Long)
--- a/src/main/kotlin/oxbowlug/port/StatePort.kt
+++ b/src/main/kotlin/oxbowlug/port/StatePort.kt
@@ -4,7 +4,7 @@
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.Transaction
 
-sealed interface CommitOutcome {
+internal sealed interface CommitOutcome {
     data class Applied(val revision: Long) : CommitOutcome
 
     data class Conflict(val failed: List<String>) : CommitOutcome
@@ -22,7 +22,7 @@
     data object Unanswered : CommitOutcome
 }
 
-sealed interface ChangesOutcome {
+internal sealed interface ChangesOutcome {
     data class Read(val changes: Changes) : ChangesOutcome
 
     /** The revision asked for is too old: read everything again. */
@@ -31,9 +31,9 @@
     data object Failed : ChangesOutcome
 }
 
-enum class TouchOutcome { RENEWED, OVER, FAILED }
+internal enum class TouchOutcome { RENEWED, OVER, FAILED }
 
-interface StatePort {
+internal interface StatePort {
     fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit)
 
     fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit)
--- a/src/main/kotlin/oxbowlug/port/WorkerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/WorkerPort.kt
@@ -5,7 +5,7 @@
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
 
-sealed interface DirectOutcome {
+internal sealed interface DirectOutcome {
     /** Executed, or refused for its token or incarnation: either way the report is the worker's present account. */
     data class Answered(val report: WorkerHeartbeat, val executed: Boolean) : DirectOutcome
 
@@ -16,7 +16,7 @@
     data object Unanswered : DirectOutcome
 }
 
-interface WorkerPort {
+internal interface WorkerPort {
     /** What the worker says of itself, or null. */
     fun status(endpoint: Address, done: (WorkerHeartbeat?) -> Unit)
 
--- a/src/main/kotlin/oxbowlug/record/DataFormat.kt
+++ b/src/main/kotlin/oxbowlug/record/DataFormat.kt
@@ -6,7 +6,7 @@
  * Layouts of what this service stores. While controllers of several versions serve side by side, only what the oldest
  * of them reads and keeps may be written; a committed marker says that all of them read the newer layout.
  */
-object DataFormat {
+internal object DataFormat {
     /** Each job in one value, without predecessors. */
     const val SINGLE_VALUE = 1L
 
--- a/src/main/kotlin/oxbowlug/record/DelegateAssignments.kt
+++ b/src/main/kotlin/oxbowlug/record/DelegateAssignments.kt
@@ -5,7 +5,7 @@
 import oxbowlug.wire.fields
 
 /** Whom the leader with [token] named for each zone, as the state service has it. */
-data class DelegateAssignments(val token: FencingToken, val byZone: Map<Zone, Member>, val version: Long) {
+internal data class DelegateAssignments(val token: FencingToken, val byZone: Map<Zone, Member>, val version: Long) {
     fun encode(): Map<String, Any?> = mapOf(
         "token" to token.value,
         "zones" to byZone.entries.associate { (zone, member) ->
--- a/src/main/kotlin/oxbowlug/record/JobRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -8,10 +8,10 @@
 import oxbowlug.wire.fields
 import java.util.BitSet
 
-data class Placement(val machine: MachineId, val attempt: Long)
+internal data class Placement(val machine: MachineId, val attempt: Long)
 
 /** What the state service holds of a job. Done tasks and placements are written as ranges of task numbers. */
-class JobRecord(
+internal class JobRecord(
     val spec: JobSpec,
     val submittedMs: Long,
     val phase: Phase,
--- a/src/main/kotlin/oxbowlug/record/Keys.kt
+++ b/src/main/kotlin/oxbowlug/record/Keys.kt
@@ -1,7 +1,7 @@
 package oxbowlug.record
 
 /** The keys under which this service keeps its state. */
-object Keys {
+internal object Keys {
     const val ROOT = "ox/"
     const val JOBS = "ox/j/"
 
--- a/src/main/kotlin/oxbowlug/record/LeadershipRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/LeadershipRecord.kt
@@ -4,7 +4,7 @@
 import oxbowlug.wire.fields
 
 /** Who leads. Every change raises [epoch]; [token] is the epoch at which the present leader took over. */
-data class LeadershipRecord(val epoch: Long, val token: FencingToken, val leader: Member, val version: Long) {
+internal data class LeadershipRecord(val epoch: Long, val token: FencingToken, val leader: Member, val version: Long) {
     fun encode(): Map<String, Any?> = mapOf(
         "epoch" to epoch,
         "token" to token.value,
--- a/src/main/kotlin/oxbowlug/record/Phase.kt
+++ b/src/main/kotlin/oxbowlug/record/Phase.kt
@@ -1,6 +1,6 @@
 package oxbowlug.record
 
-enum class Phase(val wire: String) {
+internal enum class Phase(val wire: String) {
     ACTIVE("active"),
     DONE("done"),
     CANCELLED("cancelled"),
--- a/src/main/kotlin/oxbowlug/record/RecordLayout.kt
+++ b/src/main/kotlin/oxbowlug/record/RecordLayout.kt
@@ -7,7 +7,7 @@
 import oxbowlug.wire.sizeAsJson
 
 /** A job's record as it is stored: the head decides everything about the job, the parts hold what has no room there. */
-class StoredForm(val head: Map<String, Any?>, val parts: List<Map<String, Any?>>)
+internal class StoredForm(val head: Map<String, Any?>, val parts: List<Map<String, Any?>>)
 
 /**
  * Divides a job's record into values of at most [limits]. A record that fits is stored whole, as the versions before
@@ -15,7 +15,7 @@
  * small write; placements, ranges of done tasks, and where need be lists of the specification go to the parts. Head and
  * changed parts are always written in one transaction under the head's version, so no part can follow a cancellation.
  */
-class RecordLayout(limits: WriteLimits) {
+internal class RecordLayout(limits: WriteLimits) {
     private val valueBytes = (limits.valueKb * BYTES_PER_KB).toInt()
 
     /** The head takes one of a transaction's changes, and a part of the bytes that one may have. */
--- a/src/main/kotlin/oxbowlug/record/TaskRanges.kt
+++ b/src/main/kotlin/oxbowlug/record/TaskRanges.kt
@@ -3,7 +3,7 @@
 import java.util.BitSet
 
 /** Sets of task numbers as text: `0-3,7`. */
-object TaskRanges {
+internal object TaskRanges {
     const val RANGE_BOUND = 14
 
     fun encode(set: BitSet): String = buildString {
--- a/src/main/kotlin/oxbowlug/record/WritableFormat.kt
+++ b/src/main/kotlin/oxbowlug/record/WritableFormat.kt
@@ -3,7 +3,7 @@
 import oxbowlug.wire.InvalidField
 
 /** Which layout this controller may write now, as the marker in the state service says. */
-enum class WritableFormat {
+internal enum class WritableFormat {
     /** No marker: some controller may still run a version that reads single values only. */
     SINGLE_VALUE,
 
--- a/src/main/kotlin/oxbowlug/request/Admission.kt
+++ b/src/main/kotlin/oxbowlug/request/Admission.kt
@@ -8,7 +8,7 @@
 import oxbowlug.wire.TypeName
 
 /** What can never run, and so is refused for good. */
-object Admission {
+internal object Admission {
     fun problem(spec: JobSpec, settings: Settings, types: Map<TypeName, MachineType>): String? {
         val team = settings.teams[spec.team] ?: return "yoke: is not a known team"
         val need = spec.resources()
--- a/src/main/kotlin/oxbowlug/request/UserRequestHandler.kt
+++ b/src/main/kotlin/oxbowlug/request/UserRequestHandler.kt
@@ -32,7 +32,7 @@
 import java.util.BitSet
 
 /** Answers users. Every controller does, each with the same answers, because each first catches up with the store. */
-class UserRequestHandler(
+internal class UserRequestHandler(
     private val requestIds: RequestIds,
     private val settings: Settings,
     private val state: StatePort,
--- a/src/main/kotlin/oxbowlug/request/UserResponse.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponse.kt
@@ -2,7 +2,7 @@
 
 import oxbowlug.wire.JobStatus
 
-sealed interface UserResponse {
+internal sealed interface UserResponse {
     data class Accepted(val status: JobStatus) : UserResponse
 
     data class Known(val status: JobStatus) : UserResponse
--- a/src/main/kotlin/oxbowlug/resource/Resources.kt
+++ b/src/main/kotlin/oxbowlug/resource/Resources.kt
@@ -4,7 +4,7 @@
 import oxbowlug.wire.MachineType
 
 /** What a task takes of its machine, or what a machine has left. */
-data class Resources(val cores: Double, val gpus: Double, val memoryGb: Double) {
+internal data class Resources(val cores: Double, val gpus: Double, val memoryGb: Double) {
     operator fun plus(other: Resources) = Resources(cores + other.cores, gpus + other.gpus, memoryGb + other.memoryGb)
 
     operator fun minus(other: Resources) = Resources(cores - other.cores, gpus - other.gpus, memoryGb - other.memoryGb)
@@ -21,15 +21,15 @@
     }
 }
 
-fun JobSpec.resources() = Resources(cores, gpus, memoryGb)
+internal fun JobSpec.resources() = Resources(cores, gpus, memoryGb)
 
-fun MachineType.resources() = Resources(cores, gpus, memoryGb)
+internal fun MachineType.resources() = Resources(cores, gpus, memoryGb)
 
 /** How long a machine of this type that does nothing else takes to fetch the job's image. */
-fun MachineType.fetchS(spec: JobSpec): Double = if (fetchGbPerS > 0.0) spec.imageGb / fetchGbPerS else 0.0
+internal fun MachineType.fetchS(spec: JobSpec): Double = if (fetchGbPerS > 0.0) spec.imageGb / fetchGbPerS else 0.0
 
 /** The part of a whole machine that [need] takes: its scarcest resource decides. */
-fun MachineType.share(need: Resources): Double {
+internal fun MachineType.share(need: Resources): Double {
     var share = if (cores > 0.0) need.cores / cores else 0.0
     if (gpus > 0.0) share = maxOf(share, need.gpus / gpus)
     if (memoryGb > 0.0) share = maxOf(share, need.memoryGb / memoryGb)
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -24,7 +24,7 @@
 import kotlin.math.pow
 
 /** The leader's dealings with the cloud: the list, rentals as planned, returns, and which kinds refuse. */
-class MachineScaler(
+internal class MachineScaler(
     private val requestIds: RequestIds,
     private val settings: Settings,
     private val cloud: CloudPort,
--- a/src/main/kotlin/oxbowlug/scaling/PendingOrder.kt
+++ b/src/main/kotlin/oxbowlug/scaling/PendingOrder.kt
@@ -3,4 +3,4 @@
 import oxbowlug.wire.RentalRequest
 
 /** A rental whose answer is awaited: its machines count as coming. */
-class PendingOrder(val request: RentalRequest, val orderedAt: Long, var asking: Boolean, var askAgainAt: Long)
+internal class PendingOrder(val request: RentalRequest, val orderedAt: Long, var asking: Boolean, var askAgainAt: Long)
--- a/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
@@ -9,7 +9,7 @@
  * What a job inherits from the jobs that need it: the most urgent of their priorities, and the latest moment at which
  * it may end so that each of them can keep its deadline by the estimates. Users set both on a pipeline's last job only.
  */
-object InheritedPriority {
+internal object InheritedPriority {
     private const val MS_PER_S = 1000.0
 
     /** [stageMs] is what a stage takes beside its run: the commit of an end, a plan, a start. */
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -33,7 +33,7 @@
 import oxbowlug.wire.TypeName
 
 /** Turns the model into the planner's snapshot. */
-class SchedulingRound(
+internal class SchedulingRound(
     private val settings: Settings,
     private val clock: Clock,
     private val timing: Timing,
--- a/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
@@ -7,7 +7,7 @@
 import oxbowlug.wire.Zone
 
 /** Where the tasks of each job are, counted once a plan: tenants of one job on many machines all ask for it. */
-class ZoneUses(private val cluster: ClusterState, private val zones: List<Zone>) {
+internal class ZoneUses(private val cluster: ClusterState, private val zones: List<Zone>) {
     private val known = HashMap<JobId, Map<Zone, Int>>()
 
     /** A new leader may know from the records of a machine that it hasn't heard and that no list shows yet. */
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -16,7 +16,7 @@
 import oxbowlug.wire.Transaction
 
 /** The state service over HTTP. [settle] brings outcomes back to the core's queue. */
-class StateClient(
+internal class StateClient(
     private val address: Address,
     private val http: HttpCaller,
     private val scope: CoroutineScope,
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -4,7 +4,7 @@
 import kotlin.random.Random
 
 /** Every duration of the core, each a ratio to a figure of the settings. */
-class Timing(settings: Settings, private val random: Random) {
+internal class Timing(settings: Settings, private val random: Random) {
     private val workerLeaseMs = settings.workers.leaseS * 1000.0
     private val reportMs = settings.workers.heartbeatS * 1000.0
 
--- a/src/main/kotlin/oxbowlug/timing/TokenBucket.kt
+++ b/src/main/kotlin/oxbowlug/timing/TokenBucket.kt
@@ -1,7 +1,7 @@
 package oxbowlug.timing
 
 /** A token bucket that holds one second's worth: this controller's share of a published rate. */
-class TokenBucket(private var perSecond: Double) {
+internal class TokenBucket(private var perSecond: Double) {
     private val burst: Double get() = perSecond
     private var tokens = burst
     private var updatedMs = Long.MIN_VALUE
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /** Commands sent straight to a worker's address. */
-class WorkerClient(
+internal class WorkerClient(
     private val http: HttpCaller,
     private val scope: CoroutineScope,
     private val timeoutMs: Long,
--- a/src/scale/kotlin/oxbowlug/scale/ArgumentParser.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ArgumentParser.kt
@@ -6,10 +6,10 @@
 import joptsimple.OptionSpec
 
 /** An argument that can't work; the message begins with its name. */
-class InvalidOption(message: String) : Exception(message)
+internal class InvalidOption(message: String) : Exception(message)
 
 /** Reads and checks the arguments of a run; [introduction] stands before the list of options. */
-abstract class ArgumentParser<T>(private val introduction: String) {
+internal abstract class ArgumentParser<T>(private val introduction: String) {
     protected val parser = OptionParser()
     private val help = parser.accepts("help", "show this help and end").forHelp()
 
--- a/src/scale/kotlin/oxbowlug/scale/Arrivals.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Arrivals.kt
@@ -5,7 +5,7 @@
 import kotlin.math.roundToInt
 
 /** Submits the jobs of a day at its rate, and those of the peak. */
-class Arrivals(
+internal class Arrivals(
     private val options: ScaleOptions,
     private val world: World,
     private val plan: FleetPlan,
--- a/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.fields
 
 /** The cloud over HTTP: one address for each controller, which is told the worker addresses that are its own. */
-class CloudServer(
+internal class CloudServer(
     world: World,
     private val cloud: SimCloud,
     private val network: Network,
--- a/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
@@ -3,7 +3,7 @@
 import java.io.File
 
 /** The settings, policy and start command of each controller, as the platform would hand them over. */
-class ControllerFiles(
+internal class ControllerFiles(
     private val options: ScaleOptions,
     private val topology: Topology,
     private val fleet: FleetPlan,
--- a/src/scale/kotlin/oxbowlug/scale/ControllerMeters.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerMeters.kt
@@ -7,7 +7,7 @@
 import io.vertx.kotlin.coroutines.coAwait
 
 /** What a controller says of itself on `/metrics`: the longest of the last minute or two, in milliseconds. */
-data class ControllerMeters(
+internal data class ControllerMeters(
     val isLeading: Boolean,
     val longestPlanMs: Double,
     val longestStepMs: Double,
@@ -15,7 +15,7 @@
 )
 
 /** Reads the controllers' metrics; one that doesn't answer counts as not leading. */
-class MeterReader(vertx: Vertx) {
+internal class MeterReader(vertx: Vertx) {
     private val client = vertx.createHttpClient(HttpClientOptions().setKeepAlive(false))
 
     suspend fun read(controller: ControllerPlace): ControllerMeters {
--- a/src/scale/kotlin/oxbowlug/scale/ControllerProcess.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerProcess.kt
@@ -4,10 +4,10 @@
 import java.util.concurrent.TimeUnit
 
 /** A controller process that could not be started, with what it logged last. */
-class StartFailed(message: String) : Exception(message)
+internal class StartFailed(message: String) : Exception(message)
 
 /** One controller: a real process of the deployed jar, started again as often as a scenario wants. */
-class ControllerProcess(
+internal class ControllerProcess(
     val place: ControllerPlace,
     private val command: List<String>,
     private val log: File,
@@ -109,4 +109,4 @@
 }
 
 /** Resident memory now and at most, and open sockets. */
-data class ProcessSample(val residentMb: Double, val peakMb: Double, val sockets: Int)
+internal data class ProcessSample(val residentMb: Double, val peakMb: Double, val sockets: Int)
--- a/src/scale/kotlin/oxbowlug/scale/Endpoint.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Endpoint.kt
@@ -3,7 +3,7 @@
 import oxbowlug.wire.Zone
 
 /** One end of a message. Users, cloud and state service belong to no zone. */
-sealed interface Endpoint {
+internal sealed interface Endpoint {
     val zone: Zone?
 
     data class Controller(val place: ControllerPlace) : Endpoint {
--- a/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
+++ b/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
@@ -13,7 +13,7 @@
 import kotlin.math.ceil
 
 /** A team's share of the fleet, in cores and accelerators. */
-data class TeamShare(
+internal data class TeamShare(
     val name: String,
     val guaranteedCores: Double,
     val maxCores: Double,
@@ -22,10 +22,10 @@
 )
 
 /** A job with the time that each of its tasks takes; services never end by themselves. */
-class PlannedJob(val spec: JobSpec, val runMs: Long)
+internal class PlannedJob(val spec: JobSpec, val runMs: Long)
 
 /** Which machines, teams and jobs there are: proportions are those of the size that the fleet is designed for. */
-class FleetPlan(private val options: ScaleOptions, topology: Topology) {
+internal class FleetPlan(private val options: ScaleOptions, topology: Topology) {
     private val zones: List<Zone> = topology.zones
     private val coreType = MachineType(
         TypeName("core-64"), MACHINE_CORES, 0.0, MACHINE_GB, CACHE_GB, FETCH_GB_PER_S, 3.0, 1.2, BOOT_S, zones,
--- a/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
@@ -17,7 +17,7 @@
 import oxbowlug.wire.Zone
 
 /** The hollow workers and what is known of their jobs. */
-class HollowFleet(
+internal class HollowFleet(
     private val options: ScaleOptions,
     private val topology: Topology,
     private val world: World,
--- a/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
@@ -22,7 +22,7 @@
 import oxbowlug.wire.fields
 
 /** Brings the reports of hollow workers to real controllers, each worker over a connection of its own. */
-class ReportConnections(
+internal class ReportConnections(
     vertx: Vertx,
     private val network: Network,
     private val traffic: Traffic,
@@ -112,7 +112,7 @@
  * The workers' own address for `/do` and `/status`. One socket serves all of them: the address to which a connection
  * was opened tells which worker is meant, and by which controller.
  */
-class WorkerServer(
+internal class WorkerServer(
     private val network: Network,
     private val traffic: Traffic,
     private val topology: Topology,
--- a/src/scale/kotlin/oxbowlug/scale/HttpExchange.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HttpExchange.kt
@@ -11,7 +11,7 @@
 import oxbowlug.wire.MalformedBody
 
 /** A request to a stand-in, with its whole body, and its answer. */
-class HttpExchange(val request: HttpServerRequest, private val bytes: ByteArray) {
+internal class HttpExchange(val request: HttpServerRequest, private val bytes: ByteArray) {
     val path: String get() = request.path().orEmpty()
     val bodySize: Int get() = bytes.size
 
@@ -39,7 +39,7 @@
 }
 
 /** Serves CBOR on one address. A malformed request is answered 400 at once and changes nothing. */
-fun Vertx.serveCbor(host: String, port: Int, handler: (HttpExchange) -> Unit): Future<HttpServer> =
+internal fun Vertx.serveCbor(host: String, port: Int, handler: (HttpExchange) -> Unit): Future<HttpServer> =
     createHttpServer(HttpServerOptions().setHost(host).setPort(port).setTcpNoDelay(true))
         .requestHandler { request ->
             request.body().onSuccess { body ->
--- a/src/scale/kotlin/oxbowlug/scale/LoopbackRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/LoopbackRun.kt
@@ -16,7 +16,7 @@
  * processes of their own. Everything that it starts ends with [close], which may be called from any thread but that
  * event loop.
  */
-abstract class LoopbackRun(
+internal abstract class LoopbackRun(
     val options: ScaleOptions,
     /** Whether each task that starts has to be in a stored record; that costs a decoded record a start. */
     checksStored: Boolean,
--- a/src/scale/kotlin/oxbowlug/scale/MalformedHeartbeat.kt
+++ b/src/scale/kotlin/oxbowlug/scale/MalformedHeartbeat.kt
@@ -7,7 +7,7 @@
 import io.vertx.kotlin.coroutines.coAwait
 
 /** A worker's report that can't be read. */
-object MalformedHeartbeat {
+internal object MalformedHeartbeat {
     val REFUSALS = 400..499
     private const val TIMEOUT_MS = 2_000L
 
--- a/src/scale/kotlin/oxbowlug/scale/Network.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Network.kt
@@ -7,7 +7,7 @@
  * Latencies between zones and regions, and cuts between them or between single ends. A cut holds what is sent and
  * delivers it in order when it ends, as the protocol warns: so commands, reports and transactions arrive late.
  */
-class Network(private val world: World, private val topology: Topology) {
+internal class Network(private val world: World, private val topology: Topology) {
     private class Cut(val untilMs: Long, val parts: (Endpoint, Endpoint) -> Boolean)
 
     private val cuts = ArrayList<Cut>()
--- a/src/scale/kotlin/oxbowlug/scale/PeerProxies.kt
+++ b/src/scale/kotlin/oxbowlug/scale/PeerProxies.kt
@@ -5,7 +5,7 @@
 import io.vertx.core.net.NetSocket
 
 /** The connections between controllers, with the network's latencies and cuts in both directions. */
-class PeerProxies(private val vertx: Vertx, private val network: Network, private val traffic: Traffic) {
+internal class PeerProxies(private val vertx: Vertx, private val network: Network, private val traffic: Traffic) {
     private val client = vertx.createNetClient()
 
     fun start(topology: Topology): List<Future<*>> {
--- a/src/scale/kotlin/oxbowlug/scale/ReportFiles.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ReportFiles.kt
@@ -23,7 +23,7 @@
 import java.io.File
 
 /** A finished run as JSON, and as one HTML page that needs nothing beside it. */
-class ReportFiles(private val folder: File) {
+internal class ReportFiles(private val folder: File) {
     private val json = ObjectMapper()
 
     fun write(report: ScaleReport): List<File> {
@@ -114,7 +114,7 @@
 }
 
 /** The columns of the page's table, and of what is printed. */
-object ScenarioTable {
+internal object ScenarioTable {
     val headings = listOf(
         "scenario", "leader, of a core", "leader MB", "sockets", "others, of a core", "reports/s", "KB/s a worker",
         "state requests/s", "changes/s", "longest plan ms", "latest tick ms", "starts/s (most)", "urgent p50/p99/max s",
--- a/src/scale/kotlin/oxbowlug/scale/RequestLimit.kt
+++ b/src/scale/kotlin/oxbowlug/scale/RequestLimit.kt
@@ -3,7 +3,7 @@
 import oxbowlug.standin.World
 
 /** A published limit of requests a second, with bursts of [burstS] seconds' worth. */
-class RequestLimit(private val world: World, private val rps: Double, private val burstS: Int) {
+internal class RequestLimit(private val world: World, private val rps: Double, private val burstS: Int) {
     private var tokens = rps * burstS
     private var tokensAt = 0L
 
--- a/src/scale/kotlin/oxbowlug/scale/Sampler.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Sampler.kt
@@ -3,7 +3,7 @@
 import kotlin.concurrent.thread
 
 /** Reads what the kernel says of the controllers once a second, on a thread of its own. */
-class Sampler(private val controllers: List<ControllerProcess>) {
+internal class Sampler(private val controllers: List<ControllerProcess>) {
     @Volatile
     private var isRunning = true
     private val thread = thread(start = false, isDaemon = true, name = "sampler") { loop() }
--- a/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
@@ -5,7 +5,7 @@
 import java.util.Locale
 
 /** What a run plays, from its arguments. Rates are those of the whole fleet. */
-data class ScaleOptions(
+internal data class ScaleOptions(
     val workers: Int,
     val tasksPerWorker: Double,
     val tasksPerJob: Int,
@@ -36,7 +36,7 @@
 }
 
 /** Reads and checks the arguments of a scale run. */
-class ScaleOptionParser :
+internal class ScaleOptionParser :
     ArgumentParser<ScaleOptions>(
         "Plays a fleet on loopback: real controllers, hollow workers, a state service and a cloud.",
     ) {
--- a/src/scale/kotlin/oxbowlug/scale/ScaleReport.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleReport.kt
@@ -1,7 +1,7 @@
 package oxbowlug.scale
 
 /** What one controller took during one scenario. [processorShare] is of one core. */
-data class ControllerUse(
+internal data class ControllerUse(
     val label: String,
     val zone: String,
     val leads: Boolean,
@@ -15,7 +15,7 @@
 )
 
 /** What went over the workers' connections, each worker's share, and what was refused. */
-data class ReportTraffic(
+internal data class ReportTraffic(
     val reportsPerS: Double,
     val upBytesPerWorkerS: Double,
     val downBytesPerWorkerS: Double,
@@ -25,7 +25,7 @@
     val failed: Long,
 )
 
-data class StateTraffic(
+internal data class StateTraffic(
     val requestsPerS: Double,
     val changesPerS: Double,
     val readsPerS: Double,
@@ -36,7 +36,7 @@
 )
 
 /** One scenario's figures. Durations without a unit in their name are milliseconds. */
-data class ScenarioResult(
+internal data class ScenarioResult(
     val scenario: String,
     val title: String,
     val seconds: Double,
@@ -62,7 +62,7 @@
 )
 
 /** A point of the plots: each list has a value for each controller. */
-data class Sample(
+internal data class Sample(
     val second: Double,
     val processorShares: List<Double>,
     val residentMb: List<Double>,
@@ -70,7 +70,7 @@
     val tasksRunning: Int,
 )
 
-data class ScaleReport(
+internal data class ScaleReport(
     val workers: Int,
     val controllers: Int,
     val zones: Int,
--- a/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
@@ -7,7 +7,7 @@
 import oxbowlug.standin.World
 
 /** The stand-ins' time follows the real one; how far it fell behind says whether the stand-ins kept up. */
-class RealTime(vertx: Vertx, private val world: World) {
+internal class RealTime(vertx: Vertx, private val world: World) {
     private val beganNs = System.nanoTime()
     private var isAdvancing = false
 
@@ -48,7 +48,10 @@
 }
 
 /** Plays its scenarios one after the other on the same fleet, and measures them. */
-class ScaleRun(options: ScaleOptions, private val say: (String) -> Unit) : LoopbackRun(options, checksStored = false) {
+internal class ScaleRun(
+    options: ScaleOptions,
+    private val say: (String) -> Unit,
+) : LoopbackRun(options, checksStored = false) {
     val arrivals = Arrivals(options, world, plan, fleet, users)
     private val sampler = Sampler(controllers)
     private val meters = MeterReader(vertx)
--- a/src/scale/kotlin/oxbowlug/scale/Scenario.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Scenario.kt
@@ -1,7 +1,7 @@
 package oxbowlug.scale
 
 /** What a run plays, one after the other on the same fleet. [seconds] is how long, with the time to recover. */
-enum class Scenario(val wire: String, val seconds: Int, val title: String) {
+internal enum class Scenario(val wire: String, val seconds: Int, val title: String) {
     ORDINARY("ordinary", 20, "ordinary load"),
     PEAK("peak", 20, "the peak of starts"),
     LEADER_KILLED("leader-killed", 25, "the leader is killed"),
--- a/src/scale/kotlin/oxbowlug/scale/StateFaults.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateFaults.kt
@@ -1,7 +1,7 @@
 package oxbowlug.scale
 
 /** What goes wrong at the state service's stand-in for now; shares are those of its transactions. */
-class StateFaults {
+internal class StateFaults {
     /** Controllers that it refuses, by index, while it serves the others. */
     val refusedControllers = HashSet<Int>()
 
--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.sizeAsJson
 
 /** The state service over HTTP: one address for each controller, one store behind them. */
-class StateServer(
+internal class StateServer(
     private val world: World,
     private val store: SimStore,
     private val network: Network,
--- a/src/scale/kotlin/oxbowlug/scale/Status.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Status.kt
@@ -1,7 +1,7 @@
 package oxbowlug.scale
 
 /** The HTTP statuses of the published interfaces. */
-object Status {
+internal object Status {
     const val OK = 200
     const val CREATED = 201
     const val BAD_REQUEST = 400
--- a/src/scale/kotlin/oxbowlug/scale/Topology.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Topology.kt
@@ -3,7 +3,7 @@
 import oxbowlug.wire.Zone
 
 /** One controller's place and addresses; every one of them is in 127.0.0.0/8. */
-class ControllerPlace(val index: Int, val zone: Zone, private val firstPort: Int) {
+internal class ControllerPlace(val index: Int, val zone: Zone, private val firstPort: Int) {
     val label = "controller-$index"
     val clientHost = "127.10.$index.1"
     val clientPort = firstPort
@@ -19,7 +19,7 @@
 }
 
 /** Which zones there are, in which regions, and where the controllers stand. */
-class Topology(options: ScaleOptions) {
+internal class Topology(options: ScaleOptions) {
     val ports = Ports(options.firstPort)
     val zones: List<Zone> = List(options.zones) { Zone("zone-$it") }
     private val regionOf: Map<Zone, Int> = zones.withIndex().associate { (index, zone) ->
@@ -47,7 +47,7 @@
 }
 
 /** A worker's addresses: one for each controller, so that a worker's stand-in knows who commands it. */
-object WorkerAddresses {
+internal object WorkerAddresses {
     private const val FIRST_OCTET = 64
     private const val BYTE = 256
 
--- a/src/scale/kotlin/oxbowlug/scale/Traffic.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Traffic.kt
@@ -3,7 +3,7 @@
 import org.HdrHistogram.Histogram
 
 /** Messages and bytes of one kind, since the run's start. */
-class Flow {
+internal class Flow {
     var messages = 0L
         private set
     var bytes = 0L
@@ -19,7 +19,7 @@
  * What went over the stand-ins' connections. Bodies are counted as they are sent, headers by the length that they have
  * here; TCP's own are not counted.
  */
-class Traffic {
+internal class Traffic {
     val reports = Flow()
     val reportAnswers = Flow()
     val directCommands = Flow()
@@ -46,7 +46,7 @@
 }
 
 /** Durations in milliseconds, to two digits. */
-class Durations {
+internal class Durations {
     private val histogram = Histogram(LONGEST_MS, 2)
     val count: Long get() = histogram.totalCount
 
@@ -66,4 +66,4 @@
     }
 }
 
-data class DurationSummary(val count: Long, val p50Ms: Long, val p99Ms: Long, val maxMs: Long)
+internal data class DurationSummary(val count: Long, val p50Ms: Long, val p99Ms: Long, val maxMs: Long)
--- a/src/scale/kotlin/oxbowlug/scale/Users.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Users.kt
@@ -23,7 +23,7 @@
 private class Answer(val status: Int, val body: Map<String, Any?>, val retryAfterS: Int)
 
 /** Users behind a load balancer: they submit, repeat what wasn't taken, poll, and cancel. */
-class Users(
+internal class Users(
     vertx: Vertx,
     private val world: World,
     private val topology: Topology,
--- a/src/scale/kotlin/oxbowlug/scale/Window.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Window.kt
@@ -4,7 +4,7 @@
 import oxbowlug.wire.sizeAsJson
 
 /** Counters at one moment, so that a scenario's figures are differences of two. */
-class Counters(private val run: ScaleRun) {
+internal class Counters(private val run: ScaleRun) {
     val atMs = run.world.nowMs
     private val traffic = run.traffic
     val reports = traffic.reports.messages
@@ -39,7 +39,7 @@
 }
 
 /** What happened between two moments of a run. */
-class Window(private val run: ScaleRun, private val scenario: Scenario) {
+internal class Window(private val run: ScaleRun, private val scenario: Scenario) {
     private val before = Counters(run)
     val startedAt: Long get() = before.atMs
     private var longestUnrenewedMs = 0L
--- a/src/scale/kotlin/oxbowlug/scale/Wire.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Wire.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.fields
 
 /** The other side of the published interfaces: what workers, the state service and the cloud encode and decode. */
-object Wire {
+internal object Wire {
     fun encodeReport(report: WorkerHeartbeat): Map<String, Any?> = mapOf(
         "beast" to report.machine.value,
         "endpoint" to report.endpoint,
--- a/src/scale/kotlin/oxbowlug/soak/Fault.kt
+++ b/src/scale/kotlin/oxbowlug/soak/Fault.kt
@@ -1,7 +1,7 @@
 package oxbowlug.soak
 
 /** What can be made to go wrong. Each kind is played alike on virtual time and on real processes. */
-enum class FaultKind {
+internal enum class FaultKind {
     KILL_CONTROLLER,
     KILL_LEADER,
     KILL_ALL_CONTROLLERS,
@@ -51,7 +51,7 @@
  * One trouble of a schedule. All times are in milliseconds since the schedule began; [target] chooses among whatever
  * there is to choose from, by its remainder.
  */
-data class Fault(val kind: FaultKind, val atMs: Long, val forMs: Long, val target: Int) {
+internal data class Fault(val kind: FaultKind, val atMs: Long, val forMs: Long, val target: Int) {
     val untilMs: Long get() = atMs + forMs
 
     override fun toString(): String = "$atMs ms $kind, target $target, for $forMs ms"
--- a/src/scale/kotlin/oxbowlug/soak/FaultSchedule.kt
+++ b/src/scale/kotlin/oxbowlug/soak/FaultSchedule.kt
@@ -6,7 +6,7 @@
  * The troubles of one run, drawn from its seed alone: groups of two or three that begin within moments of one another
  * and overlap, since what single troubles break is found by other tests.
  */
-class FaultSchedule private constructor(val seed: Long, val faults: List<Fault>) {
+internal class FaultSchedule private constructor(val seed: Long, val faults: List<Fault>) {
     /** When the last one is over. */
     val endMs: Long get() = faults.maxOfOrNull { it.untilMs } ?: 0
 
--- a/src/scale/kotlin/oxbowlug/soak/LostAnswers.kt
+++ b/src/scale/kotlin/oxbowlug/soak/LostAnswers.kt
@@ -8,7 +8,7 @@
  * commands reach it throughout. Its incarnation ends as its leader goes on hearing it, and the next one begins unheard
  * (docs/incidents/broke-at-size-2.md).
  */
-class LostAnswers(private val world: World, private val leaseMs: Long) {
+internal class LostAnswers(private val world: World, private val leaseMs: Long) {
     fun begin(worker: SimWorker) {
         val overAt = worker.leaseFrom + leaseMs
         worker.unansweredUntil = overAt
--- a/src/scale/kotlin/oxbowlug/soak/Main.kt
+++ b/src/scale/kotlin/oxbowlug/soak/Main.kt
@@ -28,7 +28,11 @@
 }
 
 /** Several seeds, some of them at the same time, each reported by a line. */
-class Soak(private val options: SoakOptions, private val say: (String) -> Unit, private val classPath: String? = null) {
+internal class Soak(
+    private val options: SoakOptions,
+    private val say: (String) -> Unit,
+    private val classPath: String? = null,
+) {
     private val running = ConcurrentHashMap.newKeySet<SoakRun>()
 
     /** Whether every seed passed. */
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.Zone
 
 /** Brings faults about on real controller processes and on the stand-ins around them. */
-class RealFaults(
+internal class RealFaults(
     private val world: World,
     private val zones: List<Zone>,
     private val network: Network,
--- a/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
+++ b/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
@@ -9,7 +9,7 @@
 import oxbowlug.wire.JobId
 
 /** Users who go on submitting, asking and cancelling through all troubles, some of them work in stages. */
-class SoakLoad(
+internal class SoakLoad(
     private val world: World,
     private val plan: FleetPlan,
     private val fleet: HollowFleet,
--- a/src/scale/kotlin/oxbowlug/soak/SoakOptions.kt
+++ b/src/scale/kotlin/oxbowlug/soak/SoakOptions.kt
@@ -7,7 +7,7 @@
 import java.io.File
 
 /** Which seeds are played, and on what fleet. */
-data class SoakOptions(
+internal data class SoakOptions(
     val firstSeed: Long,
     val seeds: Int,
     val atOnce: Int,
@@ -41,7 +41,7 @@
 }
 
 /** Reads and checks the arguments of a soak. */
-class SoakOptionParser :
+internal class SoakOptionParser :
     ArgumentParser<SoakOptions>(
         "Plays drawn troubles on real controllers over loopback, and judges them from outside.",
     ) {
--- a/src/scale/kotlin/oxbowlug/soak/SoakRun.kt
+++ b/src/scale/kotlin/oxbowlug/soak/SoakRun.kt
@@ -7,7 +7,7 @@
 import java.io.File
 
 /** What came of one seed. */
-sealed interface SoakVerdict {
+internal sealed interface SoakVerdict {
     /** Nothing was broken, by [starts] starts of tasks. */
     data class Passed(val starts: Int, val stoodStillMs: Long) : SoakVerdict
 
@@ -18,7 +18,7 @@
 }
 
 /** One seed: troubles drawn from it, judged by the stand-ins' own record. */
-class SoakRun(options: ScaleOptions, groups: Int, classPath: String? = null) :
+internal class SoakRun(options: ScaleOptions, groups: Int, classPath: String? = null) :
     LoopbackRun(options, checksStored = true, classPath) {
     private val load = SoakLoad(world, plan, fleet, users)
     private val faults =
--- a/src/scale/kotlin/oxbowlug/standin/Rules.kt
+++ b/src/scale/kotlin/oxbowlug/standin/Rules.kt
@@ -8,7 +8,7 @@
 import oxbowlug.wire.JobStatus
 
 /** The protocol's rules, checked against what the workers and the users really see. */
-class Rules(
+internal class Rules(
     private val world: World,
     private val limits: Map<String, Double>,
     private val cancelMs: Long,
--- a/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
@@ -9,7 +9,7 @@
 import oxbowlug.wire.Zone
 
 /** The cloud by its published protocol: named rentals, boot times, a lagging list. */
-class SimCloud(
+internal class SimCloud(
     private val world: World,
     val types: List<MachineType>,
     private val capacity: Int,
--- a/src/scale/kotlin/oxbowlug/standin/SimStore.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimStore.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.Transaction
 
 /** The state service by its published protocol: revisions, conditions, leases, watches and outages. */
-class SimStore(private val world: World, private val historyLimit: Int = 10_000) {
+internal class SimStore(private val world: World, private val historyLimit: Int = 10_000) {
     private class Lease(val lifeMs: Long, var endsAt: Long)
 
     private class Watch(val from: Long, val prefix: String, val answer: (ChangesOutcome) -> Unit) {
--- a/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.Zone
 
 /** What a worker may know of jobs, and how long their tasks really take. */
-interface JobBook {
+internal interface JobBook {
     fun spec(job: String): JobSpec?
 
     fun runMs(job: String): Long
@@ -26,7 +26,7 @@
 }
 
 /** One controller, as a worker reports to it. */
-interface HeartbeatTarget {
+internal interface HeartbeatTarget {
     val label: String
 
     /** [answer] is given null when the controller refused the connection; a lost report has no answer at all. */
@@ -34,7 +34,7 @@
 }
 
 /** When a worker reports, all in milliseconds. */
-sealed interface HeartbeatPacing {
+internal sealed interface HeartbeatPacing {
     val intervalMs: Long
 
     /** How often the worker looks whether a report is due. */
@@ -65,7 +65,7 @@
 }
 
 /** One worker by its published protocol: incarnations, leases, tokens, and one report in flight. */
-class SimWorker(
+internal class SimWorker(
     private val world: World,
     private val book: JobBook,
     private val nodes: () -> List<HeartbeatTarget>,
--- a/src/scale/kotlin/oxbowlug/standin/World.kt
+++ b/src/scale/kotlin/oxbowlug/standin/World.kt
@@ -4,7 +4,7 @@
 import kotlin.random.Random
 
 /** Virtual time: events run in the order of their moments, and everything random comes from one seed. */
-class World(seed: Long) {
+internal class World(seed: Long) {
     private class Event(val atMs: Long, val order: Long, val action: () -> Unit)
 
     private val events = PriorityQueue<Event>(compareBy<Event> { it.atMs }.thenBy { it.order })
--- a/src/test/kotlin/oxbowlug/api/ServiceMetricsTest.kt
+++ b/src/test/kotlin/oxbowlug/api/ServiceMetricsTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test
 import java.util.concurrent.TimeUnit
 
-class ServiceMetricsTest {
+internal class ServiceMetricsTest {
     private val windowNanos = TimeUnit.MINUTES.toNanos(1)
 
     @Test
--- a/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
@@ -20,7 +20,7 @@
 import kotlin.random.Random
 
 /** Answers of the state service that come when what they were about is no more. */
-class LateAnswersTest {
+internal class LateAnswersTest {
     private val clock = ManualClock()
     private val store = SimStore(World(1), historyLimit = 2)
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -33,7 +33,7 @@
  * A copy that is read in small pages while jobs are accepted, placed, cancelled and ended: whatever it says of a job at
  * a revision is what was stored at that revision.
  */
-class TornRecordTest {
+internal class TornRecordTest {
     private val world = World(1)
     private val clock = DriftingClock(world, 0.0, 0)
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -51,7 +51,7 @@
 import kotlin.random.Random
 
 /** What a follower does about cancelled work on a machine that several cancelled jobs share, with nobody leading. */
-class CancellationEnforcerTest {
+internal class CancellationEnforcerTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val timing = Timing(settings, Random(1))
     private val world = World(1)
--- a/src/test/kotlin/oxbowlug/cli/HelpTextTest.kt
+++ b/src/test/kotlin/oxbowlug/cli/HelpTextTest.kt
@@ -5,7 +5,7 @@
 import java.io.ByteArrayOutputStream
 import java.io.PrintStream
 
-class HelpTextTest {
+internal class HelpTextTest {
     @Test
     fun `the help and the version are the texts they were`() {
         val expected = javaClass.getResource("/production/help.txt")!!.readText()
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -51,7 +51,7 @@
 import kotlin.random.Random
 
 /** When an attempt is gone, and when it only seems so. */
-class ClusterStateTest {
+internal class ClusterStateTest {
     private val clock = ManualClock()
     private val settings = SettingsFile.parse(SampleSettings.valid, Policy())
     private val timing = Timing(settings, Random(1))
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -41,7 +41,7 @@
 import kotlin.random.Random
 
 /** How a leader writes its jobs' records while the state service takes less than it did. */
-class JobRecordWriterTest {
+internal class JobRecordWriterTest {
     private val world = World(1)
     private val store = SimStore(world)
     private val clock = DriftingClock(world, 0.0, 0)
--- a/src/test/kotlin/oxbowlug/config/ConfigTest.kt
+++ b/src/test/kotlin/oxbowlug/config/ConfigTest.kt
@@ -8,7 +8,7 @@
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.TeamName
 
-class ConfigTest {
+internal class ConfigTest {
     @Test
     fun `valid settings are read, and a limit of 0 is none`() {
         val settings = SettingsFile.parse(SampleSettings.valid)
--- a/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
@@ -27,7 +27,7 @@
 import kotlin.random.Random
 
 /** Who leads, who believes to, and who may only keep answering. */
-class LeaderElectionTest {
+internal class LeaderElectionTest {
     private val world = World(1)
     private val store = SimStore(world)
     private var readingJobsMs = 0L
--- a/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
@@ -21,7 +21,7 @@
 import kotlin.random.Random
 
 /** What the log says beside a decision. */
-class LeadershipDecisionContextTest {
+internal class LeadershipDecisionContextTest {
     private val clock = ManualClock()
     private val self = Member("n0", "x")
     private val store = SimStore(World(1), historyLimit = 2)
--- a/src/test/kotlin/oxbowlug/forecast/DemandForecastTest.kt
+++ b/src/test/kotlin/oxbowlug/forecast/DemandForecastTest.kt
@@ -12,7 +12,7 @@
 import oxbowlug.wire.Priority
 import oxbowlug.wire.TeamName
 
-class DemandForecastTest {
+internal class DemandForecastTest {
     private fun spec(tasks: Int) = JobSpec(
         JobId("run-1"), ClassName("train"), TeamName("vision"), JobKind.SERVICE, Priority.HIGH, tasks, 5.0, 1.0, 16.0,
         ImageName("img"), 4.0, null, null, oneZone = false, spread = false, spot = false, estimateS = 0.0,
--- a/src/test/kotlin/oxbowlug/knownred/KnownRedExtension.kt
+++ b/src/test/kotlin/oxbowlug/knownred/KnownRedExtension.kt
@@ -7,7 +7,7 @@
 import java.lang.reflect.Method
 
 /** Applies `KNOWN-RED.txt` at the project's root to every test; JUnit finds it by `META-INF/services`. */
-class KnownRedExtension : InvocationInterceptor {
+internal class KnownRedExtension : InvocationInterceptor {
     override fun interceptTestMethod(
         invocation: InvocationInterceptor.Invocation<Void?>,
         invocationContext: ReflectiveInvocationContext<Method>,
--- a/src/test/kotlin/oxbowlug/knownred/KnownRedList.kt
+++ b/src/test/kotlin/oxbowlug/knownred/KnownRedList.kt
@@ -3,16 +3,16 @@
 import org.opentest4j.TestAbortedException
 
 /** A test that may fail for now, as one line of `KNOWN-RED.txt` states it: the test, the cause and the issue. */
-data class KnownRed(val test: String, val cause: String, val issue: String)
+internal data class KnownRed(val test: String, val cause: String, val issue: String)
 
 /** Thrown for a list, or a listed test, that isn't what it has to be. */
-class KnownRedError(message: String) : AssertionError(message)
+internal class KnownRedError(message: String) : AssertionError(message)
 
 /**
  * The tests that may fail for now. Each still runs: its failure is printed and passed over, and its success is a
  * failure, so that no line outlives the fault it stands for.
  */
-class KnownRedList private constructor(val entries: List<KnownRed>, private val print: (String) -> Unit) {
+internal class KnownRedList private constructor(val entries: List<KnownRed>, private val print: (String) -> Unit) {
     private val byTest = entries.associateBy { it.test }
 
     /**
--- a/src/test/kotlin/oxbowlug/knownred/KnownRedTest.kt
+++ b/src/test/kotlin/oxbowlug/knownred/KnownRedTest.kt
@@ -9,7 +9,7 @@
 import org.opentest4j.TestAbortedException
 
 /** What `KNOWN-RED.txt` may hold, and what becomes of the tests that it names. */
-class KnownRedTest {
+internal class KnownRedTest {
     private val printed = ArrayList<String>()
     private val listed = KnownRedList.parse("a.B#c | the cause | issue 1\n", printed::add)
 
--- a/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -38,7 +38,7 @@
 import kotlin.random.Random
 
 /** What a controller's copy makes of jobs that wait for others, and of records that it can't read. */
-class DependenciesTest {
+internal class DependenciesTest {
     private val world = World(1)
     private val clock = DriftingClock(world, 0.0, 0)
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
--- a/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
@@ -34,7 +34,7 @@
 import kotlin.random.Random
 
 /** When a lease is surely over although a deputy may have renewed it, and when a deputy may renew one. */
-class LeaseRenewalDelegateTest {
+internal class LeaseRenewalDelegateTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val timing = Timing(settings, Random(1))
     private val store = SimStore(World(1))
--- a/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
+++ b/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
@@ -10,7 +10,7 @@
 import oxbowlug.timing.Timing
 import kotlin.random.Random
 
-class PeerHealthTest {
+internal class PeerHealthTest {
     @Test
     fun `a controller without the state service steps aside only for one that has it`() {
         class Case(
--- a/src/test/kotlin/oxbowlug/peer/PeerFramesTest.kt
+++ b/src/test/kotlin/oxbowlug/peer/PeerFramesTest.kt
@@ -21,7 +21,7 @@
 import oxbowlug.wire.MachineId
 import java.util.BitSet
 
-class PeerFramesTest {
+internal class PeerFramesTest {
     private val heartbeat = PeerHeartbeat(Member("n0", "x1"), 7, Member("n1", "y2"), seesState = true)
 
     @Test
--- a/src/test/kotlin/oxbowlug/plan/OffersTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/OffersTest.kt
@@ -22,7 +22,7 @@
 import kotlin.random.Random
 
 /** Ordered prices choose what looking through all machines would, however the plan changes them in between. */
-class OffersTest {
+internal class OffersTest {
     private val zones = List(3) { Zone("z$it") }
     private val types = listOf(
         MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, zones),
--- a/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
@@ -19,7 +19,7 @@
 import oxbowlug.wire.TypeName
 import oxbowlug.wire.Zone
 
-class PlannerTest {
+internal class PlannerTest {
     private val a = Zone("a")
     private val b = Zone("b")
     private val g8 = MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, listOf(a, b))
--- a/src/test/kotlin/oxbowlug/plan/index/CostHeapTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/index/CostHeapTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-class CostHeapTest {
+internal class CostHeapTest {
     private class Prices(size: Int) : CostHeap.Costs {
         val costs = DoubleArray(size) { Double.POSITIVE_INFINITY }
 
--- a/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
@@ -20,7 +20,7 @@
  * Bytes that the version before this data format wrote. During an upgrade both versions serve on each other's data, so
  * they are read here as they are, and what is written before the format is switched on is the same byte by byte.
  */
-class ProductionDataTest {
+internal class ProductionDataTest {
     private val written: Map<String, ByteArray> = javaClass.getResource("/production/format-1.txt")!!.readText()
         .lines().filter { it.isNotBlank() && !it.startsWith("#") }
         .associate { line -> line.substringBefore(": ") to HexFormat.of().parseHex(line.substringAfter(": ")) }
--- a/src/test/kotlin/oxbowlug/record/RecordLayoutTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordLayoutTest.kt
@@ -25,7 +25,7 @@
 import java.util.BitSet
 
 /** Records in values of 2 KiB and transactions of few changes, with every byte counted as the state service does. */
-class RecordLayoutTest {
+internal class RecordLayoutTest {
     private val json = ObjectMapper()
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
     private val limits = WriteLimits(writeRps = 15.0, valueKb = 2.0, txnOps = 4)
--- a/src/test/kotlin/oxbowlug/record/RecordsTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordsTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.wire.MachineId
 import java.util.BitSet
 
-class RecordsTest {
+internal class RecordsTest {
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
 
     private fun bits(vararg indexes: Int) = BitSet().apply { indexes.forEach(::set) }
--- a/src/test/kotlin/oxbowlug/region/RegionsTest.kt
+++ b/src/test/kotlin/oxbowlug/region/RegionsTest.kt
@@ -13,7 +13,7 @@
 import oxbowlug.wire.Zone
 import java.io.File
 
-class RegionsTest {
+internal class RegionsTest {
     private val zones = listOf("a", "b", "c", "d", "e").map(::Zone)
     private val regions = Regions(mapOf("north" to listOf(zones[0], zones[1]), "south" to listOf(zones[2], zones[3])))
     private val members = listOf("n0", "n1", "n2").map { Member(it, "life") }
--- a/src/test/kotlin/oxbowlug/request/AdaptiveConcurrencyLimitTest.kt
+++ b/src/test/kotlin/oxbowlug/request/AdaptiveConcurrencyLimitTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class AdaptiveConcurrencyLimitTest {
+internal class AdaptiveConcurrencyLimitTest {
     private fun AdaptiveConcurrencyLimit.serve(count: Int, tookMs: Long) = repeat(count) {
         var entered = 0
         while (tryEnter()) entered++
--- a/src/test/kotlin/oxbowlug/request/AdmissionTest.kt
+++ b/src/test/kotlin/oxbowlug/request/AdmissionTest.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.Zone
 
 /** Jobs that can never run are refused; whatever merely can't run now is not. */
-class AdmissionTest {
+internal class AdmissionTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val zones = listOf(Zone("a"), Zone("b"))
     private val types = listOf(
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -42,7 +42,7 @@
 import kotlin.random.Random
 
 /** Users' requests that meet another controller's write in the very moment of their own. */
-class UserRequestHandlerTest {
+internal class UserRequestHandlerTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val world = World(1)
     private val store = SimStore(world)
--- a/src/test/kotlin/oxbowlug/scale/NetworkTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/NetworkTest.kt
@@ -6,7 +6,7 @@
 import oxbowlug.standin.World
 import oxbowlug.wire.Zone
 
-class NetworkTest {
+internal class NetworkTest {
     private val world = World(1)
     private val options = ScaleOptionParser().parse(listOf("--zones", "4", "--regions", "2", "--controllers", "3"))
         ?: error("only the help")
--- a/src/test/kotlin/oxbowlug/scale/ReportFilesTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/ReportFilesTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.io.TempDir
 import java.io.File
 
-class ReportFilesTest {
+internal class ReportFilesTest {
     @TempDir
     lateinit var folder: File
 
--- a/src/test/kotlin/oxbowlug/scale/ScaleOptionsTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/ScaleOptionsTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class ScaleOptionsTest {
+internal class ScaleOptionsTest {
     private fun parse(vararg arguments: String) = ScaleOptionParser().parse(arguments.toList())
 
     @Test
--- a/src/test/kotlin/oxbowlug/scale/WireTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/WireTest.kt
@@ -23,7 +23,7 @@
 import oxbowlug.wire.Zone
 
 /** What the stand-ins encode is what the service decodes, and the other way round. */
-class WireTest {
+internal class WireTest {
     private fun throughCbor(value: Map<String, Any?>) = Cbor.decode(Cbor.encode(value))
 
     private val attempt = AttemptId(TaskId(JobId("run-1"), 3), 2)
--- a/src/test/kotlin/oxbowlug/scheduling/InheritedPriorityTest.kt
+++ b/src/test/kotlin/oxbowlug/scheduling/InheritedPriorityTest.kt
@@ -12,7 +12,7 @@
 import java.util.BitSet
 
 /** Urgency that users set on a pipeline's last job only, as the jobs before it have it. */
-class InheritedPriorityTest {
+internal class InheritedPriorityTest {
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
         .copy(priority = Priority.LOW, deadlineS = null, estimateS = 10.0, imageGb = 0.0)
 
--- a/src/test/kotlin/oxbowlug/sim/BehaviourTraceTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/BehaviourTraceTest.kt
@@ -10,7 +10,7 @@
  * What the controllers send on fixed days is the same, message by message and at the same simulated times. A digest
  * changes only with a change of behaviour, which its commit names; a move, rename, split or merge leaves all of them.
  */
-class BehaviourTraceTest {
+internal class BehaviourTraceTest {
     private class Day(val name: String, val shape: Shape, val endMs: Long, val play: Simulation.(Long) -> Unit)
 
     private val days = listOf(
--- a/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
@@ -12,7 +12,7 @@
  * The state service refuses the leader alone, other controllers confirm cancellations, and then it is down for all for
  * longer than a cancellation may take, while workers go on reporting to the old leader.
  */
-class CancellationInOutageTest {
+internal class CancellationInOutageTest {
     class Case(
         val name: String,
         /** Whether all that isn't cancelled has to run on through the outage. */
--- a/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
@@ -8,7 +8,7 @@
 import oxbowlug.wire.JobKind
 
 /** Two troubles at once, each brought about on purpose; docs/safety.md has the table. */
-class ConcurrentFaultsTest {
+internal class ConcurrentFaultsTest {
     private fun Simulation.running(): Set<AttemptId> = cloud.workers.flatMap { it.onMachine() }
         .filter { spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }.map { it.attempt }.toSet()
 
--- a/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
@@ -6,7 +6,7 @@
 import oxbowlug.record.Keys
 
 /** Five controllers and 1,200 machines, the most that is planned for, on a day on which many things fall together. */
-class FleetSizeTest {
+internal class FleetSizeTest {
     @Test
     fun `a large fleet keeps the rules through a cut zone, a mass loss and the end of all controllers`() {
         val shape = Shape(
--- a/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
@@ -6,7 +6,7 @@
 import oxbowlug.record.Keys
 
 /** The size that the deployments have grown to: five controllers, 200 machines, hundreds of jobs. */
-class GrownFleetTest {
+internal class GrownFleetTest {
     @Test
     fun `a grown fleet keeps the rules while its leader crashes`() {
         val shape = Shape(
--- a/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
@@ -7,7 +7,7 @@
 import oxbowlug.config.WriteLimits
 
 /** What a large deployment brings, made small: answers that take long, refused writes, a short history of changes. */
-class LargeFleetFaultsTest {
+internal class LargeFleetFaultsTest {
     class Case(val name: String, val keptChanges: Int = 10_000, val play: Simulation.() -> Unit) {
         override fun toString() = name
     }
--- a/src/test/kotlin/oxbowlug/sim/OldVersion.kt
+++ b/src/test/kotlin/oxbowlug/sim/OldVersion.kt
@@ -11,7 +11,7 @@
  * What the version in production makes of the store: it knows neither format keys nor parts, its member key says
  * nothing of formats, and it keeps no field that it doesn't know. Whatever it must never meet fails the day.
  */
-object OldVersion {
+internal object OldVersion {
     private val newKeys = listOf(Keys.FORMATS, Keys.FORMAT, Keys.PARTS)
     private val newFields = listOf("parts")
 
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -8,7 +8,7 @@
 import oxbowlug.record.Keys
 
 /** Pipelines of dependent jobs, rolling upgrades and falling limits of the state service, with troubles beside them. */
-class PipelinesTest {
+internal class PipelinesTest {
     class Case(
         val name: String,
         /** Controllers run the version before until they are restarted. */
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -37,7 +37,7 @@
  * A digest of everything that leaves the controllers of a simulated day through their ports, each with its simulated
  * time and sender. Messages are taken as their bytes on the wire, so names inside the program don't count.
  */
-class PortTrace {
+internal class PortTrace {
     private val digest = MessageDigest.getInstance("SHA-256")
 
     /** How many messages were taken. */
@@ -88,7 +88,7 @@
 }
 
 /** Ports of one controller, each call of which is noted before it is made. */
-class TracedPorts(
+internal class TracedPorts(
     private val world: World,
     private val label: String,
     private val trace: PortTrace,
--- a/src/test/kotlin/oxbowlug/sim/RandomFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RandomFaultsTest.kt
@@ -9,7 +9,7 @@
  * Days of drawn troubles, two or three at a time, on virtual time. CI plays a few seeds; `-Dsim.seeds=1000` looks
  * further. What a seed finds is brought about by a test of its own.
  */
-class RandomFaultsTest {
+internal class RandomFaultsTest {
     @Test
     fun `no drawn meeting of troubles breaks a rule`() {
         val failures = Seeds.all.mapNotNull(::failureOf)
--- a/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.Zone
 
 /** Two regions of two zones; in one zone of the second there is no controller. */
-class RegionsApartTest {
+internal class RegionsApartTest {
     class Trouble(val name: String, val cause: (Simulation) -> Unit) {
         override fun toString() = name
     }
--- a/src/test/kotlin/oxbowlug/sim/RulesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RulesTest.kt
@@ -26,7 +26,7 @@
 import oxbowlug.wire.Zone
 
 /** The checkers themselves: each of them fires in the case that it is there for, and not beside it. */
-class RulesTest {
+internal class RulesTest {
     private val world = World(1)
     private val rules = Rules(world, mapOf("red" to 4.0), CANCEL_MS)
     private val zones = listOf(Zone("a"), Zone("b"))
--- a/src/test/kotlin/oxbowlug/sim/Serving.kt
+++ b/src/test/kotlin/oxbowlug/sim/Serving.kt
@@ -10,7 +10,7 @@
  * What the users count beside the protocol's rules once all troubles are over: jobs about which nobody answers, jobs
  * left waiting beside a machine that fits, and classes, teams and largest jobs of which too few were served.
  */
-class Serving(
+internal class Serving(
     private val world: World,
     private val rules: Rules,
     private val workers: () -> List<SimWorker>,
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -36,7 +36,7 @@
 import kotlin.random.Random
 
 /** Faults of messages, as shares of them. */
-class Weather(var lost: Double = 0.0, var late: Double = 0.0, var lateMs: Long = 20_000) {
+internal class Weather(var lost: Double = 0.0, var late: Double = 0.0, var lateMs: Long = 20_000) {
     /** Shares of transactions that get no answer: carried out at once, or 2 to 12 s later, after newer ones. */
     var unansweredWrites = 0.0
 
@@ -71,7 +71,7 @@
 }
 
 /** One controller: the real core on virtual time, with ports that lose, delay and execute late. */
-class SimNode(
+internal class SimNode(
     private val world: World,
     private val settings: Settings,
     private val store: SimStore,
--- a/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
@@ -8,7 +8,7 @@
 import oxbowlug.standin.SimWorker
 
 /** Plays a drawn schedule of faults on virtual time. */
-class SimulatedFaults(private val day: Simulation, private val leaseMs: Long) {
+internal class SimulatedFaults(private val day: Simulation, private val leaseMs: Long) {
     private val world = day.world
     private val weather = day.weather
 
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -36,7 +36,7 @@
 import oxbowlug.wire.Zone
 
 /** How large a deployment is played. */
-data class Shape(
+internal data class Shape(
     val nodes: Int = 3,
     val machinesUp: Int = 4,
     val capacity: Int = 12,
@@ -63,7 +63,7 @@
 )
 
 /** Controllers, a cloud, workers, a state service and users, on virtual time with one seed. */
-class Simulation(
+internal class Simulation(
     seed: Long,
     private val policy: Policy = Policy(),
     private val shape: Shape = Shape(),
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.JobKind
 
 /** Days on virtual time: after every step the protocol's rules hold, and once all is well again all work is served. */
-class SimulationTest {
+internal class SimulationTest {
     class Trouble(val name: String, val cause: (Simulation) -> Unit) {
         override fun toString() = name
     }
--- a/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
@@ -13,7 +13,7 @@
  * A worker that hears no answers begins a new incarnation, of which its leader learns by a direct command's answer alone,
  * starts tasks in it, and doesn't hear from it for the rest of a lease (docs/incidents/broke-at-size-2.md).
  */
-class UnobservedIncarnationTest {
+internal class UnobservedIncarnationTest {
     private class Day(seed: Long) {
         val simulation = Simulation(
             seed,
--- a/src/test/kotlin/oxbowlug/soak/SoakTest.kt
+++ b/src/test/kotlin/oxbowlug/soak/SoakTest.kt
@@ -8,7 +8,7 @@
 import java.io.File
 
 /** A short soak with fixed seeds: real controller processes on loopback, started from the classes under test. */
-class SoakTest {
+internal class SoakTest {
     private fun parse(vararg arguments: String) = SoakOptionParser().parse(arguments.toList()) ?: error("only the help")
 
     @Test
--- a/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
+++ b/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
@@ -19,7 +19,7 @@
 import oxbowlug.wire.Zone
 
 /** A worker that reports as the protocol has it. */
-class HeartbeatPacingTest {
+internal class HeartbeatPacingTest {
     private val world = World(7)
     private val zone = Zone("a")
     private val type = MachineType(TypeName("c"), 64.0, 0.0, 256.0, 200.0, 1.0, 3.0, 1.0, 8.0, listOf(zone))
--- a/src/test/kotlin/oxbowlug/testing/SampleSettings.kt
+++ b/src/test/kotlin/oxbowlug/testing/SampleSettings.kt
@@ -1,7 +1,7 @@
 package oxbowlug.testing
 
 /** A small valid settings file, which tests change line by line. */
-object SampleSettings {
+internal object SampleSettings {
     val valid = """
         label = "n0"
         location = "a"
--- a/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
@@ -19,7 +19,7 @@
 import oxbowlug.wire.Transaction
 
 /** Whoever tests a copy of the store without anything that depends on it. */
-object IgnoringListener : StateCacheListener {
+internal object IgnoringListener : StateCacheListener {
     override fun onMembersRead() = Unit
 
     override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
@@ -32,7 +32,7 @@
 }
 
 /** Stands still until a test sets it. */
-class ManualClock(var now: Long = 100_000) : Clock {
+internal class ManualClock(var now: Long = 100_000) : Clock {
     override fun steadyMs() = now
 
     override fun wallMs() = now
@@ -41,14 +41,14 @@
 }
 
 /** For tests of decisions, not of what is logged beside them. */
-val permissiveContext = object : DecisionContext {
+internal val permissiveContext = object : DecisionContext {
     override val mayLead = true
 
     override fun describe() = ""
 }
 
 /** A violated invariant fails the test. */
-object FailingMeters : Meters {
+internal object FailingMeters : Meters {
     override fun planned(nanos: Long, priced: Int) = Unit
 
     override fun stepped(nanos: Long) = Unit
@@ -62,10 +62,10 @@
     override fun violated(invariant: Invariant): Nothing = throw AssertionError("${invariant.label} is violated")
 }
 
-val failingInvariants = Invariants(permissiveContext, FailingMeters)
+internal val failingInvariants = Invariants(permissiveContext, FailingMeters)
 
 /** Answers at once from the store; watches stay open, and there are no leases. */
-open class ImmediateStatePort(private val store: SimStore) : StatePort {
+internal open class ImmediateStatePort(private val store: SimStore) : StatePort {
     override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) = done(store.commit(transaction))
 
     override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) =
--- a/src/test/kotlin/oxbowlug/wire/CborMessagesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/CborMessagesTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
 
-class CborMessagesTest {
+internal class CborMessagesTest {
     private fun bytes(vararg values: Int) = ByteArray(values.size) { values[it].toByte() }
 
     @Test
--- a/src/test/kotlin/oxbowlug/wire/JobSpecCodecTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/JobSpecCodecTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-class JobSpecCodecTest {
+internal class JobSpecCodecTest {
     @Test
     fun `a spec survives its encoding`() {
         val spec = JobSpecCodec.decode(valid())
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -38,7 +38,7 @@
  * Bytes as they were written when the code was cut into packages: stored values of data format 2, frames between
  * controllers, and every request and answer over HTTP. Other versions, workers, users and stored data rely on them.
  */
-class WireBytesTest {
+internal class WireBytesTest {
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
     private val attempt = AttemptId(TaskId(JobId("run-1"), 3), 2)
     private val commands = listOf(
