--- a/src/main/kotlin/oxbowlug/port/WorkerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/WorkerPort.kt
@@ -7,7 +7,10 @@
 
 internal sealed interface DirectOutcome {
     /** Executed, or refused for its token or incarnation: either way the report is the worker's present account. */
-    data class Answered(val report: WorkerHeartbeat, val executed: Boolean) : DirectOutcome
+    data class Answered(
+        val report: WorkerHeartbeat,
+        val executed: Boolean,
+    ) : DirectOutcome
 
     /** The connection could not be opened: surely not executed, now or later. */
     data object NotSent : DirectOutcome
@@ -18,7 +21,10 @@
 
 internal interface WorkerPort {
     /** What the worker says of itself, or null. */
-    fun status(endpoint: Address, done: (WorkerHeartbeat?) -> Unit)
+    fun status(
+        endpoint: Address,
+        done: (WorkerHeartbeat?) -> Unit,
+    )
 
     fun command(
         endpoint: Address,
--- a/src/main/kotlin/oxbowlug/record/JobRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -8,7 +8,10 @@
 import oxbowlug.wire.fields
 import java.util.BitSet
 
-internal data class Placement(val machine: MachineId, val attempt: Long)
+internal data class Placement(
+    val machine: MachineId,
+    val attempt: Long,
+)
 
 /** What the state service holds of a job. Done tasks and placements are written as ranges of task numbers. */
 internal class JobRecord(
@@ -42,7 +45,8 @@
     private fun encodePlacements(): Map<String, Any?> {
         val byMachine = LinkedHashMap<String, LinkedHashMap<Long, BitSet>>()
         for ((task, placement) in placements) {
-            byMachine.getOrPut(placement.machine.value) { LinkedHashMap() }
+            byMachine
+                .getOrPut(placement.machine.value) { LinkedHashMap() }
                 .getOrPut(placement.attempt) { BitSet() }
                 .set(task)
         }
--- a/src/main/kotlin/oxbowlug/record/Keys.kt
+++ b/src/main/kotlin/oxbowlug/record/Keys.kt
@@ -22,7 +22,10 @@
 
     fun job(id: String): String = JOBS + id
 
-    fun part(id: String, index: Int): String = "$PARTS$id/$index"
+    fun part(
+        id: String,
+        index: Int,
+    ): String = "$PARTS$id/$index"
 
     fun format(label: String): String = FORMATS + label
 
--- a/src/main/kotlin/oxbowlug/record/Phase.kt
+++ b/src/main/kotlin/oxbowlug/record/Phase.kt
@@ -1,6 +1,8 @@
 package oxbowlug.record
 
-internal enum class Phase(val wire: String) {
+internal enum class Phase(
+    val wire: String,
+) {
     ACTIVE("active"),
     DONE("done"),
     CANCELLED("cancelled"),
--- a/src/main/kotlin/oxbowlug/record/RecordLayout.kt
+++ b/src/main/kotlin/oxbowlug/record/RecordLayout.kt
@@ -7,7 +7,10 @@
 import oxbowlug.wire.sizeAsJson
 
 /** A job's record as it is stored: the head decides everything about the job, the parts hold what has no room there. */
-internal class StoredForm(val head: Map<String, Any?>, val parts: List<Map<String, Any?>>)
+internal class StoredForm(
+    val head: Map<String, Any?>,
+    val parts: List<Map<String, Any?>>,
+)
 
 /**
  * Divides a job's record into values of at most [limits]. A record that fits is stored whole, as the versions before
@@ -15,7 +18,9 @@
  * small write; placements, ranges of done tasks, and where need be lists of the specification go to the parts. Head and
  * changed parts are always written in one transaction under the head's version, so no part can follow a cancellation.
  */
-internal class RecordLayout(limits: WriteLimits) {
+internal class RecordLayout(
+    limits: WriteLimits,
+) {
     private val valueBytes = (limits.valueKb * BYTES_PER_KB).toInt()
 
     /** The head takes one of a transaction's changes, and a part of the bytes that one may have. */
@@ -71,14 +76,18 @@
         val rangeBytes = 2 * taskBytes + RANGE_MARKS
         val machineBytes = present.nameBytes + present.nextAttempt.toString().length + MACHINE_MARKS
         val aloneBytes = machineBytes + taskBytes + 1
-        val usedBytes = present.doneRanges * rangeBytes + present.machines * aloneBytes +
-            (present.placed - present.machines) * rangeBytes
+        val usedBytes =
+            present.doneRanges * rangeBytes + present.machines * aloneBytes +
+                (present.placed - present.machines) * rangeBytes
         val largestPiece = machineBytes + RANGES_A_PIECE * rangeBytes
         val capacity = mostParts * (valueBytes - PART_RESERVE - largestPiece)
         return (capacity - usedBytes) / aloneBytes
     }
 
-    private fun moveLists(head: LinkedHashMap<String, Any?>, pieces: ArrayList<Piece>) {
+    private fun moveLists(
+        head: LinkedHashMap<String, Any?>,
+        pieces: ArrayList<Piece>,
+    ) {
         val spec = LinkedHashMap(head.fields().map(SPEC))
         for (field in MOVABLE_LISTS) {
             val list = spec.remove(field) ?: continue
@@ -87,7 +96,10 @@
         head[SPEC] = spec
     }
 
-    private fun addPlacements(whole: Map<String, Any?>, pieces: ArrayList<Piece>) {
+    private fun addPlacements(
+        whole: Map<String, Any?>,
+        pieces: ArrayList<Piece>,
+    ) {
         val run = whole[RUN] as? Map<*, *> ?: return
         val prefix = commonPrefix(run.keys.map { it.toString() })
         for ((machine, attempts) in run) {
@@ -100,7 +112,10 @@
         }
     }
 
-    private fun addDone(whole: Map<String, Any?>, pieces: ArrayList<Piece>) {
+    private fun addDone(
+        whole: Map<String, Any?>,
+        pieces: ArrayList<Piece>,
+    ) {
         val done = whole[DONE] as? String ?: return
         for (ranges in chunks(done)) pieces.add(Piece.Done(ranges))
     }
@@ -118,20 +133,31 @@
     private sealed interface Piece {
         val bytes: Int
 
-        class SpecList(val field: String, val list: Any) : Piece {
+        class SpecList(
+            val field: String,
+            val list: Any,
+        ) : Piece {
             override val bytes get() = field.sizeAsJson() + list.sizeAsJson() + SEPARATORS
         }
 
-        class Placement(val prefix: String, val machine: String, val tasks: String) : Piece {
+        class Placement(
+            val prefix: String,
+            val machine: String,
+            val tasks: String,
+        ) : Piece {
             override val bytes get() = machine.sizeAsJson() + tasks.sizeAsJson() + SEPARATORS
         }
 
-        class Done(val ranges: String) : Piece {
+        class Done(
+            val ranges: String,
+        ) : Piece {
             override val bytes get() = ranges.length + 1
         }
     }
 
-    private class PartBuilder(private val limit: Int) {
+    private class PartBuilder(
+        private val limit: Int,
+    ) {
         private val spec = LinkedHashMap<String, Any?>()
         private val run = LinkedHashMap<String, String>()
         private val done = StringBuilder()
@@ -200,7 +226,10 @@
         fun partCount(head: Map<String, Any?>): Int = head.fields().countOr(PARTS, 0).toInt()
 
         /** The whole record of a head and its parts. Throws [InvalidField] if one is missing or can't be read. */
-        fun merge(head: Map<String, Any?>, part: (Int) -> Map<String, Any?>?): Map<String, Any?> {
+        fun merge(
+            head: Map<String, Any?>,
+            part: (Int) -> Map<String, Any?>?,
+        ): Map<String, Any?> {
             val count = partCount(head)
             if (count == 0) return head
             val spec = LinkedHashMap(head.fields().map(SPEC))
@@ -219,7 +248,11 @@
             return whole
         }
 
-        private fun addRun(prefix: String, part: Map<String, Any?>, run: LinkedHashMap<String, Any?>) {
+        private fun addRun(
+            prefix: String,
+            part: Map<String, Any?>,
+            run: LinkedHashMap<String, Any?>,
+        ) {
             for ((machine, text) in part) {
                 val tasks = text as? String ?: throw InvalidField(RUN, "must hold texts")
                 run.merge(prefix + machine, tasks) { one, other -> "$one;$other" }
--- a/src/main/kotlin/oxbowlug/record/TaskRanges.kt
+++ b/src/main/kotlin/oxbowlug/record/TaskRanges.kt
@@ -6,16 +6,17 @@
 internal object TaskRanges {
     const val RANGE_BOUND = 14
 
-    fun encode(set: BitSet): String = buildString {
-        var from = set.nextSetBit(0)
-        while (from >= 0) {
-            val end = set.nextClearBit(from)
-            if (isNotEmpty()) append(',')
-            append(from)
-            if (end - 1 > from) append('-').append(end - 1)
-            from = set.nextSetBit(end)
+    fun encode(set: BitSet): String =
+        buildString {
+            var from = set.nextSetBit(0)
+            while (from >= 0) {
+                val end = set.nextClearBit(from)
+                if (isNotEmpty()) append(',')
+                append(from)
+                if (end - 1 > from) append('-').append(end - 1)
+                from = set.nextSetBit(end)
+            }
         }
-    }
 
     fun decode(text: String): BitSet {
         val set = BitSet()
--- a/src/main/kotlin/oxbowlug/record/WritableFormat.kt
+++ b/src/main/kotlin/oxbowlug/record/WritableFormat.kt
@@ -16,11 +16,12 @@
     companion object {
         fun ofMarker(value: Map<String, Any?>?): WritableFormat {
             if (value == null) return SINGLE_VALUE
-            val format = try {
-                DataFormat.decode(value)
-            } catch (_: InvalidField) {
-                return NONE
-            }
+            val format =
+                try {
+                    DataFormat.decode(value)
+                } catch (_: InvalidField) {
+                    return NONE
+                }
             return when (format) {
                 DataFormat.SINGLE_VALUE -> SINGLE_VALUE
                 DataFormat.HEAD_AND_PARTS -> HEAD_AND_PARTS
--- a/src/main/kotlin/oxbowlug/request/AdaptiveConcurrencyLimit.kt
+++ b/src/main/kotlin/oxbowlug/request/AdaptiveConcurrencyLimit.kt
@@ -6,7 +6,10 @@
  * A limit on submissions in progress that follows measured commit times, gradient style: it grows while commits
  * take about as long as they did at their best, and shrinks as they take longer.
  */
-internal class AdaptiveConcurrencyLimit(private val min: Int = 4, private val max: Int = 200) {
+internal class AdaptiveConcurrencyLimit(
+    private val min: Int = 4,
+    private val max: Int = 200,
+) {
     private var estimate = START
     private var baseMs = 0.0
     var inProgress = 0
@@ -19,7 +22,10 @@
         return true
     }
 
-    fun leave(tookMs: Long, applied: Boolean) {
+    fun leave(
+        tookMs: Long,
+        applied: Boolean,
+    ) {
         val crowded = inProgress * 2 >= limit
         inProgress--
         if (!applied) {
--- a/src/main/kotlin/oxbowlug/request/Admission.kt
+++ b/src/main/kotlin/oxbowlug/request/Admission.kt
@@ -9,13 +9,19 @@
 
 /** What can never run, and so is refused for good. */
 internal object Admission {
-    fun problem(spec: JobSpec, settings: Settings, types: Map<TypeName, MachineType>): String? {
+    fun problem(
+        spec: JobSpec,
+        settings: Settings,
+        types: Map<TypeName, MachineType>,
+    ): String? {
         val team = settings.teams[spec.team] ?: return "yoke: is not a known team"
         val need = spec.resources()
-        val fits = types.values.any { type ->
-            (spec.types == null || type.name in spec.types) && (spec.zone == null || spec.zone in type.zones) &&
-                need.fitsIn(type.resources())
-        }
+        val fits =
+            types.values.any { type ->
+                (spec.types == null || type.name in spec.types) &&
+                    (spec.zone == null || spec.zone in type.zones) &&
+                    need.fitsIn(type.resources())
+            }
         if (!fits) return "a task fits no allowed machine type"
         if (spec.kind != JobKind.ARRAY && spec.oneZone && spec.zoneCap < spec.tasks) {
             return "its tasks have to be in one zone, and at most half of them may be"
--- a/src/main/kotlin/oxbowlug/request/UserRequestHandler.kt
+++ b/src/main/kotlin/oxbowlug/request/UserRequestHandler.kt
@@ -52,7 +52,11 @@
     val inProgress: Int get() = admission.inProgress
     val limit: Int get() = admission.limit
 
-    fun submit(spec: JobSpec, types: Map<TypeName, MachineType>, answer: (UserResponse) -> Unit) {
+    fun submit(
+        spec: JobSpec,
+        types: Map<TypeName, MachineType>,
+        answer: (UserResponse) -> Unit,
+    ) {
         val now = clock.steadyMs()
         if (!cache.isSynced || !stateReachable(now)) return answer(unavailable("the state service is away"))
         // A repeated submission is answered whatever has changed since: it was accepted.
@@ -75,12 +79,19 @@
     }
 
     /** Malformed, but a repeated submission of an accepted job is never told so. */
-    fun submitMalformed(id: JobId, problem: String, answer: (UserResponse) -> Unit) {
+    fun submitMalformed(
+        id: JobId,
+        problem: String,
+        answer: (UserResponse) -> Unit,
+    ) {
         if (cache.job(id) != null) answerKnown(id, answer) else answer(UserResponse.Malformed(problem))
     }
 
     /** Another controller may have accepted what it names a moment ago, so the copy catches up before it is refused. */
-    private fun submitWhenKnown(spec: JobSpec, answer: (UserResponse) -> Unit) {
+    private fun submitWhenKnown(
+        spec: JobSpec,
+        answer: (UserResponse) -> Unit,
+    ) {
         cache.catchUp { ok ->
             val problem = predecessorProblem(spec)
             when {
@@ -98,20 +109,25 @@
     private fun predecessorProblem(spec: JobSpec): String? {
         for (predecessor in spec.dependsOn) {
             val stored = cache.job(predecessor)
-            val problem = when {
-                predecessor == spec.id -> "is the job itself"
-                stored == null -> "was never submitted"
-                stored.isUnreadable -> "can't be read"
-                stored.kind == JobKind.SERVICE -> "is a service, which is never done"
-                else -> continue
-            }
+            val problem =
+                when {
+                    predecessor == spec.id -> "is the job itself"
+                    stored == null -> "was never submitted"
+                    stored.isUnreadable -> "can't be read"
+                    stored.kind == JobKind.SERVICE -> "is a service, which is never done"
+                    else -> continue
+                }
             return "${JobSpecCodec.DEPENDS_ON}: $predecessor $problem"
         }
         return null
     }
 
     /** Never told of a job that another controller accepted, perhaps under older types. */
-    private fun rejectUnlessKnown(id: JobId, answer: (UserResponse) -> Unit, problem: () -> String) {
+    private fun rejectUnlessKnown(
+        id: JobId,
+        answer: (UserResponse) -> Unit,
+        problem: () -> String,
+    ) {
         cache.catchUp { ok ->
             when {
                 !ok -> answer(unavailable("the state service is away"))
@@ -124,7 +140,11 @@
     private fun largestList(spec: JobSpec): String =
         if (spec.dependsOn.size > spec.types.orEmpty().size) JobSpecCodec.DEPENDS_ON else JobSpecCodec.TYPES
 
-    private fun take(spec: JobSpec, now: Long, answer: (UserResponse) -> Unit) {
+    private fun take(
+        spec: JobSpec,
+        now: Long,
+        answer: (UserResponse) -> Unit,
+    ) {
         if (budget.available(now) < 1.0 || !admission.tryEnter()) {
             log.debug("too many submissions: {} in progress of {}", inProgress, limit)
             meters.refused("overload")
@@ -133,10 +153,16 @@
         accept(spec, now, answer)
     }
 
-    private fun newRecord(spec: JobSpec, write: String) =
-        JobRecord(spec, clock.wallMs(), Phase.ACTIVE, BitSet(), 1, emptyMap(), write)
+    private fun newRecord(
+        spec: JobSpec,
+        write: String,
+    ) = JobRecord(spec, clock.wallMs(), Phase.ACTIVE, BitSet(), 1, emptyMap(), write)
 
-    private fun accept(spec: JobSpec, now: Long, answer: (UserResponse) -> Unit) {
+    private fun accept(
+        spec: JobSpec,
+        now: Long,
+        answer: (UserResponse) -> Unit,
+    ) {
         val record = newRecord(spec, requestIds.next()).encode()
         val transaction = Transaction(listOf(Condition(Keys.job(spec.id.value), 0)), changes(spec.id, record))
         budget.take(transaction.changes.size.toDouble(), now)
@@ -156,7 +182,10 @@
         }
     }
 
-    private fun changes(id: JobId, record: Map<String, Any?>): List<Change> {
+    private fun changes(
+        id: JobId,
+        record: Map<String, Any?>,
+    ): List<Change> {
         val whole = StoredForm(record, emptyList())
         val isDivided = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
         val form = if (isDivided) layout.split(record) ?: whole else whole
@@ -165,26 +194,37 @@
     }
 
     /** Its answer may have been slow, and another controller may have confirmed the job's cancellation meanwhile. */
-    private fun answerAccepted(id: JobId, answer: (UserResponse) -> Unit) {
+    private fun answerAccepted(
+        id: JobId,
+        answer: (UserResponse) -> Unit,
+    ) {
         val stored = cache.job(id)
-        if (stored != null && stored.phase.isFinal)
+        if (stored != null && stored.phase.isFinal) {
             answer(known(id, stored))
-        else
+        } else {
             answer(UserResponse.Accepted(JobStatus(id, JobState.QUEUED, 0, 0)))
+        }
     }
 
-    private fun answerKnown(id: JobId, answer: (UserResponse) -> Unit) {
+    private fun answerKnown(
+        id: JobId,
+        answer: (UserResponse) -> Unit,
+    ) {
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) return answer(known(id, stored))
         cache.catchUp { ok ->
-            if (ok && cache.job(id) != null)
+            if (ok && cache.job(id) != null) {
                 answer(known(id))
-            else
+            } else {
                 answer(unavailable("the state service is away"))
+            }
         }
     }
 
-    fun poll(id: JobId, answer: (UserResponse) -> Unit) {
+    fun poll(
+        id: JobId,
+        answer: (UserResponse) -> Unit,
+    ) {
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) return answer(known(id, stored))
         cache.catchUp { ok ->
@@ -196,17 +236,25 @@
         }
     }
 
-    fun cancel(id: JobId, answer: (UserResponse) -> Unit) {
+    fun cancel(
+        id: JobId,
+        answer: (UserResponse) -> Unit,
+    ) {
         // Final is final: that can be told also while the state service is away.
         val stored = cache.job(id)
-        if (stored != null && stored.phase.isFinal)
+        if (stored != null && stored.phase.isFinal) {
             answer(known(id, stored))
-        else
+        } else {
             cancel(id, CANCEL_TRIES, answer)
+        }
     }
 
     /** The cancellation is committed first and answered next; only then does the leader act on it. */
-    private fun cancel(id: JobId, triesLeft: Int, answer: (UserResponse) -> Unit) {
+    private fun cancel(
+        id: JobId,
+        triesLeft: Int,
+        answer: (UserResponse) -> Unit,
+    ) {
         cache.catchUp { ok ->
             val stored = cache.job(id)
             val value = stored?.value
@@ -234,10 +282,12 @@
         cancelled["phase"] = Phase.CANCELLED.wire
         cancelled[JobRecord.CANCELLED_AT] = clock.wallMs()
         // Its parts stay as they are; a record that was written whole by the version before is divided if need be.
-        val changes = if (RecordLayout.partCount(value) > 0)
-            listOf(Change.Put(key, layout.headAlone(cancelled)))
-        else
-            changes(id, cancelled)
+        val changes =
+            if (RecordLayout.partCount(value) > 0) {
+                listOf(Change.Put(key, layout.headAlone(cancelled)))
+            } else {
+                changes(id, cancelled)
+            }
         val transaction = Transaction(listOf(Condition(key, stored.version)), changes)
         budget.take(changes.size.toDouble(), clock.steadyMs())
         state.commit(transaction) { outcome ->
@@ -259,7 +309,10 @@
 
     private fun known(id: JobId): UserResponse = known(id, cache.job(id) ?: error("$id was just there"))
 
-    private fun known(id: JobId, stored: CachedJob): UserResponse {
+    private fun known(
+        id: JobId,
+        stored: CachedJob,
+    ): UserResponse {
         if (stored.isUnreadable) return unavailable("the job's record can't be read")
         if (stored.phase == Phase.CANCELLED) onAnsweredCancelled(id)
         return UserResponse.Known(stored.status(id))
--- a/src/main/kotlin/oxbowlug/resource/Resources.kt
+++ b/src/main/kotlin/oxbowlug/resource/Resources.kt
@@ -4,7 +4,11 @@
 import oxbowlug.wire.MachineType
 
 /** What a task takes of its machine, or what a machine has left. */
-internal data class Resources(val cores: Double, val gpus: Double, val memoryGb: Double) {
+internal data class Resources(
+    val cores: Double,
+    val gpus: Double,
+    val memoryGb: Double,
+) {
     operator fun plus(other: Resources) = Resources(cores + other.cores, gpus + other.gpus, memoryGb + other.memoryGb)
 
     operator fun minus(other: Resources) = Resources(cores - other.cores, gpus - other.gpus, memoryGb - other.memoryGb)
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -46,7 +46,11 @@
     var hasInventory = false
         private set
 
-    private class RefusalState(var count: Int, var until: Long, var lastAt: Long)
+    private class RefusalState(
+        var count: Int,
+        var until: Long,
+        var lastAt: Long,
+    )
 
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
@@ -62,13 +66,17 @@
         if (!isReleasing && toRelease.isNotEmpty() && now >= nextReturnAt && budget.tryTake(1.0, now)) returnMachines()
     }
 
-    fun rent(kind: MachineKind, count: Int) {
+    fun rent(
+        kind: MachineKind,
+        count: Int,
+    ) {
         val now = clock.steadyMs()
         var left = count
         while (left > 0) {
             val part = minOf(left, CloudCodec.MAX_RENTED)
             left -= part
-            val order = PendingOrder(RentalRequest(requestIds.next(), kind.type, kind.zone, kind.spot, part), now, false, now)
+            val order =
+                PendingOrder(RentalRequest(requestIds.next(), kind.type, kind.zone, kind.spot, part), now, false, now)
             pendingOrders.add(order)
             if (budget.tryTake(1.0, now)) ask(order)
         }
@@ -108,7 +116,10 @@
         }
     }
 
-    private fun refused(kind: MachineKind, now: Long) {
+    private fun refused(
+        kind: MachineKind,
+        now: Long,
+    ) {
         val state = refusals.getOrPut(kind) { RefusalState(0, 0, now) }
         state.count++
         state.lastAt = now
@@ -117,18 +128,25 @@
     }
 
     /** A kind that refused of late costs more, less so as time goes by, and isn't asked at all for a while. */
-    fun refusalPrices(now: Long): Map<MachineKind, CapacityRefusal> = refusals.mapValues { (_, state) ->
-        val age = (now - state.lastAt).toDouble() / timing.refusalHalfLifeMs
-        CapacityRefusal(blocked = now < state.until, penalty = state.count * 0.5.pow(age))
-    }
+    fun refusalPrices(now: Long): Map<MachineKind, CapacityRefusal> =
+        refusals.mapValues { (_, state) ->
+            val age = (now - state.lastAt).toDouble() / timing.refusalHalfLifeMs
+            CapacityRefusal(blocked = now < state.until, penalty = state.count * 0.5.pow(age))
+        }
 
     /** Whether a machine of this kind was refused of late, so that it could hardly be replaced. */
-    fun isScarce(machine: Machine, now: Long): Boolean {
+    fun isScarce(
+        machine: Machine,
+        now: Long,
+    ): Boolean {
         val state = refusals[MachineKind(machine.type ?: return false, machine.zone ?: return false, machine.spot)]
         return state != null && now - state.lastAt < timing.refusalHalfLifeMs * SCARCE_HALF_LIVES
     }
 
-    fun scheduleRelease(machine: Machine, why: String) {
+    fun scheduleRelease(
+        machine: Machine,
+        why: String,
+    ) {
         if (machine.isReleasing) return
         machine.isReleasing = true
         log.info("returning {}: {}", machine.id, why)
@@ -150,7 +168,10 @@
         }
     }
 
-    private fun list(askedAt: Long, types: Map<TypeName, MachineType>) {
+    private fun list(
+        askedAt: Long,
+        types: Map<TypeName, MachineType>,
+    ) {
         listing = true
         cloud.list { machines ->
             listing = false
@@ -199,7 +220,11 @@
     }
 
     /** Some machines never come up and are charged until they are returned. */
-    private fun checkBoot(machine: Machine, now: Long, types: Map<TypeName, MachineType>) {
+    private fun checkBoot(
+        machine: Machine,
+        now: Long,
+        types: Map<TypeName, MachineType>,
+    ) {
         val bootMs = (types[machine.type]?.bootS ?: return) * 1000.0
         if (machine.lastContactAt != null || machine.listed != MachineState.BOOTING) return
         if (now - machine.rentedAt > settings.policy.bootPatience * bootMs) scheduleRelease(machine, "never came up")
--- a/src/main/kotlin/oxbowlug/scaling/PendingOrder.kt
+++ b/src/main/kotlin/oxbowlug/scaling/PendingOrder.kt
@@ -3,4 +3,9 @@
 import oxbowlug.wire.RentalRequest
 
 /** A rental whose answer is awaited: its machines count as coming. */
-internal class PendingOrder(val request: RentalRequest, val orderedAt: Long, var asking: Boolean, var askAgainAt: Long)
+internal class PendingOrder(
+    val request: RentalRequest,
+    val orderedAt: Long,
+    var asking: Boolean,
+    var askAgainAt: Long,
+)
--- a/src/main/kotlin/oxbowlug/scheduling/ClassWeights.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/ClassWeights.kt
@@ -5,7 +5,9 @@
 import oxbowlug.wire.ClassName
 
 /** Tardiness weights: the shorter the wait that the objectives allow a class, the dearer each second of it. */
-internal class ClassWeights(settings: Settings) {
+internal class ClassWeights(
+    settings: Settings,
+) {
     private val weights = HashMap<ClassName, Double>()
 
     /** Of work that a guarantee covers, whatever its class. */
--- a/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
@@ -13,7 +13,11 @@
     private const val MS_PER_S = 1000.0
 
     /** [stageMs] is what a stage takes beside its run: the commit of an end, a plan, a start. */
-    fun update(jobs: Map<JobId, Job>, types: Collection<MachineType>, stageMs: Long) {
+    fun update(
+        jobs: Map<JobId, Job>,
+        types: Collection<MachineType>,
+        stageMs: Long,
+    ) {
         val successors = HashMap<Job, Int>()
         for (job in jobs.values) {
             job.priority = job.spec.priority
@@ -39,21 +43,33 @@
     private fun isWaiting(job: Job): Boolean =
         job.phase == Phase.ACTIVE && job.readyMs == null && job.spec.dependsOn.isNotEmpty()
 
-    private inline fun forEachPredecessor(job: Job, jobs: Map<JobId, Job>, action: (Job) -> Unit) {
+    private inline fun forEachPredecessor(
+        job: Job,
+        jobs: Map<JobId, Job>,
+        action: (Job) -> Unit,
+    ) {
         if (!isWaiting(job)) return
         for (id in job.spec.dependsOn) jobs[id]?.let(action)
     }
 
-    private fun lengthMs(job: Job, types: Collection<MachineType>): Long {
-        val fetchS = types.minOfOrNull { type ->
-            if (type.fetchGbPerS > 0.0) job.spec.imageGb / type.fetchGbPerS else 0.0
-        } ?: 0.0
+    private fun lengthMs(
+        job: Job,
+        types: Collection<MachineType>,
+    ): Long {
+        val fetchS =
+            types.minOfOrNull { type ->
+                if (type.fetchGbPerS > 0.0) job.spec.imageGb / type.fetchGbPerS else 0.0
+            } ?: 0.0
         return ((job.spec.estimateS + fetchS) * MS_PER_S).toLong()
     }
 
-    private fun earliest(one: Long?, other: Long?): Long? = when {
-        one == null -> other
-        other == null -> one
-        else -> minOf(one, other)
-    }
+    private fun earliest(
+        one: Long?,
+        other: Long?,
+    ): Long? =
+        when {
+            one == null -> other
+            other == null -> one
+            else -> minOf(one, other)
+        }
 }
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -49,12 +49,16 @@
 
     private var machineNameBytes = LONG_MACHINE_NAME
 
-    fun snapshot(types: Map<TypeName, MachineType>, mayMove: Boolean): Snapshot {
+    fun snapshot(
+        types: Map<TypeName, MachineType>,
+        mayMove: Boolean,
+    ): Snapshot {
         val now = clock.steadyMs()
         InheritedPriority.update(cluster.jobs, types.values, timing.pipelineStageMs)
-        val teams = settings.teams.mapValues { (_, team) ->
-            PlanTeam(team.maxCores, team.maxGpus, team.guaranteedCores, team.guaranteedGpus)
-        }
+        val teams =
+            settings.teams.mapValues { (_, team) ->
+                PlanTeam(team.maxCores, team.maxGpus, team.guaranteedCores, team.guaranteedGpus)
+            }
         for (job in cluster.jobs.values) {
             val need = job.need
             val team = teams[job.spec.team] ?: continue
@@ -98,7 +102,11 @@
         return Resources(cores, 0.0, memoryGb)
     }
 
-    private fun job(job: Job, zoneUses: ZoneUses, now: Long): PlanJob? {
+    private fun job(
+        job: Job,
+        zoneUses: ZoneUses,
+        now: Long,
+    ): PlanJob? {
         if (job.phase != Phase.ACTIVE || now < job.holdUntil) return null
         val readyMs = job.readyMs ?: return null
         // A gang starts again only as a whole: what is left of it ends by itself when its mates are gone.
@@ -126,9 +134,10 @@
 
     /** Room for what is expected to come while a machine boots, as one job a class. */
     private fun reserves(types: Map<TypeName, MachineType>): List<PlanJob> {
-        val expected = cluster.forecast.expected(clock.wallMs()) { spec ->
-            types.values.filter { spec.types == null || it.name in spec.types }.minOfOrNull { it.bootS } ?: 0.0
-        }
+        val expected =
+            cluster.forecast.expected(clock.wallMs()) { spec ->
+                types.values.filter { spec.types == null || it.name in spec.types }.minOfOrNull { it.bootS } ?: 0.0
+            }
         return expected.map { (example, count) ->
             PlanJob(
                 id = JobId("reserve-${example.className}"),
@@ -156,14 +165,18 @@
     }
 
     private fun dividedRoom(job: Job): Int {
-        val occupancy = RecordLayout.Occupancy(
-            tasks = job.spec.tasks,
-            nextAttempt = job.nextAttempt,
-            doneRanges = TaskRanges.count(job.done),
-            placed = job.live.size,
-            machines = job.live.values.mapTo(HashSet()) { it.machine }.size,
-            nameBytes = machineNameBytes,
-        )
+        val occupancy =
+            RecordLayout.Occupancy(
+                tasks = job.spec.tasks,
+                nextAttempt = job.nextAttempt,
+                doneRanges = TaskRanges.count(job.done),
+                placed = job.live.size,
+                machines =
+                    job.live.values
+                        .mapTo(HashSet()) { it.machine }
+                        .size,
+                nameBytes = machineNameBytes,
+            )
         return dividedRecords.roomForTasks(occupancy).coerceAtLeast(if (job.live.isEmpty()) 1 else 0)
     }
 
@@ -183,7 +196,12 @@
     ): PlanMachine? {
         val type = types[host.type ?: return null] ?: return null
         val zone = host.zone ?: return null
-        val isUnfit = host.isReleasing || host.isDraining || host.isQuarantined || now < host.unresponsiveUntil || host.isLeaseExpired
+        val isUnfit =
+            host.isReleasing ||
+                host.isDraining ||
+                host.isQuarantined ||
+                now < host.unresponsiveUntil ||
+                host.isLeaseExpired
         if (isUnfit || host.noticeUntil != null) return null
         val readyInS = readyInS(host, type, now) ?: return null
         return PlanMachine(
@@ -203,7 +221,11 @@
     }
 
     /** Zero for a machine that can be given work, null for one that can't be counted on. */
-    private fun readyInS(host: Machine, type: MachineType, now: Long): Double? {
+    private fun readyInS(
+        host: Machine,
+        type: MachineType,
+        now: Long,
+    ): Double? {
         val lastContactAt = host.lastContactAt
         if (lastContactAt != null) {
             if (now - lastContactAt > timing.quietMs) return null
@@ -252,7 +274,12 @@
         return least
     }
 
-    private fun tenant(placed: TaskAttempt, type: MachineType, zoneUses: ZoneUses, now: Long): Tenant {
+    private fun tenant(
+        placed: TaskAttempt,
+        type: MachineType,
+        zoneUses: ZoneUses,
+        now: Long,
+    ): Tenant {
         val spec = placed.job.spec
         val ranS = if (placed.seen == TaskState.RUNNING) (now - placed.seenRunningAt) / 1000.0 else 0.0
         return Tenant(
@@ -283,11 +310,15 @@
 
     /** What the replicas on a machine weigh together, for each second that they are down. */
     fun replicaWeight(host: Machine): Double =
-        host.live.values.filter { it.isWanted && it.job.spec.kind == JobKind.SERVICE }
+        host.live.values
+            .filter { it.isWanted && it.job.spec.kind == JobKind.SERVICE }
             .sumOf { weights.of(it.job.spec.className) }
 
     /** Whether what these machines hold would fit elsewhere, with some to spare since room comes in pieces. */
-    fun hasRoomFor(hosts: List<Machine>, types: Map<TypeName, MachineType>): Boolean {
+    fun hasRoomFor(
+        hosts: List<Machine>,
+        types: Map<TypeName, MachineType>,
+    ): Boolean {
         var need = Resources.NONE
         for (host in hosts) for (placed in host.live.values) if (placed.isWanted) need += placed.job.need
         var free = Resources.NONE
--- a/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
@@ -7,21 +7,25 @@
 import oxbowlug.wire.Zone
 
 /** Where the tasks of each job are, counted once a plan: tenants of one job on many machines all ask for it. */
-internal class ZoneUses(private val cluster: ClusterState, private val zones: List<Zone>) {
+internal class ZoneUses(
+    private val cluster: ClusterState,
+    private val zones: List<Zone>,
+) {
     private val known = HashMap<JobId, Map<Zone, Int>>()
 
     /** A new leader may know from the records of a machine that it hasn't heard and that no list shows yet. */
     fun isKnown(job: Job): Boolean = job.live.values.all { zoneOf(it) != null }
 
     /** What is somewhere unknown may be in any zone, so it counts in each: left out, it would break the job's rule. */
-    fun of(job: Job): Map<Zone, Int> = known.getOrPut(job.id) {
-        val use = HashMap<Zone, Int>()
-        for (placed in job.live.values) {
-            val zone = zoneOf(placed)
-            if (zone != null) use.merge(zone, 1, Int::plus) else zones.forEach { use.merge(it, 1, Int::plus) }
+    fun of(job: Job): Map<Zone, Int> =
+        known.getOrPut(job.id) {
+            val use = HashMap<Zone, Int>()
+            for (placed in job.live.values) {
+                val zone = zoneOf(placed)
+                if (zone != null) use.merge(zone, 1, Int::plus) else zones.forEach { use.merge(it, 1, Int::plus) }
+            }
+            use
         }
-        use
-    }
 
     private fun zoneOf(placed: TaskAttempt): Zone? = cluster.machines[placed.machine]?.zone
 }
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -23,14 +23,16 @@
     private val timeoutMs: Long,
     private val settle: (() -> Unit) -> Unit,
 ) : StatePort {
-    override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) =
-        call(HttpMethod.POST, "/commit", StoreCodec.encode(transaction), timeoutMs, done) { result ->
-            when (result) {
-                is CallResult.Answered -> commitOutcome(result)
-                CallResult.NotSent -> CommitOutcome.Refused
-                CallResult.Unanswered -> CommitOutcome.Unanswered
-            }
+    override fun commit(
+        transaction: Transaction,
+        done: (CommitOutcome) -> Unit,
+    ) = call(HttpMethod.POST, "/commit", StoreCodec.encode(transaction), timeoutMs, done) { result ->
+        when (result) {
+            is CallResult.Answered -> commitOutcome(result)
+            CallResult.NotSent -> CommitOutcome.Refused
+            CallResult.Unanswered -> CommitOutcome.Unanswered
         }
+    }
 
     private fun commitOutcome(result: CallResult.Answered): CommitOutcome {
         val body = result.body
@@ -43,14 +45,23 @@
         }
     }
 
-    override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) {
+    override fun readPage(
+        prefix: String,
+        after: String?,
+        done: (ReadPage?) -> Unit,
+    ) {
         val from = if (after == null) "" else "&from=$after"
         call(HttpMethod.GET, "/store?prefix=$prefix$from&limit=$PAGE", null, timeoutMs, done) { result ->
             result.bodyOf(200)?.let(StoreCodec::decodePage)
         }
     }
 
-    override fun changes(prefix: String, from: Long, waitMs: Long, done: (ChangesOutcome) -> Unit) {
+    override fun changes(
+        prefix: String,
+        from: Long,
+        waitMs: Long,
+        done: (ChangesOutcome) -> Unit,
+    ) {
         val path = "/changes?prefix=$prefix&from=$from&block_ms=$waitMs"
         call(HttpMethod.GET, path, null, timeoutMs + waitMs, done) { result ->
             val body = result.bodyOf(200)
@@ -62,19 +73,23 @@
         }
     }
 
-    override fun grant(lifeMs: Long, done: (Long?) -> Unit) =
-        call(HttpMethod.POST, "/holds", mapOf("life_ms" to lifeMs), timeoutMs, done) { result ->
-            result.bodyOf(200)?.let(StoreCodec::decodeLease)
-        }
+    override fun grant(
+        lifeMs: Long,
+        done: (Long?) -> Unit,
+    ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to lifeMs), timeoutMs, done) { result ->
+        result.bodyOf(200)?.let(StoreCodec::decodeLease)
+    }
 
-    override fun touch(lease: Long, done: (TouchOutcome) -> Unit) =
-        call(HttpMethod.POST, "/holds/$lease/touch", emptyMap(), timeoutMs, done) { result ->
-            when {
-                result is CallResult.Answered && result.status == 200 -> TouchOutcome.RENEWED
-                result is CallResult.Answered && result.status == 404 -> TouchOutcome.OVER
-                else -> TouchOutcome.FAILED
-            }
+    override fun touch(
+        lease: Long,
+        done: (TouchOutcome) -> Unit,
+    ) = call(HttpMethod.POST, "/holds/$lease/touch", emptyMap(), timeoutMs, done) { result ->
+        when {
+            result is CallResult.Answered && result.status == 200 -> TouchOutcome.RENEWED
+            result is CallResult.Answered && result.status == 404 -> TouchOutcome.OVER
+            else -> TouchOutcome.FAILED
         }
+    }
 
     override fun release(lease: Long) = call(HttpMethod.DELETE, "/holds/$lease", null, timeoutMs, {}) {}
 
@@ -88,12 +103,13 @@
     ) {
         scope.launch {
             val result = http.call(address, method, path, body, timeout)
-            val outcome = try {
-                read(result)
-            } catch (_: InvalidField) {
-                // A malformed answer counts as none.
-                read(CallResult.Unanswered)
-            }
+            val outcome =
+                try {
+                    read(result)
+                } catch (_: InvalidField) {
+                    // A malformed answer counts as none.
+                    read(CallResult.Unanswered)
+                }
             settle { done(outcome) }
         }
     }
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -4,7 +4,10 @@
 import kotlin.random.Random
 
 /** Every duration of the core, each a ratio to a figure of the settings. */
-internal class Timing(settings: Settings, private val random: Random) {
+internal class Timing(
+    settings: Settings,
+    private val random: Random,
+) {
     private val workerLeaseMs = settings.workers.leaseS * 1000.0
     private val reportMs = settings.workers.heartbeatS * 1000.0
 
@@ -156,8 +159,7 @@
      * Until the next machine may be emptied after one with replicas of [jobs] jobs. Each job is written twice for it,
      * and moves may use a quarter of the write rate: so a large fleet shrinks as fast as its rates allow.
      */
-    fun movePauseMs(jobs: Int): Long =
-        if (jobs == 0) emptyPauseMs else (jobs * 2 / (writeRps * 0.25) * 1000.0).toLong()
+    fun movePauseMs(jobs: Int): Long = if (jobs == 0) emptyPauseMs else (jobs * 2 / (writeRps * 0.25) * 1000.0).toLong()
 
     fun jitter(maxMs: Long): Long = if (maxMs <= 0) 0 else random.nextLong(maxMs + 1)
 
--- a/src/main/kotlin/oxbowlug/timing/TokenBucket.kt
+++ b/src/main/kotlin/oxbowlug/timing/TokenBucket.kt
@@ -1,7 +1,9 @@
 package oxbowlug.timing
 
 /** A token bucket that holds one second's worth: this controller's share of a published rate. */
-internal class TokenBucket(private var perSecond: Double) {
+internal class TokenBucket(
+    private var perSecond: Double,
+) {
     private val burst: Double get() = perSecond
     private var tokens = burst
     private var updatedMs = Long.MIN_VALUE
@@ -24,12 +26,18 @@
         tokens = minOf(tokens, perSecond)
     }
 
-    fun take(amount: Double, now: Long) {
+    fun take(
+        amount: Double,
+        now: Long,
+    ) {
         available(now)
         tokens -= amount
     }
 
-    fun tryTake(amount: Double, now: Long): Boolean {
+    fun tryTake(
+        amount: Double,
+        now: Long,
+    ): Boolean {
         if (available(now) < amount) return false
         tokens -= amount
         return true
--- a/src/main/kotlin/oxbowlug/wire/Cbor.kt
+++ b/src/main/kotlin/oxbowlug/wire/Cbor.kt
@@ -9,7 +9,9 @@
 import java.math.BigInteger
 
 /** A body that is not CBOR, not a map, or nested too deep. */
-class MalformedBody(message: String) : Exception(message)
+class MalformedBody(
+    message: String,
+) : Exception(message)
 
 /**
  * CBOR to and from plain maps, lists, text, numbers, booleans and null, through Jackson's streaming
@@ -38,7 +40,10 @@
         }
     }
 
-    private fun readMap(parser: CBORParser, depth: Int): Map<String, Any?> {
+    private fun readMap(
+        parser: CBORParser,
+        depth: Int,
+    ): Map<String, Any?> {
         if (depth > MAX_DEPTH) throw MalformedBody("the body is nested too deep")
         val map = LinkedHashMap<String, Any?>()
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -50,7 +55,10 @@
         return map
     }
 
-    private fun readList(parser: CBORParser, depth: Int): List<Any?> {
+    private fun readList(
+        parser: CBORParser,
+        depth: Int,
+    ): List<Any?> {
         if (depth > MAX_DEPTH) throw MalformedBody("the body is nested too deep")
         val list = ArrayList<Any?>()
         while (true) {
@@ -60,27 +68,35 @@
         }
     }
 
-    private fun readValue(parser: CBORParser, depth: Int): Any? = when (parser.currentToken()) {
-        JsonToken.START_OBJECT -> readMap(parser, depth + 1)
-        JsonToken.START_ARRAY -> readList(parser, depth + 1)
-        JsonToken.VALUE_STRING -> parser.text
-        JsonToken.VALUE_NUMBER_INT -> integer(parser)
-        JsonToken.VALUE_NUMBER_FLOAT -> parser.doubleValue
-        JsonToken.VALUE_TRUE -> true
-        JsonToken.VALUE_FALSE -> false
-        JsonToken.VALUE_NULL -> null
-        else -> throw MalformedBody("the body holds binary or unfinished data")
-    }
+    private fun readValue(
+        parser: CBORParser,
+        depth: Int,
+    ): Any? =
+        when (parser.currentToken()) {
+            JsonToken.START_OBJECT -> readMap(parser, depth + 1)
+            JsonToken.START_ARRAY -> readList(parser, depth + 1)
+            JsonToken.VALUE_STRING -> parser.text
+            JsonToken.VALUE_NUMBER_INT -> integer(parser)
+            JsonToken.VALUE_NUMBER_FLOAT -> parser.doubleValue
+            JsonToken.VALUE_TRUE -> true
+            JsonToken.VALUE_FALSE -> false
+            JsonToken.VALUE_NULL -> null
+            else -> throw MalformedBody("the body holds binary or unfinished data")
+        }
 
     /** Counts stay below 2^64, but no one counts past 2^63 honestly: larger ones are kept as floating point. */
-    private fun integer(parser: CBORParser): Any = when (val number = parser.numberValue) {
-        is Int -> number.toLong()
-        is Long -> number
-        is BigInteger -> number.toDouble()
-        else -> number.toDouble()
-    }
+    private fun integer(parser: CBORParser): Any =
+        when (val number = parser.numberValue) {
+            is Int -> number.toLong()
+            is Long -> number
+            is BigInteger -> number.toDouble()
+            else -> number.toDouble()
+        }
 
-    private fun write(out: CBORGenerator, value: Any?) {
+    private fun write(
+        out: CBORGenerator,
+        value: Any?,
+    ) {
         when (value) {
             null -> out.writeNull()
             is String -> out.writeString(value)
--- a/src/main/kotlin/oxbowlug/wire/Cloud.kt
+++ b/src/main/kotlin/oxbowlug/wire/Cloud.kt
@@ -19,7 +19,9 @@
     fun price(spot: Boolean): Double = if (spot) spotPrice else price
 }
 
-enum class MachineState(val wire: String) {
+enum class MachineState(
+    val wire: String,
+) {
     BOOTING("booting"),
     RUNNING("running"),
     FAILED("failed"),
@@ -35,56 +37,65 @@
     val ageS: Double,
 )
 
-data class RentalRequest(val name: String, val type: TypeName, val zone: Zone, val spot: Boolean, val count: Int)
+data class RentalRequest(
+    val name: String,
+    val type: TypeName,
+    val zone: Zone,
+    val spot: Boolean,
+    val count: Int,
+)
 
 object CloudCodec {
     const val MAX_RENTED = 50
     const val MAX_RETURNED = 100
     const val MAX_LISTED = 500
 
-    fun decodeTypes(map: Map<String, Any?>): List<MachineType> = map.fields().maps("breeds").map { type ->
-        MachineType(
-            name = TypeName(type.text("label")),
-            cores = type.amount("cores"),
-            gpus = type.amountOr("gpus", 0.0),
-            memoryGb = type.amount("mem_gb"),
-            cacheGb = type.amountOr("local_gb", 0.0),
-            fetchGbPerS = type.amountOr("pull_gb_per_s", 0.0),
-            price = type.amount("price"),
-            spotPrice = type.amountOr("low_price", 0.0),
-            bootS = type.amountOr("ready_s", 0.0),
-            zones = type.texts("paddocks", MAX_LISTED).map(::Zone),
-        )
-    }
+    fun decodeTypes(map: Map<String, Any?>): List<MachineType> =
+        map.fields().maps("breeds").map { type ->
+            MachineType(
+                name = TypeName(type.text("label")),
+                cores = type.amount("cores"),
+                gpus = type.amountOr("gpus", 0.0),
+                memoryGb = type.amount("mem_gb"),
+                cacheGb = type.amountOr("local_gb", 0.0),
+                fetchGbPerS = type.amountOr("pull_gb_per_s", 0.0),
+                price = type.amount("price"),
+                spotPrice = type.amountOr("low_price", 0.0),
+                bootS = type.amountOr("ready_s", 0.0),
+                zones = type.texts("paddocks", MAX_LISTED).map(::Zone),
+            )
+        }
 
-    fun encodeRental(request: RentalRequest): Map<String, Any?> = mapOf(
-        "hire" to request.name,
-        "breed" to request.type.value,
-        "paddock" to request.zone.value,
-        "stray" to request.spot,
-        "count" to request.count,
-    )
+    fun encodeRental(request: RentalRequest): Map<String, Any?> =
+        mapOf(
+            "hire" to request.name,
+            "breed" to request.type.value,
+            "paddock" to request.zone.value,
+            "stray" to request.spot,
+            "count" to request.count,
+        )
 
-    fun decodeRented(map: Map<String, Any?>): List<MachineId> =
-        map.fields().texts("herd", MAX_LISTED).map(::MachineId)
+    fun decodeRented(map: Map<String, Any?>): List<MachineId> = map.fields().texts("herd", MAX_LISTED).map(::MachineId)
 
     fun encodeReturn(machines: List<MachineId>): Map<String, Any?> = mapOf("herd" to machines.map { it.value })
 
     fun decodeList(map: Map<String, Any?>): Pair<List<ListedMachine>, Boolean> {
         val fields = map.fields()
-        val machines = fields.maps("herd").map { machine ->
-            val state = machine.text("stance")
-            ListedMachine(
-                id = MachineId(machine.text("id")),
-                endpoint = machine.textOrNull("endpoint").orEmpty(),
-                type = TypeName(machine.text("breed")),
-                zone = Zone(machine.text("paddock")),
-                spot = machine.flag("stray"),
-                state = MachineState.entries.firstOrNull { it.wire == state }
-                    ?: throw InvalidField("stance", "is unknown"),
-                ageS = machine.amount("age_s"),
-            )
-        }
+        val machines =
+            fields.maps("herd").map { machine ->
+                val state = machine.text("stance")
+                ListedMachine(
+                    id = MachineId(machine.text("id")),
+                    endpoint = machine.textOrNull("endpoint").orEmpty(),
+                    type = TypeName(machine.text("breed")),
+                    zone = Zone(machine.text("paddock")),
+                    spot = machine.flag("stray"),
+                    state =
+                        MachineState.entries.firstOrNull { it.wire == state }
+                            ?: throw InvalidField("stance", "is unknown"),
+                    ageS = machine.amount("age_s"),
+                )
+            }
         return machines to fields.flag("more")
     }
 }
--- a/src/main/kotlin/oxbowlug/wire/Fields.kt
+++ b/src/main/kotlin/oxbowlug/wire/Fields.kt
@@ -1,46 +1,72 @@
 package oxbowlug.wire
 
 /** A field that is missing, mistyped or out of its bounds; [field] is its published name. */
-class InvalidField(val field: String, problem: String) : Exception("$field: $problem")
+class InvalidField(
+    val field: String,
+    problem: String,
+) : Exception("$field: $problem")
 
 /** Checked access to the fields of a decoded map. Unknown fields are simply never asked for. */
 @JvmInline
-value class Fields(private val map: Map<String, Any?>) {
+value class Fields(
+    private val map: Map<String, Any?>,
+) {
     fun has(name: String): Boolean = map[name] != null
 
-    fun text(name: String, maxLength: Int = MAX_TEXT): String {
+    fun text(
+        name: String,
+        maxLength: Int = MAX_TEXT,
+    ): String {
         val value = map[name] ?: throw InvalidField(name, "is missing")
         if (value !is String) throw InvalidField(name, "must be text")
         if (value.length !in 1..maxLength) throw InvalidField(name, "must have 1 to $maxLength characters")
         return value
     }
 
-    fun textOrNull(name: String, maxLength: Int = MAX_TEXT): String? = if (has(name)) text(name, maxLength) else null
+    fun textOrNull(
+        name: String,
+        maxLength: Int = MAX_TEXT,
+    ): String? = if (has(name)) text(name, maxLength) else null
 
-    fun flag(name: String): Boolean = when (val value = map[name]) {
-        null -> throw InvalidField(name, "is missing")
-        is Boolean -> value
-        else -> throw InvalidField(name, "must be true or false")
-    }
+    fun flag(name: String): Boolean =
+        when (val value = map[name]) {
+            null -> throw InvalidField(name, "is missing")
+            is Boolean -> value
+            else -> throw InvalidField(name, "must be true or false")
+        }
 
-    fun flagOr(name: String, default: Boolean): Boolean = if (has(name)) flag(name) else default
+    fun flagOr(
+        name: String,
+        default: Boolean,
+    ): Boolean = if (has(name)) flag(name) else default
 
-    fun count(name: String, min: Long = 0, max: Long = Long.MAX_VALUE): Long {
+    fun count(
+        name: String,
+        min: Long = 0,
+        max: Long = Long.MAX_VALUE,
+    ): Long {
         val value = map[name] ?: throw InvalidField(name, "is missing")
         if (value !is Long) throw InvalidField(name, "must be an integer")
         if (value < min || value > max) throw InvalidField(name, "must be from $min to $max")
         return value
     }
 
-    fun countOr(name: String, default: Long): Long = if (has(name)) count(name) else default
+    fun countOr(
+        name: String,
+        default: Long,
+    ): Long = if (has(name)) count(name) else default
 
-    fun amount(name: String, max: Double = MAX_AMOUNT): Double {
+    fun amount(
+        name: String,
+        max: Double = MAX_AMOUNT,
+    ): Double {
         val value = map[name] ?: throw InvalidField(name, "is missing")
-        val number = when (value) {
-            is Double -> value
-            is Long -> value.toDouble()
-            else -> throw InvalidField(name, "must be a number")
-        }
+        val number =
+            when (value) {
+                is Double -> value
+                is Long -> value.toDouble()
+                else -> throw InvalidField(name, "must be a number")
+            }
         // NaN fails both comparisons, so the test is written for what is allowed.
         if (!(number >= 0.0 && number <= max)) throw InvalidField(name, "must be from 0 to $max")
         return number
@@ -48,9 +74,15 @@
 
     fun amountOrNull(name: String): Double? = if (has(name)) amount(name) else null
 
-    fun amountOr(name: String, default: Double): Double = if (has(name)) amount(name) else default
+    fun amountOr(
+        name: String,
+        default: Double,
+    ): Double = if (has(name)) amount(name) else default
 
-    fun texts(name: String, maxItems: Int): List<String> {
+    fun texts(
+        name: String,
+        maxItems: Int,
+    ): List<String> {
         val value = map[name] ?: throw InvalidField(name, "is missing")
         if (value !is List<*>) throw InvalidField(name, "must be a list")
         if (value.size > maxItems) throw InvalidField(name, "has more than $maxItems items")
@@ -65,7 +97,10 @@
 
     fun map(name: String): Map<String, Any?> = asMap(map[name] ?: throw InvalidField(name, "is missing"), name)
 
-    private fun asMap(value: Any?, name: String): Map<String, Any?> {
+    private fun asMap(
+        value: Any?,
+        name: String,
+    ): Map<String, Any?> {
         if (value !is Map<*, *>) throw InvalidField(name, "must be a map")
         val result = LinkedHashMap<String, Any?>(value.size * 2)
         for ((key, item) in value) result[key as String] = item
--- a/src/main/kotlin/oxbowlug/wire/JobSpec.kt
+++ b/src/main/kotlin/oxbowlug/wire/JobSpec.kt
@@ -1,6 +1,8 @@
 package oxbowlug.wire
 
-enum class JobKind(val wire: String) {
+enum class JobKind(
+    val wire: String,
+) {
     /** Independent tasks, each of which runs to completion. */
     ARRAY("batch"),
 
@@ -12,7 +14,9 @@
 }
 
 /** From the most to the least urgent; only a more urgent one may displace another. */
-enum class Priority(val wire: String) {
+enum class Priority(
+    val wire: String,
+) {
     PRODUCTION("prod"),
     HIGH("urgent"),
     NORMAL("standard"),
@@ -130,6 +134,10 @@
         return names.map(::TypeName)
     }
 
-    private inline fun <T> choice(text: String, field: String, all: List<T>, name: (T) -> String): T =
-        all.firstOrNull { name(it) == text } ?: throw InvalidField(field, "has an unknown value")
+    private inline fun <T> choice(
+        text: String,
+        field: String,
+        all: List<T>,
+        name: (T) -> String,
+    ): T = all.firstOrNull { name(it) == text } ?: throw InvalidField(field, "has an unknown value")
 }
--- a/src/main/kotlin/oxbowlug/wire/Store.kt
+++ b/src/main/kotlin/oxbowlug/wire/Store.kt
@@ -1,26 +1,53 @@
 package oxbowlug.wire
 
 /** A key's value with the revision of its last change. */
-data class Entry(val key: String, val value: Map<String, Any?>, val version: Long)
+data class Entry(
+    val key: String,
+    val value: Map<String, Any?>,
+    val version: Long,
+)
 
-data class Condition(val key: String, val version: Long)
+data class Condition(
+    val key: String,
+    val version: Long,
+)
 
 sealed interface Change {
     val key: String
 
-    data class Put(override val key: String, val value: Map<String, Any?>, val lease: Long? = null) : Change
+    data class Put(
+        override val key: String,
+        val value: Map<String, Any?>,
+        val lease: Long? = null,
+    ) : Change
 
-    data class Delete(override val key: String) : Change
+    data class Delete(
+        override val key: String,
+    ) : Change
 }
 
-data class Transaction(val conditions: List<Condition>, val changes: List<Change>)
+data class Transaction(
+    val conditions: List<Condition>,
+    val changes: List<Change>,
+)
 
 /** Something that happened to a key; [value] is null when it was removed. */
-data class Event(val key: String, val value: Map<String, Any?>?, val version: Long)
-
-data class ReadPage(val entries: List<Entry>, val more: Boolean, val revision: Long)
-
-data class Changes(val events: List<Event>, val revision: Long)
+data class Event(
+    val key: String,
+    val value: Map<String, Any?>?,
+    val version: Long,
+)
+
+data class ReadPage(
+    val entries: List<Entry>,
+    val more: Boolean,
+    val revision: Long,
+)
+
+data class Changes(
+    val events: List<Event>,
+    val revision: Long,
+)
 
 object StoreCodec {
     const val MAX_PAGE = 1000
@@ -28,18 +55,19 @@
     fun encode(transaction: Transaction): Map<String, Any?> {
         val map = LinkedHashMap<String, Any?>()
         map["if"] = transaction.conditions.map { mapOf("key" to it.key, "mark" to it.version) }
-        map["then"] = transaction.changes.map { change ->
-            when (change) {
-                is Change.Put -> {
-                    val put = LinkedHashMap<String, Any?>()
-                    put["set"] = change.key
-                    put["value"] = change.value
-                    change.lease?.let { put["tether"] = it }
-                    put
+        map["then"] =
+            transaction.changes.map { change ->
+                when (change) {
+                    is Change.Put -> {
+                        val put = LinkedHashMap<String, Any?>()
+                        put["set"] = change.key
+                        put["value"] = change.value
+                        change.lease?.let { put["tether"] = it }
+                        put
+                    }
+                    is Change.Delete -> mapOf("remove" to change.key)
                 }
-                is Change.Delete -> mapOf("remove" to change.key)
             }
-        }
         return map
     }
 
@@ -51,13 +79,14 @@
 
     fun decodeChanges(map: Map<String, Any?>): Changes {
         val fields = map.fields()
-        val events = fields.maps("events").map { event ->
-            if (event.has("set")) {
-                Event(event.text("set"), event.map("value"), event.count("mark"))
-            } else {
-                Event(event.text("remove"), null, event.count("mark"))
+        val events =
+            fields.maps("events").map { event ->
+                if (event.has("set")) {
+                    Event(event.text("set"), event.map("value"), event.count("mark"))
+                } else {
+                    Event(event.text("remove"), null, event.count("mark"))
+                }
             }
-        }
         return Changes(events, fields.count("ledger"))
     }
 
--- a/src/main/kotlin/oxbowlug/wire/Worker.kt
+++ b/src/main/kotlin/oxbowlug/wire/Worker.kt
@@ -1,6 +1,8 @@
 package oxbowlug.wire
 
-enum class TaskState(val wire: String) {
+enum class TaskState(
+    val wire: String,
+) {
     FETCHING("pulling"),
     WAITING("waiting"),
     RUNNING("running"),
@@ -8,7 +10,9 @@
     EXITED("exited"),
 }
 
-enum class ExitCause(val wire: String) {
+enum class ExitCause(
+    val wire: String,
+) {
     DONE("done"),
     STOPPED("stopped"),
     ERROR("error"),
@@ -22,7 +26,12 @@
     OTHER(""),
 }
 
-data class TaskStatus(val attempt: AttemptId, val state: TaskState, val cause: ExitCause?, val saved: Boolean)
+data class TaskStatus(
+    val attempt: AttemptId,
+    val state: TaskState,
+    val cause: ExitCause?,
+    val saved: Boolean,
+)
 
 /** One worker's account of itself. The larger (incarnation, sequence) is the newer one. */
 data class WorkerHeartbeat(
@@ -37,18 +46,27 @@
     val noticeS: Double?,
     val tasks: List<TaskStatus>,
 ) {
-    fun isNewerThan(otherSession: Long, otherSequence: Long): Boolean =
-        incarnation > otherSession || (incarnation == otherSession && sequence > otherSequence)
+    fun isNewerThan(
+        otherSession: Long,
+        otherSequence: Long,
+    ): Boolean = incarnation > otherSession || (incarnation == otherSession && sequence > otherSequence)
 }
 
 sealed interface WorkerCommand {
     val attempt: AttemptId
 
-    data class Start(override val attempt: AttemptId) : WorkerCommand
+    data class Start(
+        override val attempt: AttemptId,
+    ) : WorkerCommand
 
-    data class Stop(override val attempt: AttemptId, val graceS: Double) : WorkerCommand
+    data class Stop(
+        override val attempt: AttemptId,
+        val graceS: Double,
+    ) : WorkerCommand
 
-    data class Forget(override val attempt: AttemptId) : WorkerCommand
+    data class Forget(
+        override val attempt: AttemptId,
+    ) : WorkerCommand
 }
 
 object WorkerCodec {
@@ -84,19 +102,26 @@
         )
     }
 
-    fun encodeAnswer(token: FencingToken, commands: List<WorkerCommand>): Map<String, Any?> =
-        mapOf("brand" to token.value, "calls" to commands.map(::encodeCommand))
+    fun encodeAnswer(
+        token: FencingToken,
+        commands: List<WorkerCommand>,
+    ): Map<String, Any?> = mapOf("brand" to token.value, "calls" to commands.map(::encodeCommand))
 
-    fun encodeDirect(token: FencingToken, incarnation: Long, commands: List<WorkerCommand>): Map<String, Any?> =
+    fun encodeDirect(
+        token: FencingToken,
+        incarnation: Long,
+        commands: List<WorkerCommand>,
+    ): Map<String, Any?> =
         mapOf("brand" to token.value, "shift" to incarnation, "calls" to commands.map(::encodeCommand))
 
     private fun encodeCommand(command: WorkerCommand): Map<String, Any?> {
         val map = LinkedHashMap<String, Any?>()
-        map["call"] = when (command) {
-            is WorkerCommand.Start -> "run"
-            is WorkerCommand.Stop -> "kill"
-            is WorkerCommand.Forget -> "reap"
-        }
+        map["call"] =
+            when (command) {
+                is WorkerCommand.Start -> "run"
+                is WorkerCommand.Stop -> "kill"
+                is WorkerCommand.Forget -> "reap"
+            }
         map["furrow"] = command.attempt.task.toString()
         map["try"] = command.attempt.number
         if (command is WorkerCommand.Stop) map["slack_s"] = command.graceS
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -30,23 +30,28 @@
     ) {
         scope.launch {
             val body = WorkerCodec.encodeDirect(token, incarnation, commands)
-            val outcome = when (val result = http.call(endpoint, HttpMethod.POST, "/do", body, timeoutMs)) {
-                is CallResult.Answered -> read(result)
-                CallResult.NotSent -> DirectOutcome.NotSent
-                CallResult.Unanswered -> DirectOutcome.Unanswered
-            }
+            val outcome =
+                when (val result = http.call(endpoint, HttpMethod.POST, "/do", body, timeoutMs)) {
+                    is CallResult.Answered -> read(result)
+                    CallResult.NotSent -> DirectOutcome.NotSent
+                    CallResult.Unanswered -> DirectOutcome.Unanswered
+                }
             settle { done(outcome) }
         }
     }
 
-    override fun status(endpoint: Address, done: (WorkerHeartbeat?) -> Unit) {
+    override fun status(
+        endpoint: Address,
+        done: (WorkerHeartbeat?) -> Unit,
+    ) {
         scope.launch {
             val result = http.call(endpoint, HttpMethod.GET, "/status", null, timeoutMs)
-            val report = if (result is CallResult.Answered && result.status == 200) {
-                (read(result) as? DirectOutcome.Answered)?.report
-            } else {
-                null
-            }
+            val report =
+                if (result is CallResult.Answered && result.status == 200) {
+                    (read(result) as? DirectOutcome.Answered)?.report
+                } else {
+                    null
+                }
             settle { done(report) }
         }
     }
--- a/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
@@ -30,16 +30,27 @@
 
     /** Watches and renewals wait until the test answers them. */
     private inner class Port : ImmediateStatePort(store) {
-        override fun changes(prefix: String, from: Long, waitMs: Long, done: (ChangesOutcome) -> Unit) {
+        override fun changes(
+            prefix: String,
+            from: Long,
+            waitMs: Long,
+            done: (ChangesOutcome) -> Unit,
+        ) {
             if (waitMs > 0) watches.add(done) else super.changes(prefix, from, waitMs, done)
         }
 
-        override fun grant(lifeMs: Long, done: (Long?) -> Unit) {
+        override fun grant(
+            lifeMs: Long,
+            done: (Long?) -> Unit,
+        ) {
             grants++
             done(store.grant(lifeMs))
         }
 
-        override fun touch(lease: Long, done: (TouchOutcome) -> Unit) {
+        override fun touch(
+            lease: Long,
+            done: (TouchOutcome) -> Unit,
+        ) {
             touches.add(done)
         }
     }
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -40,8 +40,15 @@
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
 
     /** Jobs as a leader and users write them: a head, and parts of which only those that changed are written. */
-    private class Writer(val store: SimStore, val random: Random, val valid: JobSpec) {
-        private class Stored(val record: JobRecord, val parts: List<Map<String, Any?>>)
+    private class Writer(
+        val store: SimStore,
+        val random: Random,
+        val valid: JobSpec,
+    ) {
+        private class Stored(
+            val record: JobRecord,
+            val parts: List<Map<String, Any?>>,
+        )
 
         private val layout = RecordLayout(LIMITS)
         private val jobs = LinkedHashMap<String, Stored>()
@@ -62,7 +69,10 @@
             put(id, record(id, Phase.ACTIVE, emptyMap(), needs), emptyList())
         }
 
-        private fun change(id: String, stored: Stored) {
+        private fun change(
+            id: String,
+            stored: Stored,
+        ) {
             val old = stored.record
             val needs = old.spec.dependsOn
             when (random.nextInt(CANCELLED_IN)) {
@@ -72,16 +82,31 @@
             }
         }
 
-        private fun placements(): Map<Int, Placement> = (0 until random.nextInt(MOST_PLACED)).associateWith {
-            Placement(MachineId("host-%06d".format(random.nextInt(MOST_JOBS))), 1L + random.nextInt(9))
-        }
+        private fun placements(): Map<Int, Placement> =
+            (0 until random.nextInt(MOST_PLACED)).associateWith {
+                Placement(MachineId("host-%06d".format(random.nextInt(MOST_JOBS))), 1L + random.nextInt(9))
+            }
 
-        private fun record(id: String, phase: Phase, placements: Map<Int, Placement>, needs: List<JobId>) = JobRecord(
-            valid.copy(id = JobId(id), tasks = MOST_PLACED, dependsOn = needs), 5, phase, BitSet(), 2, placements,
+        private fun record(
+            id: String,
+            phase: Phase,
+            placements: Map<Int, Placement>,
+            needs: List<JobId>,
+        ) = JobRecord(
+            valid.copy(id = JobId(id), tasks = MOST_PLACED, dependsOn = needs),
+            5,
+            phase,
+            BitSet(),
+            2,
+            placements,
             "w-${writes++}",
         )
 
-        private fun put(id: String, record: JobRecord, present: List<Map<String, Any?>>) {
+        private fun put(
+            id: String,
+            record: JobRecord,
+            present: List<Map<String, Any?>>,
+        ) {
             val form = layout.split(record.encode()) ?: return
             val changes = ArrayList<Change>()
             changes.add(Change.Put(Keys.job(id), form.head))
@@ -93,31 +118,57 @@
         }
 
         /** A cancellation, which leaves the parts as they are. */
-        private fun putHead(id: String, record: JobRecord, parts: List<Map<String, Any?>>) {
+        private fun putHead(
+            id: String,
+            record: JobRecord,
+            parts: List<Map<String, Any?>>,
+        ) {
             val whole = record.encode() + mapOf(RecordLayout.PARTS to parts.size.toLong())
             val head = if (parts.isEmpty()) record.encode() else layout.headAlone(whole)
             commit(id, listOf(Change.Put(Keys.job(id), head)), record, parts)
         }
 
-        private fun commit(id: String, changes: List<Change>, record: JobRecord, parts: List<Map<String, Any?>>) {
+        private fun commit(
+            id: String,
+            changes: List<Change>,
+            record: JobRecord,
+            parts: List<Map<String, Any?>>,
+        ) {
             store.commit(Transaction(emptyList<Condition>(), changes))
             truth[id to store.revision] = record
             jobs[id] = Stored(record, parts)
         }
     }
 
-    private inner class Port(private val store: SimStore, private val writer: Writer) : ImmediateStatePort(store) {
-        override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) {
+    private inner class Port(
+        private val store: SimStore,
+        private val writer: Writer,
+    ) : ImmediateStatePort(store) {
+        override fun readPage(
+            prefix: String,
+            after: String?,
+            done: (ReadPage?) -> Unit,
+        ) {
             val page = store.read(prefix, after, PAGE)
             repeat(WRITES_A_PAGE) { writer.step() }
             done(page)
         }
     }
 
-    private class Copied(val id: JobId, val version: Long, val value: Map<String, Any?>)
-
-    private inner class Listener(private val copied: MutableList<Copied>) : StateCacheListener by IgnoringListener {
-        override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) {
+    private class Copied(
+        val id: JobId,
+        val version: Long,
+        val value: Map<String, Any?>,
+    )
+
+    private inner class Listener(
+        private val copied: MutableList<Copied>,
+    ) : StateCacheListener by IgnoringListener {
+        override fun onJob(
+            id: JobId,
+            job: CachedJob,
+            value: Map<String, Any?>,
+        ) {
             copied.add(Copied(id, job.version, value))
         }
     }
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -68,72 +68,122 @@
     private var obeys = true
     private val returned = ArrayList<MachineId>()
 
-    private fun account() = WorkerHeartbeat(
-        host, ENDPOINT, TypeName("g8"), Zone("a"), false, 1, 1, FencingToken(1), null,
-        running.map { TaskStatus(it, TaskState.RUNNING, null, false) },
-    )
-
-    private val workers = object : WorkerPort {
-        override fun status(endpoint: Address, done: (WorkerHeartbeat?) -> Unit) = done(account())
-
-        override fun command(
-            endpoint: Address,
-            token: FencingToken,
-            incarnation: Long,
-            commands: List<WorkerCommand>,
-            done: (DirectOutcome) -> Unit,
-        ) {
-            if (!obeys) return done(DirectOutcome.Unanswered)
-            running.removeAll(commands.filterIsInstance<WorkerCommand.Stop>().map { it.attempt }.toSet())
-            done(DirectOutcome.Answered(account(), executed = true))
-        }
-    }
-
-    private val cloud = object : CloudPort {
-        override fun types(done: (List<MachineType>?) -> Unit) = done(emptyList())
-
-        override fun rent(request: RentalRequest, done: (RentalOutcome) -> Unit) = done(RentalOutcome.NoCapacity)
+    private fun account() =
+        WorkerHeartbeat(
+            host,
+            ENDPOINT,
+            TypeName("g8"),
+            Zone("a"),
+            false,
+            1,
+            1,
+            FencingToken(1),
+            null,
+            running.map { TaskStatus(it, TaskState.RUNNING, null, false) },
+        )
 
-        override fun returnMachines(machines: List<MachineId>, done: (Boolean) -> Unit) {
-            returned.addAll(machines)
-            done(true)
+    private val workers =
+        object : WorkerPort {
+            override fun status(
+                endpoint: Address,
+                done: (WorkerHeartbeat?) -> Unit,
+            ) = done(account())
+
+            override fun command(
+                endpoint: Address,
+                token: FencingToken,
+                incarnation: Long,
+                commands: List<WorkerCommand>,
+                done: (DirectOutcome) -> Unit,
+            ) {
+                if (!obeys) return done(DirectOutcome.Unanswered)
+                running.removeAll(commands.filterIsInstance<WorkerCommand.Stop>().map { it.attempt }.toSet())
+                done(DirectOutcome.Answered(account(), executed = true))
+            }
         }
 
-        override fun list(done: (List<ListedMachine>?) -> Unit) = done(
-            listOf(ListedMachine(host, ENDPOINT, TypeName("g8"), Zone("a"), false, MachineState.RUNNING, 60.0)),
-        )
-    }
+    private val cloud =
+        object : CloudPort {
+            override fun types(done: (List<MachineType>?) -> Unit) = done(emptyList())
+
+            override fun rent(
+                request: RentalRequest,
+                done: (RentalOutcome) -> Unit,
+            ) = done(RentalOutcome.NoCapacity)
+
+            override fun returnMachines(
+                machines: List<MachineId>,
+                done: (Boolean) -> Unit,
+            ) {
+                returned.addAll(machines)
+                done(true)
+            }
+
+            override fun list(done: (List<ListedMachine>?) -> Unit) =
+                done(
+                    listOf(ListedMachine(host, ENDPOINT, TypeName("g8"), Zone("a"), false, MachineState.RUNNING, 60.0)),
+                )
+        }
 
-    private val peers = object : PeerPort {
-        override fun send(label: String, notice: CancellationNotice) = Unit
+    private val peers =
+        object : PeerPort {
+            override fun send(
+                label: String,
+                notice: CancellationNotice,
+            ) = Unit
 
-        override fun heartbeatChanged() = Unit
-    }
+            override fun heartbeatChanged() = Unit
+        }
 
     private inner class Listener : StateCacheListener by IgnoringListener {
-        override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = cancellations.onRecordChanged(id, job, value)
+        override fun onJob(
+            id: JobId,
+            job: CachedJob,
+            value: Map<String, Any?>,
+        ) = cancellations.onRecordChanged(id, job, value)
     }
 
     private val cache = StateCache(ImmediateStatePort(store), clock, timing, Listener())
     private val peerHealth = PeerHealth(settings.peers.size, clock, timing)
     private val cancellations: CancellationTracker =
         CancellationTracker(self, settings, clock, timing, cache, peerHealth, peers) { null }
-    private val enforcer = CancellationEnforcer(
-        self, settings, clock, timing, cache, cancellations, peerHealth, cloud, workers, TokenBucket(10.0),
-    )
+    private val enforcer =
+        CancellationEnforcer(
+            self,
+            settings,
+            clock,
+            timing,
+            cache,
+            cancellations,
+            peerHealth,
+            cloud,
+            workers,
+            TokenBucket(10.0),
+        )
 
     private fun attempt(job: JobId) = AttemptId(TaskId(job, 0), 1)
 
     private fun cancelled(job: JobId) {
         val spec = JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(id = job)
-        val record = JobRecord(
-            spec, 0, Phase.CANCELLED, BitSet(), 2, mapOf(0 to Placement(host, 1)), "w", cancelledMs = clock.now,
-        )
+        val record =
+            JobRecord(
+                spec,
+                0,
+                Phase.CANCELLED,
+                BitSet(),
+                2,
+                mapOf(0 to Placement(host, 1)),
+                "w",
+                cancelledMs = clock.now,
+            )
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job(job.value), record.encode()))))
     }
 
     /** The jobs are cancelled one after the other, and [there] still run. */
-    private fun play(there: List<JobId>, forMs: Long = timing.cancelMs) {
+    private fun play(
+        there: List<JobId>,
+        forMs: Long = timing.cancelMs,
+    ) {
         running.addAll(there.map(::attempt))
         cancelled(first)
         pass(timing.quietMs)
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -56,16 +56,30 @@
     private val settings = SettingsFile.parse(SampleSettings.valid, Policy())
     private val timing = Timing(settings, Random(1))
     private val token = FencingToken(5)
-    private val cluster = ClusterState(token, clock, timing, DemandForecast(settings, 60_000), invariants = failingInvariants)
+    private val cluster =
+        ClusterState(token, clock, timing, DemandForecast(settings, 60_000), invariants = failingInvariants)
     private val machine = MachineId("host-000001")
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
     private val attempt = AttemptId(TaskId(spec.id, 0), 1)
 
-    private fun record(phase: Phase = Phase.ACTIVE, placed: Boolean = true, write: String = "w") = JobRecord(
-        spec, 0, phase, BitSet(), 2, if (placed) mapOf(0 to Placement(machine, 1)) else emptyMap(), write,
+    private fun record(
+        phase: Phase = Phase.ACTIVE,
+        placed: Boolean = true,
+        write: String = "w",
+    ) = JobRecord(
+        spec,
+        0,
+        phase,
+        BitSet(),
+        2,
+        if (placed) mapOf(0 to Placement(machine, 1)) else emptyMap(),
+        write,
     )
 
-    private fun take(record: JobRecord, version: Long) {
+    private fun take(
+        record: JobRecord,
+        version: Long,
+    ) {
         val value = Cbor.decode(Cbor.encode(record.encode()))
         val stored = CachedJob(record.phase, version, spec.tasks, 0, record.placements.size, value)
         cluster.applyJob(spec.id, stored, value)
@@ -78,13 +92,27 @@
         incarnation: Long = 1,
         seen: FencingToken = token,
         tasks: List<TaskStatus> = emptyList(),
-    ) = WorkerHeartbeat(machine, "10.1.0.1:9000", TypeName("g8"), Zone("a"), false, incarnation, sequence, seen, null, tasks)
+    ) = WorkerHeartbeat(
+        machine,
+        "10.1.0.1:9000",
+        TypeName("g8"),
+        Zone("a"),
+        false,
+        incarnation,
+        sequence,
+        seen,
+        null,
+        tasks,
+    )
 
     private fun Job.begin(write: String): JobRecord = record(write).also { beginWrite(it, emptyList()) }
 
     private fun hello(report: WorkerHeartbeat) = cluster.applyHeartbeat(report, isHeartbeat = true)
 
-    private fun task(state: TaskState, cause: ExitCause? = null) = TaskStatus(attempt, state, cause, false)
+    private fun task(
+        state: TaskState,
+        cause: ExitCause? = null,
+    ) = TaskStatus(attempt, state, cause, false)
 
     private fun commands() = cluster.commands(cluster.machines.getValue(machine), clock.now)
 
@@ -93,11 +121,17 @@
     @Test
     fun `a job that waits for others is never placed`() {
         var state = DependencyState.WAITING
-        val waiting = ClusterState(
-            token, clock, timing, DemandForecast(settings, 60_000), dependencyState = {
-                state
-            }, invariants = failingInvariants,
-        )
+        val waiting =
+            ClusterState(
+                token,
+                clock,
+                timing,
+                DemandForecast(settings, 60_000),
+                dependencyState = {
+                    state
+                },
+                invariants = failingInvariants,
+            )
         val needy = spec.copy(dependsOn = listOf(JobId("run-needed")))
         val value = Cbor.decode(Cbor.encode(JobRecord(needy, 0, Phase.ACTIVE, BitSet(), 1, emptyMap(), "w").encode()))
         waiting.applyJob(spec.id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 0, value), value)
@@ -122,17 +156,32 @@
     @Test
     fun `a task whose end the former leader didn't store isn't started again beyond its team's limit`() {
         // Found by the simulation: it had given the room away, which was stored, and ended before it stored the end.
-        class Case(val maxGpus: Double, val isStarted: Boolean)
+        class Case(
+            val maxGpus: Double,
+            val isStarted: Boolean,
+        )
         for (case in listOf(Case(1.5, isStarted = false), Case(2.0, isStarted = true))) {
             val team = Team(spec.team, 0.0, 1e9, 0.0, spec.gpus * case.maxGpus)
-            val here = ClusterState(
-                token, clock, timing, DemandForecast(settings, 60_000), teams = mapOf(team.name to team),
-                invariants = failingInvariants,
-            )
-            for (id in listOf(spec.id, JobId("run-000999"))) {
-                val stored = JobRecord(
-                    spec.copy(id = id), 0, Phase.ACTIVE, BitSet(), 2, mapOf(0 to Placement(machine, 1)), "w-$id",
+            val here =
+                ClusterState(
+                    token,
+                    clock,
+                    timing,
+                    DemandForecast(settings, 60_000),
+                    teams = mapOf(team.name to team),
+                    invariants = failingInvariants,
                 )
+            for (id in listOf(spec.id, JobId("run-000999"))) {
+                val stored =
+                    JobRecord(
+                        spec.copy(id = id),
+                        0,
+                        Phase.ACTIVE,
+                        BitSet(),
+                        2,
+                        mapOf(0 to Placement(machine, 1)),
+                        "w-$id",
+                    )
                 val value = Cbor.decode(Cbor.encode(stored.encode()))
                 here.applyJob(id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 1, value), value)
             }
@@ -160,7 +209,11 @@
         assertTrue(cluster.expire(cluster.machines.getValue(machine), clock.now), "a copy renews nothing")
         assertFalse(isHeld)
         assertFalse(hello(report(11, tasks = listOf(task(TaskState.RUNNING)))) == null)
-        assertEquals(emptyMap<AttemptId, TaskStatus>(), cluster.machines.getValue(machine).tasks, "that incarnation is over")
+        assertEquals(
+            emptyMap<AttemptId, TaskStatus>(),
+            cluster.machines.getValue(machine).tasks,
+            "that incarnation is over",
+        )
     }
 
     @Test
@@ -305,10 +358,11 @@
         host.failedJobs.add("another")
         FailureBackoff.onError(host, job, clock.now, timing)
         assertTrue(host.isQuarantined)
-        val pauses = (2..6).map { index ->
-            FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
-            maxOf(0, job.holdUntil - clock.now)
-        }
+        val pauses =
+            (2..6).map { index ->
+                FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
+                maxOf(0, job.holdUntil - clock.now)
+            }
         assertEquals(0, pauses.first(), "two machines don't make it the job's fault")
         assertEquals(pauses.sorted(), pauses, "the pause grows")
         assertTrue(pauses.last() > pauses[1])
@@ -322,10 +376,15 @@
         val type = MachineType(TypeName("g8"), 64.0, spec.gpus, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, listOf(Zone("a")))
         val types = mapOf(type.name to type)
         val names = RequestIds(Member("n0", "x"))
-        val rentals = MachineScaler(names, settings, NoCloud, clock, timing, TokenBucket(1.0), cluster, permissiveContext)
-        val planning = SchedulingRound(settings, clock, timing, cluster, rentals, clock.now) { WritableFormat.SINGLE_VALUE }
+        val rentals =
+            MachineScaler(names, settings, NoCloud, clock, timing, TokenBucket(1.0), cluster, permissiveContext)
+        val planning =
+            SchedulingRound(settings, clock, timing, cluster, rentals, clock.now) { WritableFormat.SINGLE_VALUE }
         take(record(), 1)
-        cluster.applyHeartbeat(report(1, tasks = listOf(TaskStatus(attempt, TaskState.RUNNING, null, false))), isHeartbeat = true)
+        cluster.applyHeartbeat(
+            report(1, tasks = listOf(TaskStatus(attempt, TaskState.RUNNING, null, false))),
+            isHeartbeat = true,
+        )
         val silent = cluster.machines.getValue(machine)
         clock.now += timing.suspectMs
         assertFalse(planning.hasRoomFor(listOf(silent), types), "it is the only one")
@@ -349,24 +408,31 @@
 
     @Test
     fun `silence is a cut where it is a zone's, and a machine's own elsewhere`() {
-        class Case(val name: String, val heardMs: List<Long?>, val isCut: Boolean, val suspects: Int)
+        class Case(
+            val name: String,
+            val heardMs: List<Long?>,
+            val isCut: Boolean,
+            val suspects: Int,
+        )
 
         val silent = timing.suspectMs + 1
-        val cases = listOf(
-            Case("all heard", listOf(0, 500, 900, 100, 0, 0), false, 0),
-            Case("a few hang", listOf(silent, silent, 0, 0, 0, 0), false, 2),
-            Case("the first of a cut", listOf(silent) + List(5) { timing.cutSignMs + 1 }, true, 1),
-            Case("behind a cut since before this leader", List(6) { null }, true, 0),
-            Case("one alone", listOf(silent), false, 1),
-        )
+        val cases =
+            listOf(
+                Case("all heard", listOf(0, 500, 900, 100, 0, 0), false, 0),
+                Case("a few hang", listOf(silent, silent, 0, 0, 0, 0), false, 2),
+                Case("the first of a cut", listOf(silent) + List(5) { timing.cutSignMs + 1 }, true, 1),
+                Case("behind a cut since before this leader", List(6) { null }, true, 0),
+                Case("one alone", listOf(silent), false, 1),
+            )
         for (case in cases) {
-            val hosts = case.heardMs.mapIndexed { index, ago ->
-                Machine(MachineId("host-$index"), 0).apply {
-                    zone = Zone("a")
-                    listed = MachineState.RUNNING
-                    lastContactAt = ago?.let { clock.now - it }
+            val hosts =
+                case.heardMs.mapIndexed { index, ago ->
+                    Machine(MachineId("host-$index"), 0).apply {
+                        zone = Zone("a")
+                        listed = MachineState.RUNNING
+                        lastContactAt = ago?.let { clock.now - it }
+                    }
                 }
-            }
             val heartbeats = ZoneLiveness(hosts, timing, clock.now - silent, clock.now)
             assertEquals(case.isCut, heartbeats.isCut(Zone("a")), case.name)
             assertEquals(case.suspects, heartbeats.suspects.size, case.name)
@@ -389,9 +455,15 @@
     private object NoCloud : CloudPort {
         override fun types(done: (List<MachineType>?) -> Unit) = Unit
 
-        override fun rent(request: RentalRequest, done: (RentalOutcome) -> Unit) = Unit
+        override fun rent(
+            request: RentalRequest,
+            done: (RentalOutcome) -> Unit,
+        ) = Unit
 
-        override fun returnMachines(machines: List<MachineId>, done: (Boolean) -> Unit) = Unit
+        override fun returnMachines(
+            machines: List<MachineId>,
+            done: (Boolean) -> Unit,
+        ) = Unit
 
         override fun list(done: (List<ListedMachine>?) -> Unit) = Unit
     }
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -54,24 +54,38 @@
     /** Not null: transactions wait here until the test carries them out, or answers them. */
     private var held: ArrayList<Held>? = null
 
-    private class Held(val transaction: Transaction, val answer: (CommitOutcome) -> Unit)
+    private class Held(
+        val transaction: Transaction,
+        val answer: (CommitOutcome) -> Unit,
+    )
 
     private inner class Port : ImmediateStatePort(store) {
-        override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) {
+        override fun commit(
+            transaction: Transaction,
+            done: (CommitOutcome) -> Unit,
+        ) {
             sent.add(transaction)
             held?.add(Held(transaction, done)) ?: super.commit(transaction, done)
         }
     }
 
-    private val cluster = ClusterState(FencingToken(1), clock, timing, DemandForecast(settings, 60_000), invariants = failingInvariants)
+    private val cluster =
+        ClusterState(FencingToken(1), clock, timing, DemandForecast(settings, 60_000), invariants = failingInvariants)
     private lateinit var commits: JobRecordWriter
 
-    private fun put(key: String, value: Map<String, Any?>) {
+    private fun put(
+        key: String,
+        value: Map<String, Any?>,
+    ) {
         store.commit(Transaction(emptyList(), listOf(Change.Put(key, value))))
     }
 
     /** A leader that has read [records], which were stored whole. */
-    private fun lead(isSwitchedOn: Boolean, vararg records: JobRecord, rate: Double = 100.0) {
+    private fun lead(
+        isSwitchedOn: Boolean,
+        vararg records: JobRecord,
+        rate: Double = 100.0,
+    ) {
         val leadership = LeadershipRecord(1, FencingToken(1), Member("n0", "x"), 0)
         put(Keys.LEADERSHIP, leadership.encode())
         if (isSwitchedOn) put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST))
@@ -79,28 +93,56 @@
         val cache = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
         val version = store.entry(Keys.LEADERSHIP)?.version ?: error("it was just written")
         cache.forEachActive { id, stored -> stored.value?.let { cluster.applyJob(id, stored, it) } }
-        commits = JobRecordWriter(
-            leadership.copy(version = version), RequestIds(leadership.leader), settings, Port(), clock, timing, TokenBucket(rate),
-            cache, cluster, permissiveContext,
-        )
+        commits =
+            JobRecordWriter(
+                leadership.copy(version = version),
+                RequestIds(leadership.leader),
+                settings,
+                Port(),
+                clock,
+                timing,
+                TokenBucket(rate),
+                cache,
+                cluster,
+                permissiveContext,
+            )
     }
 
-    private fun record(id: String, tasks: Int, placed: Int = 0) = JobRecord(
-        spec.copy(id = JobId(id), tasks = tasks), 5, Phase.ACTIVE, BitSet(), 2,
-        (0 until placed).associateWith { Placement(MachineId("host-%06d".format(it)), 1) }, "w",
+    private fun record(
+        id: String,
+        tasks: Int,
+        placed: Int = 0,
+    ) = JobRecord(
+        spec.copy(id = JobId(id), tasks = tasks),
+        5,
+        Phase.ACTIVE,
+        BitSet(),
+        2,
+        (0 until placed).associateWith { Placement(MachineId("host-%06d".format(it)), 1) },
+        "w",
     )
 
-    private fun place(id: String, tasks: IntRange) {
+    private fun place(
+        id: String,
+        tasks: IntRange,
+    ) {
         val job = cluster.jobs.getValue(JobId(id))
-        for (task in tasks) cluster.place(job, task, cluster.machine(MachineId("host-%06d".format(task))) ?: error("there"))
+        for (task in tasks) {
+            cluster.place(
+                job,
+                task,
+                cluster.machine(MachineId("host-%06d".format(task))) ?: error("there"),
+            )
+        }
         job.nextRound()
     }
 
-    private fun flush(times: Int = 1) = repeat(times) {
-        commits.flush()
-        world.after(2_000) {}
-        world.runUntil(world.nowMs + 2_000)
-    }
+    private fun flush(times: Int = 1) =
+        repeat(times) {
+            commits.flush()
+            world.after(2_000) {}
+            world.runUntil(world.nowMs + 2_000)
+        }
 
     private fun stored(id: String): JobRecord {
         val head = store.entry(Keys.job(id))?.value ?: error("$id is stored")
@@ -172,10 +214,17 @@
         flush(6)
         assertEquals(4, stored("small").placements.size, "the other one is written")
         assertEquals(emptyMap<Int, Placement>(), stored("big").placements)
-        assertEquals(emptySet<Int>(), cluster.jobs.getValue(JobId("big")).live.keys, "its placements are taken back")
-        val tooLarge = sent.map { it.changes }.filter { changes ->
-            changes.any { it is Change.Put && Cbor.encode(it.value).size > 2048 }
-        }
+        assertEquals(
+            emptySet<Int>(),
+            cluster.jobs
+                .getValue(JobId("big"))
+                .live.keys,
+            "its placements are taken back",
+        )
+        val tooLarge =
+            sent.map { it.changes }.filter { changes ->
+                changes.any { it is Change.Put && Cbor.encode(it.value).size > 2048 }
+            }
         assertEquals(tooLarge.distinct().size, tooLarge.size, "nothing is sent twice unchanged")
         place("big", 0..9)
         world.after(timing.workerLeaseRawMs) {}
--- a/src/test/kotlin/oxbowlug/config/ConfigTest.kt
+++ b/src/test/kotlin/oxbowlug/config/ConfigTest.kt
@@ -36,29 +36,30 @@
 
     @Test
     fun `a wrong setting is named with its whole path`() {
-        val cases = mapOf(
-            ("label = \"n0\"" to "") to "label",
-            ("127.0.0.1:8080" to "nowhere") to "client_listen",
-            ("127.0.0.2:8081" to "127.0.0.2:99999") to "others[0].addr",
-            ("lease_s = 10.0" to "lease_s = 0.0") to "settings.workers.lease_s",
-            ("lease_s = 10.0" to "lease_s = \"long\"") to "settings.workers.lease_s",
-            ("lease_s = 10.0" to "lease_s = 0.5") to "settings.workers.lease_s",
-            ("write_rps = 20.0" to "write_rps = 0") to "settings.state.write_rps",
-            ("zones = [\"a\", \"b\"]" to "zones = []") to "settings.zones",
-            ("rps = 250.0" to "") to "settings.state.rps",
-            ("share = 0.9" to "share = 1.5") to "settings.objectives[0].share",
-            ("gpus_max = 16.0" to "gpus_max = -1.0") to "settings.teams[0].gpus_max",
-            ("zones = [\"a\", \"b\"]" to "zones = [1]") to "settings.zones",
-            ("[outside]" to "[inside]") to "outside",
-            ("[settings.cloud]" to "[settings.state.next]\nvalue_kb = 0\n[settings.cloud]") to
-                "settings.state.next.value_kb",
-            ("[settings.cloud]" to "[settings.state.next]\ntxn_ops = \"few\"\n[settings.cloud]") to
-                "settings.state.next.txn_ops",
-            ("[settings.cloud]" to "[settings.state.next]\nwrite_rps = -1.0\n[settings.cloud]") to
-                "settings.state.next.write_rps",
-            ("write_rps = 20.0" to "write_rps = 20.0\nnext = 7") to "settings.state.next",
-            ("[outside]" to "[outside") to "not valid TOML",
-        )
+        val cases =
+            mapOf(
+                ("label = \"n0\"" to "") to "label",
+                ("127.0.0.1:8080" to "nowhere") to "client_listen",
+                ("127.0.0.2:8081" to "127.0.0.2:99999") to "others[0].addr",
+                ("lease_s = 10.0" to "lease_s = 0.0") to "settings.workers.lease_s",
+                ("lease_s = 10.0" to "lease_s = \"long\"") to "settings.workers.lease_s",
+                ("lease_s = 10.0" to "lease_s = 0.5") to "settings.workers.lease_s",
+                ("write_rps = 20.0" to "write_rps = 0") to "settings.state.write_rps",
+                ("zones = [\"a\", \"b\"]" to "zones = []") to "settings.zones",
+                ("rps = 250.0" to "") to "settings.state.rps",
+                ("share = 0.9" to "share = 1.5") to "settings.objectives[0].share",
+                ("gpus_max = 16.0" to "gpus_max = -1.0") to "settings.teams[0].gpus_max",
+                ("zones = [\"a\", \"b\"]" to "zones = [1]") to "settings.zones",
+                ("[outside]" to "[inside]") to "outside",
+                ("[settings.cloud]" to "[settings.state.next]\nvalue_kb = 0\n[settings.cloud]") to
+                    "settings.state.next.value_kb",
+                ("[settings.cloud]" to "[settings.state.next]\ntxn_ops = \"few\"\n[settings.cloud]") to
+                    "settings.state.next.txn_ops",
+                ("[settings.cloud]" to "[settings.state.next]\nwrite_rps = -1.0\n[settings.cloud]") to
+                    "settings.state.next.write_rps",
+                ("write_rps = 20.0" to "write_rps = 20.0\nnext = 7") to "settings.state.next",
+                ("[outside]" to "[outside") to "not valid TOML",
+            )
         for ((change, field) in cases) {
             val text = SampleSettings.valid.replace(change.first, change.second)
             val error = assertThrows(InvalidSettings::class.java, { SettingsFile.parse(text) }, field)
@@ -76,18 +77,19 @@
 
     @Test
     fun `a wrong policy is named and never hangs`() {
-        val cases = mapOf(
-            "return { speed = 1 }" to "policy.speed",
-            "return { replan_s = 'soon' }" to "policy.replan_s",
-            "return { replan_s = 0 }" to "policy.replan_s",
-            "return { postpone_factor = 0/0 }" to "policy.postpone_factor",
-            "return { class_weights = { train = -1 } }" to "policy.class_weights.train",
-            "return 7" to "policy: must return a table",
-            "return {" to "policy: ",
-            "while true do end" to "policy: ",
-            "return { replan_s = os.time() }" to "policy: ",
-            "return { replan_s = #io.open('x'):read() }" to "policy: ",
-        )
+        val cases =
+            mapOf(
+                "return { speed = 1 }" to "policy.speed",
+                "return { replan_s = 'soon' }" to "policy.replan_s",
+                "return { replan_s = 0 }" to "policy.replan_s",
+                "return { postpone_factor = 0/0 }" to "policy.postpone_factor",
+                "return { class_weights = { train = -1 } }" to "policy.class_weights.train",
+                "return 7" to "policy: must return a table",
+                "return {" to "policy: ",
+                "while true do end" to "policy: ",
+                "return { replan_s = os.time() }" to "policy: ",
+                "return { replan_s = #io.open('x'):read() }" to "policy: ",
+            )
         for ((script, start) in cases) {
             val error = assertThrows(InvalidSettings::class.java, { PolicyFile.parse(script) }, script)
             assertTrue(error.message.orEmpty().startsWith(start), "$script: ${error.message}")
--- a/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
@@ -43,34 +43,55 @@
         var calls = 0
             private set
 
-        private fun <T> answer(away: T, done: (T) -> Unit, execute: () -> T) {
+        private fun <T> answer(
+            away: T,
+            done: (T) -> Unit,
+            execute: () -> T,
+        ) {
             world.after(2) { if (reachable) done(execute()) else world.after(200) { done(away) } }
         }
 
-        override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) =
-            answer(CommitOutcome.Unanswered, done) {
-                if (isTooLarge) CommitOutcome.Invalid else store.commit(transaction)
-            }.also { calls++ }
-
-        override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) {
+        override fun commit(
+            transaction: Transaction,
+            done: (CommitOutcome) -> Unit,
+        ) = answer(CommitOutcome.Unanswered, done) {
+            if (isTooLarge) CommitOutcome.Invalid else store.commit(transaction)
+        }.also { calls++ }
+
+        override fun readPage(
+            prefix: String,
+            after: String?,
+            done: (ReadPage?) -> Unit,
+        ) {
             if (prefix == Keys.MEMBERSHIP) calls++
             val slowMs = if (prefix == Keys.ROOT) readingJobsMs else 0
             world.after(slowMs) { answer(null, done) { store.read(prefix, after, 100) } }
         }
 
-        override fun changes(prefix: String, from: Long, waitMs: Long, done: (ChangesOutcome) -> Unit) =
-            answer(ChangesOutcome.Failed, done) { store.changes(prefix, from) }
+        override fun changes(
+            prefix: String,
+            from: Long,
+            waitMs: Long,
+            done: (ChangesOutcome) -> Unit,
+        ) = answer(ChangesOutcome.Failed, done) { store.changes(prefix, from) }
 
-        override fun grant(lifeMs: Long, done: (Long?) -> Unit) =
-            answer(null, done) { store.grant(lifeMs) }.also { calls++ }
+        override fun grant(
+            lifeMs: Long,
+            done: (Long?) -> Unit,
+        ) = answer(null, done) { store.grant(lifeMs) }.also { calls++ }
 
-        override fun touch(lease: Long, done: (TouchOutcome) -> Unit) =
-            answer(TouchOutcome.FAILED, done) { store.touch(lease) }
+        override fun touch(
+            lease: Long,
+            done: (TouchOutcome) -> Unit,
+        ) = answer(TouchOutcome.FAILED, done) { store.touch(lease) }
 
         override fun release(lease: Long) = answer(Unit, {}) { store.release(lease) }
     }
 
-    private inner class Node(label: String, life: String) {
+    private inner class Node(
+        label: String,
+        life: String,
+    ) {
         private val clock = DriftingClock(world, 0.0, 0)
         private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(2))
         private val port = Port()
@@ -85,7 +106,11 @@
 
             override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
 
-            override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = Unit
+            override fun onJob(
+                id: JobId,
+                job: CachedJob,
+                value: Map<String, Any?>,
+            ) = Unit
 
             override fun onDependencyChanged(id: JobId) = Unit
 
@@ -117,7 +142,10 @@
 
         val hasJobs: Boolean get() = cache.isSynced
 
-        fun hears(epoch: Long, leader: Member?) = election.observeEpoch(epoch, leader)
+        fun hears(
+            epoch: Long,
+            leader: Member?,
+        ) = election.observeEpoch(epoch, leader)
     }
 
     private val leaseMs = Timing(SettingsFile.parse(SampleSettings.valid), Random(2)).leadershipLeaseTtlMs
@@ -135,7 +163,10 @@
         assertTrue(second.role is LeadershipRole.Follower, "the lease still runs")
         world.runUntil(1000 + leaseMs + 1500)
         val role = second.role
-        assertTrue(role is LeadershipRole.Leader && role.leadership.epoch == 2L && role.leadership.token.value == 2L, "$role")
+        assertTrue(
+            role is LeadershipRole.Leader && role.leadership.epoch == 2L && role.leadership.token.value == 2L,
+            "$role",
+        )
     }
 
     @Test
@@ -212,7 +243,10 @@
         first.cutFromState()
         while (second.role !is LeadershipRole.Leader && world.nowMs < 20_000) {
             world.runUntil(world.nowMs + 20)
-            assertTrue(first.role !is LeadershipRole.Leader || second.role !is LeadershipRole.Leader, "two leaders at ${world.nowMs}")
+            assertTrue(
+                first.role !is LeadershipRole.Leader || second.role !is LeadershipRole.Leader,
+                "two leaders at ${world.nowMs}",
+            )
         }
         assertTrue(second.role is LeadershipRole.Leader)
         assertTrue(first.role is LeadershipRole.RenewalOnly)
--- a/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
@@ -28,7 +28,10 @@
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
 
     private inner class Port : ImmediateStatePort(store) {
-        override fun grant(lifeMs: Long, done: (Long?) -> Unit) = done(store.grant(lifeMs))
+        override fun grant(
+            lifeMs: Long,
+            done: (Long?) -> Unit,
+        ) = done(store.grant(lifeMs))
     }
 
     private val cache = StateCache(Port(), clock, timing, IgnoringListener)
@@ -40,7 +43,12 @@
     @Test
     fun `it names the role, the token, the lease's rest and the age of the copy`() {
         assertEquals("of no known role, lease believed for 0 ms, copy of revision 0, 0 ms old", decisions.describe())
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.LEADERSHIP, LeadershipRecord(7, FencingToken(5), self, 0).encode()))))
+        store.commit(
+            Transaction(
+                emptyList(),
+                listOf(Change.Put(Keys.LEADERSHIP, LeadershipRecord(7, FencingToken(5), self, 0).encode())),
+            ),
+        )
         cache.tick()
         election.tick()
         cache.catchUp {}
--- a/src/test/kotlin/oxbowlug/knownred/KnownRedTest.kt
+++ b/src/test/kotlin/oxbowlug/knownred/KnownRedTest.kt
@@ -19,22 +19,24 @@
     }
 
     /** A parameterized test isn't one: a single failing case would excuse all of them. */
-    private fun isPlainTest(name: String): Boolean = try {
-        val methods = Class.forName(name.substringBefore('#')).declaredMethods
-        methods.any { KnownRedExtension.nameOf(it) == name && it.isAnnotationPresent(Test::class.java) }
-    } catch (_: ClassNotFoundException) {
-        false
-    }
+    private fun isPlainTest(name: String): Boolean =
+        try {
+            val methods = Class.forName(name.substringBefore('#')).declaredMethods
+            methods.any { KnownRedExtension.nameOf(it) == name && it.isAnnotationPresent(Test::class.java) }
+        } catch (_: ClassNotFoundException) {
+            false
+        }
 
     @Test
     fun `a listed test that fails is run, printed with its cause and passed over`() {
         var ran = false
-        val aborted = assertThrows(TestAbortedException::class.java) {
-            listed.run("a.B#c") {
-                ran = true
-                throw AssertionError("red")
+        val aborted =
+            assertThrows(TestAbortedException::class.java) {
+                listed.run("a.B#c") {
+                    ran = true
+                    throw AssertionError("red")
+                }
             }
-        }
         assertTrue(ran)
         assertEquals(listOf("KNOWN RED a.B#c: the cause (issue 1): red"), printed)
         assertEquals(printed.single(), aborted.message)
--- a/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -47,21 +47,38 @@
     private val changed = ArrayList<String>()
 
     private inner class Port : StatePort {
-        override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) = Unit
+        override fun commit(
+            transaction: Transaction,
+            done: (CommitOutcome) -> Unit,
+        ) = Unit
 
-        override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) =
-            done(ReadPage(emptyList(), false, revision))
+        override fun readPage(
+            prefix: String,
+            after: String?,
+            done: (ReadPage?) -> Unit,
+        ) = done(ReadPage(emptyList(), false, revision))
 
-        override fun changes(prefix: String, from: Long, waitMs: Long, done: (ChangesOutcome) -> Unit) {
+        override fun changes(
+            prefix: String,
+            from: Long,
+            waitMs: Long,
+            done: (ChangesOutcome) -> Unit,
+        ) {
             if (waitMs > 0) return
             val events = pending.toList()
             pending.clear()
             done(ChangesOutcome.Read(Changes(events, revision)))
         }
 
-        override fun grant(lifeMs: Long, done: (Long?) -> Unit) = Unit
+        override fun grant(
+            lifeMs: Long,
+            done: (Long?) -> Unit,
+        ) = Unit
 
-        override fun touch(lease: Long, done: (TouchOutcome) -> Unit) = Unit
+        override fun touch(
+            lease: Long,
+            done: (TouchOutcome) -> Unit,
+        ) = Unit
 
         override fun release(lease: Long) = Unit
     }
@@ -71,7 +88,11 @@
 
         override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
 
-        override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = Unit
+        override fun onJob(
+            id: JobId,
+            job: CachedJob,
+            value: Map<String, Any?>,
+        ) = Unit
 
         override fun onDependencyChanged(id: JobId) {
             changed.add(id.value)
@@ -85,13 +106,21 @@
 
     private fun asStored(value: Map<String, Any?>) = Cbor.decode(Cbor.encode(value))
 
-    private fun value(id: String, phase: Phase, dependsOn: List<String>): Map<String, Any?> {
+    private fun value(
+        id: String,
+        phase: Phase,
+        dependsOn: List<String>,
+    ): Map<String, Any?> {
         val done = BitSet().apply { if (phase == Phase.DONE) set(0, spec.tasks) }
         val named = spec.copy(id = JobId(id), dependsOn = dependsOn.map(::JobId))
         return asStored(JobRecord(named, 5, phase, done, 2, emptyMap(), "w-$revision").encode())
     }
 
-    private fun write(id: String, phase: Phase = Phase.ACTIVE, vararg dependsOn: String) {
+    private fun write(
+        id: String,
+        phase: Phase = Phase.ACTIVE,
+        vararg dependsOn: String,
+    ) {
         revision++
         pending.add(Event(Keys.job(id), value(id, phase, dependsOn.toList()), revision))
     }
@@ -196,10 +225,16 @@
 
     @Test
     fun `parts written in a head's transaction are read with it, in whatever order they come`() {
-        val record = JobRecord(
-            spec.copy(id = JobId("a"), tasks = 240), 5, Phase.ACTIVE, BitSet(), 2,
-            (0 until 240).associateWith { Placement(MachineId("host-%06d".format(it)), 1) }, "w",
-        )
+        val record =
+            JobRecord(
+                spec.copy(id = JobId("a"), tasks = 240),
+                5,
+                Phase.ACTIVE,
+                BitSet(),
+                2,
+                (0 until 240).associateWith { Placement(MachineId("host-%06d".format(it)), 1) },
+                "w",
+            )
         val limits = oxbowlug.config.WriteLimits(15.0, 2.0, 4)
         val form = RecordLayout(limits).split(record.encode()) ?: error("doesn't fit")
         revision++
@@ -214,14 +249,15 @@
 
     @Test
     fun `the format marker decides what may be written, and an unknown one stops that`() {
-        val cases = listOf(
-            null to WritableFormat.SINGLE_VALUE,
-            DataFormat.encode(1) to WritableFormat.SINGLE_VALUE,
-            DataFormat.encode(2) to WritableFormat.HEAD_AND_PARTS,
-            DataFormat.encode(3) to WritableFormat.NONE,
-            mapOf("format" to "two") to WritableFormat.NONE,
-            emptyMap<String, Any?>() to WritableFormat.NONE,
-        )
+        val cases =
+            listOf(
+                null to WritableFormat.SINGLE_VALUE,
+                DataFormat.encode(1) to WritableFormat.SINGLE_VALUE,
+                DataFormat.encode(2) to WritableFormat.HEAD_AND_PARTS,
+                DataFormat.encode(3) to WritableFormat.NONE,
+                mapOf("format" to "two") to WritableFormat.NONE,
+                emptyMap<String, Any?>() to WritableFormat.NONE,
+            )
         for ((marker, expected) in cases) assertEquals(expected, WritableFormat.ofMarker(marker), "$marker")
     }
 }
--- a/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
@@ -47,23 +47,43 @@
 
     /** Answers at once, or not at all. */
     private inner class Port : StatePort {
-        override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) = done(store.commit(transaction))
+        override fun commit(
+            transaction: Transaction,
+            done: (CommitOutcome) -> Unit,
+        ) = done(store.commit(transaction))
 
-        override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) =
-            done(store.read(prefix, after, 100))
+        override fun readPage(
+            prefix: String,
+            after: String?,
+            done: (ReadPage?) -> Unit,
+        ) = done(store.read(prefix, after, 100))
 
-        override fun changes(prefix: String, from: Long, waitMs: Long, done: (ChangesOutcome) -> Unit) {
+        override fun changes(
+            prefix: String,
+            from: Long,
+            waitMs: Long,
+            done: (ChangesOutcome) -> Unit,
+        ) {
             if (waitMs == 0L) done(if (isAway) ChangesOutcome.Failed else store.changes(prefix, from))
         }
 
-        override fun grant(lifeMs: Long, done: (Long?) -> Unit) = Unit
+        override fun grant(
+            lifeMs: Long,
+            done: (Long?) -> Unit,
+        ) = Unit
 
-        override fun touch(lease: Long, done: (TouchOutcome) -> Unit) = Unit
+        override fun touch(
+            lease: Long,
+            done: (TouchOutcome) -> Unit,
+        ) = Unit
 
         override fun release(lease: Long) = Unit
     }
 
-    private fun put(key: String, value: Map<String, Any?>) {
+    private fun put(
+        key: String,
+        value: Map<String, Any?>,
+    ) {
         store.commit(Transaction(emptyList(), listOf(Change.Put(key, value))))
     }
 
@@ -81,8 +101,17 @@
     }
 
     /** A word of the deputy: that it last heard the leader at [lastContactAt], and how much it has renewed. */
-    private fun word(lastContactAt: Long, renewals: Long = 0) =
-        PeerHeartbeat(delegate, 3, leader, seesState = true, atMs = 0, echo = HeartbeatEcho(leader, lastContactAt, renewals))
+    private fun word(
+        lastContactAt: Long,
+        renewals: Long = 0,
+    ) = PeerHeartbeat(
+        delegate,
+        3,
+        leader,
+        seesState = true,
+        atMs = 0,
+        echo = HeartbeatEcho(leader, lastContactAt, renewals),
+    )
 
     @Test
     fun `a lease is surely over once the deputy's word covers all of it`() {
@@ -93,17 +122,22 @@
             val said: (sinceMs: Long, nowMs: Long) -> PeerHeartbeat?,
         )
         val expiry = timing.workerExpiryMs
-        val cases = listOf(
-            Case("no deputy there", Zone("a"), 0) { _, _ -> null },
-            Case("it says nothing", zone, null) { _, _ -> null },
-            Case("it renews nothing", zone, expiry) { _, now -> word(now - 5) },
-            Case("it stands still", zone, null) { since, now -> word(now - since) },
-            Case("it renewed until later", zone, expiry + 3_000) { since, now -> word(now - 5, minOf(since, 3_000)) },
-            Case("an earlier life", zone, null) { _, now -> word(now - 5).copy(sender = Member("n1", "old")) },
-            Case("of another leader", zone, null) { _, now ->
-                word(now - 5).copy(echo = HeartbeatEcho(delegate, now, 0))
-            },
-        )
+        val cases =
+            listOf(
+                Case("no deputy there", Zone("a"), 0) { _, _ -> null },
+                Case("it says nothing", zone, null) { _, _ -> null },
+                Case("it renews nothing", zone, expiry) { _, now -> word(now - 5) },
+                Case("it stands still", zone, null) { since, now -> word(now - since) },
+                Case(
+                    "it renewed until later",
+                    zone,
+                    expiry + 3_000,
+                ) { since, now -> word(now - 5, minOf(since, 3_000)) },
+                Case("an earlier life", zone, null) { _, now -> word(now - 5).copy(sender = Member("n1", "old")) },
+                Case("of another leader", zone, null) { _, now ->
+                    word(now - 5).copy(echo = HeartbeatEcho(delegate, now, 0))
+                },
+            )
         for (case in cases) {
             val delegates = named()
             val answeredAt = clock.now
@@ -177,10 +211,11 @@
 
     @Test
     fun `a renewal in one zone takes the proof from every zone that the deputy is named for`() {
-        val wider = settings.copy(
-            zones = listOf(Zone("a"), zone, Zone("c")),
-            policy = settings.policy.copy(regions = regional),
-        )
+        val wider =
+            settings.copy(
+                zones = listOf(Zone("a"), zone, Zone("c")),
+                policy = settings.policy.copy(regions = regional),
+            )
         val cache = cache()
         val leadership = cache.leadership ?: error("the view was read")
         val delegates = LeaseRenewalDelegates(leadership, wider, Port(), clock, timing, cache).apply { tick(clock.now) }
@@ -193,7 +228,10 @@
             delegates.onHeartbeat(word(clock.now - 5, renewals = if (clock.now < renewedAt) 0 else 1))
             clock.now += 100
         }
-        assertFalse(delegates.isSurelyExpired(Zone("c"), answeredAt), "it renewed something, nobody knows in which zone")
+        assertFalse(
+            delegates.isSurelyExpired(Zone("c"), answeredAt),
+            "it renewed something, nobody knows in which zone",
+        )
         while (clock.now < renewedAt + timing.workerExpiryMs + 200) {
             clock.now += 100
             delegates.onHeartbeat(word(clock.now - 5, renewals = 1))
@@ -201,7 +239,19 @@
         assertEquals(true, delegates.isSurelyExpired(Zone("c"), answeredAt), "nothing since")
     }
 
-    private fun report(zone: Zone, token: Long) = WorkerHeartbeat(
-        MachineId("host-1"), "127.0.0.1:9", TypeName("g8"), zone, false, 1, 1, FencingToken(token), null, emptyList(),
+    private fun report(
+        zone: Zone,
+        token: Long,
+    ) = WorkerHeartbeat(
+        MachineId("host-1"),
+        "127.0.0.1:9",
+        TypeName("g8"),
+        zone,
+        false,
+        1,
+        1,
+        FencingToken(token),
+        null,
+        emptyList(),
     )
 }
--- a/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
+++ b/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
@@ -20,13 +20,14 @@
             val later: Long,
             val other: Boolean,
         )
-        val cases = listOf(
-            Case("it is the only one", 0, emptyMap(), 0, false),
-            Case("it hears nobody", 2, emptyMap(), 0, true),
-            Case("all are without it", 2, mapOf("n1" to false, "n2" to false), 0, false),
-            Case("one has it", 2, mapOf("n1" to false, "n2" to true), 0, true),
-            Case("those who were without it are silent", 2, mapOf("n1" to false), 60_000, true),
-        )
+        val cases =
+            listOf(
+                Case("it is the only one", 0, emptyMap(), 0, false),
+                Case("it hears nobody", 2, emptyMap(), 0, true),
+                Case("all are without it", 2, mapOf("n1" to false, "n2" to false), 0, false),
+                Case("one has it", 2, mapOf("n1" to false, "n2" to true), 0, true),
+                Case("those who were without it are silent", 2, mapOf("n1" to false), 60_000, true),
+            )
         for (case in cases) {
             val clock = ManualClock(now = 1_000)
             val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
--- a/src/test/kotlin/oxbowlug/peer/PeerFramesTest.kt
+++ b/src/test/kotlin/oxbowlug/peer/PeerFramesTest.kt
@@ -29,9 +29,12 @@
         val echo = HeartbeatEcho(heartbeat.sender, 41, 3)
         val told =
             listOf(
-                heartbeat, heartbeat.copy(leader = null), heartbeat.copy(seesState = false),
+                heartbeat,
+                heartbeat.copy(leader = null),
+                heartbeat.copy(seesState = false),
                 heartbeat.copy(atMs = 7, echo = echo),
-                heartbeat.copy(hasUnacknowledged = true), heartbeat.copy(mayConfirm = true),
+                heartbeat.copy(hasUnacknowledged = true),
+                heartbeat.copy(mayConfirm = true),
             )
         val frames = Buffer()
         for (each in told) frames.writeAll(PeerFrames.encode(each))
@@ -59,13 +62,22 @@
 
     private val record = Cbor.decode(Cbor.encode(cancelledRecord().encode()))
 
-    private fun cancelledRecord() = JobRecord(
-        JobSpecCodec.decode(JobSpecCodecTest.valid()), 5, Phase.CANCELLED, BitSet(), 2,
-        mapOf(0 to Placement(MachineId("host-1"), 1), 1 to Placement(MachineId("host-2"), 1)), "w-1", 77,
-    )
+    private fun cancelledRecord() =
+        JobRecord(
+            JobSpecCodec.decode(JobSpecCodecTest.valid()),
+            5,
+            Phase.CANCELLED,
+            BitSet(),
+            2,
+            mapOf(0 to Placement(MachineId("host-1"), 1), 1 to Placement(MachineId("host-2"), 1)),
+            "w-1",
+            77,
+        )
 
-    private fun cancelled(value: Map<String, Any?>, version: Long = 9) =
-        PeerFrames.encode(CancellationNotice.Cancelled(heartbeat.sender, Cancellation(JobId("run-1"), version, value)))
+    private fun cancelled(
+        value: Map<String, Any?>,
+        version: Long = 9,
+    ) = PeerFrames.encode(CancellationNotice.Cancelled(heartbeat.sender, Cancellation(JobId("run-1"), version, value)))
 
     @Test
     fun `cancellations and their acknowledgements come over whole`() {
@@ -82,28 +94,34 @@
     @Test
     fun `a cancellation that isn't one is refused`() {
         // Taken into the copy as if read from the state service, it would end a job or bring one to life.
-        val cases = mapOf(
-            "another phase" to cancelled(record + ("phase" to "active")),
-            "an unknown phase" to cancelled(record + ("phase" to "gone")),
-            "no phase" to cancelled(record - "phase"),
-            "no job" to cancelled(record - "spec"),
-            "placements that can't be read" to cancelled(record + ("run" to mapOf("host-1" to "1;"))),
-            "placements of another kind" to cancelled(record + ("run" to mapOf("host-1" to 3))),
-            "no revision" to cancelled(record, 0),
-        )
+        val cases =
+            mapOf(
+                "another phase" to cancelled(record + ("phase" to "active")),
+                "an unknown phase" to cancelled(record + ("phase" to "gone")),
+                "no phase" to cancelled(record - "phase"),
+                "no job" to cancelled(record - "spec"),
+                "placements that can't be read" to cancelled(record + ("run" to mapOf("host-1" to "1;"))),
+                "placements of another kind" to cancelled(record + ("run" to mapOf("host-1" to 3))),
+                "no revision" to cancelled(record, 0),
+            )
         for ((name, frame) in cases) assertThrows(MalformedFrame::class.java, { PeerFrames.next(frame) }, name)
     }
 
     @Test
     fun `what isn't a frame is refused`() {
-        val cases = listOf(
-            Buffer().writeInt(0),
-            Buffer().writeInt(-1),
-            Buffer().writeInt(1_000_000),
-            Buffer().writeInt(1).writeByte(9),
-            Buffer().writeInt(2).writeByte(1).writeByte(0),
-            Buffer().writeInt(4).writeByte(1).writeShort(500).writeByte(1),
-        )
+        val cases =
+            listOf(
+                Buffer().writeInt(0),
+                Buffer().writeInt(-1),
+                Buffer().writeInt(1_000_000),
+                Buffer().writeInt(1).writeByte(9),
+                Buffer().writeInt(2).writeByte(1).writeByte(0),
+                Buffer()
+                    .writeInt(4)
+                    .writeByte(1)
+                    .writeShort(500)
+                    .writeByte(1),
+            )
         for (case in cases) assertThrows(MalformedFrame::class.java) { PeerFrames.next(case) }
     }
 }
--- a/src/test/kotlin/oxbowlug/plan/OffersTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/OffersTest.kt
@@ -24,51 +24,123 @@
 /** Ordered prices choose what looking through all machines would, however the plan changes them in between. */
 internal class OffersTest {
     private val zones = List(3) { Zone("z$it") }
-    private val types = listOf(
-        MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, zones),
-        MachineType(TypeName("c32"), 32.0, 0.0, 128.0, 35.0, 0.5, 1.2, 0.5, 30.0, zones),
-    )
+    private val types =
+        listOf(
+            MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, zones),
+            MachineType(TypeName("c32"), 32.0, 0.0, 128.0, 35.0, 0.5, 1.2, 0.5, 30.0, zones),
+        )
     private val images = List(3) { ImageName("img-$it") }
 
-    private fun spec(random: Random, id: String, tasks: Int) = JobSpec(
-        JobId(id), ClassName("x"), TeamName("red"), if (random.nextBoolean()) JobKind.SERVICE else JobKind.ARRAY,
-        Priority.NORMAL, tasks, 1.0 + random.nextInt(8), random.nextInt(2).toDouble(), 8.0, images.random(random), 2.0,
-        null, null, oneZone = false, spread = random.nextBoolean(), spot = random.nextBoolean(), estimateS = 20.0,
-        checkpointS = 0.0, saveS = 0.0, deadlineS = null,
+    private fun spec(
+        random: Random,
+        id: String,
+        tasks: Int,
+    ) = JobSpec(
+        JobId(id),
+        ClassName("x"),
+        TeamName("red"),
+        if (random.nextBoolean()) JobKind.SERVICE else JobKind.ARRAY,
+        Priority.NORMAL,
+        tasks,
+        1.0 + random.nextInt(8),
+        random.nextInt(2).toDouble(),
+        8.0,
+        images.random(random),
+        2.0,
+        null,
+        null,
+        oneZone = false,
+        spread = random.nextBoolean(),
+        spot = random.nextBoolean(),
+        estimateS = 20.0,
+        checkpointS = 0.0,
+        saveS = 0.0,
+        deadlineS = null,
     )
 
-    private fun job(spec: JobSpec) = PlanJob(
-        spec.id, spec, IntArray(spec.tasks) { it }, emptyMap(), 1.0, spec.estimateS, null, 1.0, emptySet(),
-    )
+    private fun job(spec: JobSpec) =
+        PlanJob(
+            spec.id,
+            spec,
+            IntArray(spec.tasks) { it },
+            emptyMap(),
+            1.0,
+            spec.estimateS,
+            null,
+            1.0,
+            emptySet(),
+        )
 
-    private fun machine(random: Random, index: Int): PlanMachine {
+    private fun machine(
+        random: Random,
+        index: Int,
+    ): PlanMachine {
         val type = types.random(random)
         val spec = spec(random, "tenant-$index", 1)
-        val tenants = List(random.nextInt(3)) { number ->
-            Tenant(AttemptId(TaskId(spec.id, number), 1), spec, emptyMap(), 50.0, 1.0, 1.0, stopping = false)
-        }
+        val tenants =
+            List(random.nextInt(3)) { number ->
+                Tenant(AttemptId(TaskId(spec.id, number), 1), spec, emptyMap(), 50.0, 1.0, 1.0, stopping = false)
+            }
         val used = tenants.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
         return PlanMachine(
-            MachineId("host-%04d".format(index)), type, zones.random(random), random.nextInt(4) == 0,
-            type.resources() - used, if (random.nextInt(3) == 0) 20.0 else 0.0, setOf(images.random(random)), emptySet(),
-            tenants.isEmpty(), Resources.NONE, lazyOf(tenants),
+            MachineId("host-%04d".format(index)),
+            type,
+            zones.random(random),
+            random.nextInt(4) == 0,
+            type.resources() - used,
+            if (random.nextInt(3) ==
+                0
+            ) {
+                20.0
+            } else {
+                0.0
+            },
+            setOf(images.random(random)),
+            emptySet(),
+            tenants.isEmpty(),
+            Resources.NONE,
+            lazyOf(tenants),
         )
     }
 
-    private fun snapshot(jobs: List<PlanJob>, machines: List<PlanMachine>) = Snapshot(
-        jobs, machines, emptyMap(), types, mapOf(MachineKind(types[1].name, zones[0], false) to CapacityRefusal(false, 0.5)), 30.0,
-        100.0, 1.0, mayRent = true, resourcesPerGpu = Resources(5.0, 0.0, 16.0), guaranteeWeight = 1.0,
+    private fun snapshot(
+        jobs: List<PlanJob>,
+        machines: List<PlanMachine>,
+    ) = Snapshot(
+        jobs,
+        machines,
+        emptyMap(),
+        types,
+        mapOf(
+            MachineKind(types[1].name, zones[0], false) to CapacityRefusal(false, 0.5),
+        ),
+        30.0,
+        100.0,
+        1.0,
+        mayRent = true,
+        resourcesPerGpu = Resources(5.0, 0.0, 16.0),
+        guaranteeWeight = 1.0,
     )
 
     /** Something that a plan may do to a machine between two tasks. */
-    private fun change(random: Random, machines: ArrayList<PlanMachine>, changed: ChangedMachines) {
+    private fun change(
+        random: Random,
+        machines: ArrayList<PlanMachine>,
+        changed: ChangedMachines,
+    ) {
         val machine = machines[random.nextInt(machines.size)]
         when (random.nextInt(4)) {
             0 -> machine.take(Resources(1.0, 0.0, 4.0))
             1 -> machine.promise(Resources(1.0, 0.0, 4.0))
             2 -> machine.tenants.firstOrNull { it.attempt !in machine.stopped }?.let(machine::stop)
             3 -> {
-                val rented = PlanMachine.pendingOrders(types.random(random), zones.random(random), random.nextBoolean(), 30.0)
+                val rented =
+                    PlanMachine.pendingOrders(
+                        types.random(random),
+                        zones.random(random),
+                        random.nextBoolean(),
+                        30.0,
+                    )
                 rented.reportChangesTo(changed, machines.size)
                 machines.add(rented)
             }
@@ -94,15 +166,26 @@
                 for (task in job.pending) {
                     val room = Room.entries.random(random)
                     val pendingOrders = offers.cheapest(room, rule)
-                    val scanned = Offers(machines, snapshot, ChangedMachines()).run {
-                        begin(job, need, guaranteed)
-                        cheapest(room, rule)
-                    }
-                    assertEquals(scanned?.machine?.id, pendingOrders?.machine?.id, "seed $seed, ${job.id}/$task in $room")
+                    val scanned =
+                        Offers(machines, snapshot, ChangedMachines()).run {
+                            begin(job, need, guaranteed)
+                            cheapest(room, rule)
+                        }
+                    assertEquals(
+                        scanned?.machine?.id,
+                        pendingOrders?.machine?.id,
+                        "seed $seed, ${job.id}/$task in $room",
+                    )
                     assertEquals(scanned?.cost, pendingOrders?.cost, "seed $seed, ${job.id}/$task in $room")
                     compared++
                     if (pendingOrders != null) {
-                        if (room == Room.COMING) pendingOrders.machine.promise(need) else pendingOrders.machine.take(need)
+                        if (room ==
+                            Room.COMING
+                        ) {
+                            pendingOrders.machine.promise(need)
+                        } else {
+                            pendingOrders.machine.take(need)
+                        }
                         rule.use(pendingOrders.machine.zone)
                     }
                     repeat(random.nextInt(3)) { change(random, machines, changed) }
--- a/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
@@ -34,13 +34,41 @@
         cores: Double = 5.0,
         team: String = "red",
     ) = JobSpec(
-        JobId(id), ClassName("x"), TeamName(team), kind, priority, tasks, cores, gpus, 16.0, ImageName("img"), 4.0,
-        null, null, oneZone = false, spread = false, spot = false, estimateS = 0.0, checkpointS = 0.0, saveS = 0.0,
+        JobId(id),
+        ClassName("x"),
+        TeamName(team),
+        kind,
+        priority,
+        tasks,
+        cores,
+        gpus,
+        16.0,
+        ImageName("img"),
+        4.0,
+        null,
+        null,
+        oneZone = false,
+        spread = false,
+        spot = false,
+        estimateS = 0.0,
+        checkpointS = 0.0,
+        saveS = 0.0,
         deadlineS = null,
     )
 
-    private fun job(spec: JobSpec, deadlineInS: Double? = null) = PlanJob(
-        spec.id, spec, IntArray(spec.tasks) { it }, emptyMap(), 1.0, spec.estimateS, deadlineInS, 1.0, emptySet(),
+    private fun job(
+        spec: JobSpec,
+        deadlineInS: Double? = null,
+    ) = PlanJob(
+        spec.id,
+        spec,
+        IntArray(spec.tasks) { it },
+        emptyMap(),
+        1.0,
+        spec.estimateS,
+        deadlineInS,
+        1.0,
+        emptySet(),
     )
 
     private fun machine(
@@ -53,16 +81,29 @@
     ): PlanMachine {
         val used = tenants.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
         return PlanMachine(
-            MachineId(name), type, zone, spot, type.resources() - used, 0.0, images, emptySet(), tenants.isEmpty(),
-            tenants.filter { it.stopping }.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }, lazyOf(tenants),
+            MachineId(name),
+            type,
+            zone,
+            spot,
+            type.resources() - used,
+            0.0,
+            images,
+            emptySet(),
+            tenants.isEmpty(),
+            tenants.filter { it.stopping }.fold(Resources.NONE) { sum, tenant -> sum + tenant.need },
+            lazyOf(tenants),
         )
     }
 
-    private fun tenant(spec: JobSpec, ranS: Double = 100.0) =
-        Tenant(AttemptId(TaskId(spec.id, 0), 1), spec, mapOf(a to 1), ranS, 2.0, 1.0, stopping = false)
+    private fun tenant(
+        spec: JobSpec,
+        ranS: Double = 100.0,
+    ) = Tenant(AttemptId(TaskId(spec.id, 0), 1), spec, mapOf(a to 1), ranS, 2.0, 1.0, stopping = false)
 
-    private fun teams(red: PlanTeam = PlanTeam(1e9, 1e9, 0.0, 0.0), blue: PlanTeam = PlanTeam(1e9, 1e9, 0.0, 0.0)) =
-        mapOf(TeamName("red") to red, TeamName("blue") to blue)
+    private fun teams(
+        red: PlanTeam = PlanTeam(1e9, 1e9, 0.0, 0.0),
+        blue: PlanTeam = PlanTeam(1e9, 1e9, 0.0, 0.0),
+    ) = mapOf(TeamName("red") to red, TeamName("blue") to blue)
 
     private fun snapshot(
         jobs: List<PlanJob>,
@@ -72,8 +113,18 @@
         mayMove: Boolean = false,
         guaranteeWeight: Double = 0.0,
     ) = Snapshot(
-        jobs, machines, teams, listOf(g8, c32), refusals, 30.0, 100.0, 1.0, mayRent = true,
-        resourcesPerGpu = Resources(5.5, 0.0, 18.0), mayMove = mayMove, guaranteeWeight = guaranteeWeight,
+        jobs,
+        machines,
+        teams,
+        listOf(g8, c32),
+        refusals,
+        30.0,
+        100.0,
+        1.0,
+        mayRent = true,
+        resourcesPerGpu = Resources(5.5, 0.0, 18.0),
+        mayMove = mayMove,
+        guaranteeWeight = guaranteeWeight,
     )
 
     private fun plan(snapshot: Snapshot) = Planner(snapshot).plan()
@@ -88,7 +139,12 @@
     @Test
     fun `a task without GPUs rents the machine without GPUs`() {
         val plan = plan(snapshot(listOf(job(spec(gpus = 0.0, cores = 2.0))), emptyList()))
-        assertEquals(setOf(c32.name), plan.rentals.keys.map { it.type }.toSet())
+        assertEquals(
+            setOf(c32.name),
+            plan.rentals.keys
+                .map { it.type }
+                .toSet(),
+        )
     }
 
     @Test
@@ -115,7 +171,12 @@
         val plan = plan(snapshot(listOf(job(fixed)), listOf(machine("m1", a), machine("m2", a), machine("m3", b))))
         assertEquals(listOf("m3", "m3"), plan.starts.map { it.machine.value })
         val rented = plan(snapshot(listOf(job(fixed)), listOf(machine("m1", a))))
-        assertEquals(setOf(b), rented.rentals.keys.map { it.zone }.toSet())
+        assertEquals(
+            setOf(b),
+            rented.rentals.keys
+                .map { it.zone }
+                .toSet(),
+        )
     }
 
     @Test
@@ -160,15 +221,30 @@
             val blue: PlanTeam,
             val may: Boolean,
         )
-        val cases = listOf(
-            Case("higher over lower", Priority.HIGH, Priority.NORMAL, none, none, true),
-            Case("never over the same", Priority.HIGH, Priority.HIGH, none, none, false),
-            Case("never over a higher one", Priority.NORMAL, Priority.HIGH, none, none, false),
-            Case("guaranteed over any borrowed", Priority.NORMAL, Priority.PRODUCTION, within, borrowing, true),
-            Case("guaranteed not over guaranteed of the same", Priority.NORMAL, Priority.NORMAL, within, within, false),
-            Case("borrowed not over lower guaranteed", Priority.HIGH, Priority.NORMAL, borrowing, within, false),
-            Case("guaranteed over guaranteed of lower priority", Priority.HIGH, Priority.NORMAL, within, within, true),
-        )
+        val cases =
+            listOf(
+                Case("higher over lower", Priority.HIGH, Priority.NORMAL, none, none, true),
+                Case("never over the same", Priority.HIGH, Priority.HIGH, none, none, false),
+                Case("never over a higher one", Priority.NORMAL, Priority.HIGH, none, none, false),
+                Case("guaranteed over any borrowed", Priority.NORMAL, Priority.PRODUCTION, within, borrowing, true),
+                Case(
+                    "guaranteed not over guaranteed of the same",
+                    Priority.NORMAL,
+                    Priority.NORMAL,
+                    within,
+                    within,
+                    false,
+                ),
+                Case("borrowed not over lower guaranteed", Priority.HIGH, Priority.NORMAL, borrowing, within, false),
+                Case(
+                    "guaranteed over guaranteed of lower priority",
+                    Priority.HIGH,
+                    Priority.NORMAL,
+                    within,
+                    within,
+                    true,
+                ),
+            )
         for (case in cases) {
             val job = job(spec(priority = case.job))
             val preemptedTask = tenant(spec("run-9", priority = case.preemptedTask, team = "blue"))
@@ -184,10 +260,18 @@
         // again in the next plan, and so on twenty times a second.
         val red = PlanTeam(1e9, 1e9, 0.0, 8.0)
         val blue = PlanTeam(1e9, 1e9, 0.0, 2.0).apply { add(Resources(0.0, 4.0, 0.0)) }
-        val borrowed = PlanJob(
-            JobId("run-1"), spec("run-1", gpus = 8.0, team = "blue"), intArrayOf(0), emptyMap(), 90.0, 0.0, null, 1.0,
-            emptySet(),
-        )
+        val borrowed =
+            PlanJob(
+                JobId("run-1"),
+                spec("run-1", gpus = 8.0, team = "blue"),
+                intArrayOf(0),
+                emptyMap(),
+                90.0,
+                0.0,
+                null,
+                1.0,
+                emptySet(),
+            )
         val covered = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL, gpus = 8.0))
         val plan = plan(snapshot(listOf(borrowed, covered), listOf(machine("m1")), teams(red, blue)))
         assertEquals(listOf(Start(JobId("run-2"), 0, MachineId("m1"))), plan.starts)
@@ -199,9 +283,10 @@
         // Found on the bench: it stopped one task in each plan, never started itself, and the stopped ones started and
         // were stopped in turn, twenty times a second.
         val image = setOf(ImageName("img"))
-        val others = (1..8).map { index ->
-            tenant(spec("run-9$index", priority = Priority.HIGH, cores = 8.0), ranS = 0.0)
-        }
+        val others =
+            (1..8).map { index ->
+                tenant(spec("run-9$index", priority = Priority.HIGH, cores = 8.0), ranS = 0.0)
+            }
         val roomMade = machine("m1", images = image, tenants = others.drop(1))
         val full = machine("m2", images = image, tenants = others)
         val small = job(spec("run-1", gpus = 0.0, cores = 4.0).copy(types = listOf(g8.name)))
@@ -214,9 +299,10 @@
     fun `a task that is being moved goes before what came meanwhile`() {
         // Found on the bench: a large array took the room between the stop of some replicas and their next start, and
         // they waited for a machine to boot.
-        val moved = job(spec("run-2", priority = Priority.HIGH, gpus = 8.0)).let {
-            PlanJob(it.id, it.spec, it.pending, it.zoneUse, 0.0, 0.0, null, 1.0, emptySet(), isMoving = true)
-        }
+        val moved =
+            job(spec("run-2", priority = Priority.HIGH, gpus = 8.0)).let {
+                PlanJob(it.id, it.spec, it.pending, it.zoneUse, 0.0, 0.0, null, 1.0, emptySet(), isMoving = true)
+            }
         val urgent = job(spec("run-1", gpus = 8.0))
         val plan = plan(snapshot(listOf(urgent, moved), listOf(machine("m1"))))
         assertEquals(listOf(Start(JobId("run-2"), 0, MachineId("m1"))), plan.starts)
@@ -237,9 +323,10 @@
 
     @Test
     fun `replicas without GPUs make way on a machine whose GPUs they strand`() {
-        val small = (1..10).map { index ->
-            tenant(spec("run-2$index", gpus = 0.0, cores = 6.0).copy(types = listOf(g8.name, c32.name)))
-        }
+        val small =
+            (1..10).map { index ->
+                tenant(spec("run-2$index", gpus = 0.0, cores = 6.0).copy(types = listOf(g8.name, c32.name)))
+            }
         val stranded = machine("m1", tenants = small)
         val room = machine("m2", type = c32, images = setOf(ImageName("img")), tenants = listOf(small.last()))
         val gpuJob = job(spec("run-1", priority = Priority.HIGH))
@@ -258,7 +345,13 @@
         val other = machine("m2", tenants = listOf(tenant(spec("run-9", gpus = 6.0))), images = image)
         val plan = plan(snapshot(emptyList(), listOf(crumbs, other), mayMove = true))
         assertEquals(MachineId("m1"), plan.move?.machine)
-        assertEquals(listOf(MachineId("m2")), plan.move?.targets?.values?.toList())
+        assertEquals(
+            listOf(MachineId("m2")),
+            plan.move
+                ?.targets
+                ?.values
+                ?.toList(),
+        )
         val young = machine("m1", tenants = listOf(tenant(spec("run-8"), ranS = 5.0)), images = image)
         val old = machine("m2", tenants = listOf(tenant(spec("run-9"), ranS = 5.0)), images = image)
         assertEquals(null, plan(snapshot(emptyList(), listOf(young, old), mayMove = true)).move)
@@ -267,14 +360,20 @@
     @Test
     fun `a silent machine is given up only for more than another one's boot`() {
         // Found on the bench: replicas of hung machines stayed down until the machines' leases were over.
-        class Case(val weight: Double, val downS: Double, val type: MachineType, val worth: Boolean)
-        val cases = listOf(
-            Case(weight = 1.0, downS = 5.0, type = g8, worth = false),
-            Case(weight = 4.0, downS = 5.0, type = g8, worth = true),
-            Case(weight = 1.0, downS = 5.0, type = c32, worth = true),
-            Case(weight = 0.0, downS = 6.0, type = c32, worth = false),
-            Case(weight = 100.0, downS = -1.0, type = g8, worth = false),
+        class Case(
+            val weight: Double,
+            val downS: Double,
+            val type: MachineType,
+            val worth: Boolean,
         )
+        val cases =
+            listOf(
+                Case(weight = 1.0, downS = 5.0, type = g8, worth = false),
+                Case(weight = 4.0, downS = 5.0, type = g8, worth = true),
+                Case(weight = 1.0, downS = 5.0, type = c32, worth = true),
+                Case(weight = 0.0, downS = 6.0, type = c32, worth = false),
+                Case(weight = 100.0, downS = -1.0, type = g8, worth = false),
+            )
         for (case in cases) {
             val worth = Pricing.isWorthGivingUp(case.weight, case.downS, case.type, spot = false, listOf(g8, c32))
             assertEquals(case.worth, worth, "${case.weight} for ${case.downS} s on ${case.type.name}")
@@ -286,10 +385,19 @@
         // Found on the bench: all ordinary machines were rented, arrays filled them, and replicas waited for stops while
         // spot machines could be had.
         val array = spec("run-1", JobKind.ARRAY, Priority.NORMAL, tasks = 8).copy(spot = true, estimateS = 100.0)
-        val refused = listOf(a, b).associate { MachineKind(g8.name, it, false) to CapacityRefusal(blocked = true, penalty = 1.0) }
+        val refused =
+            listOf(a, b).associate {
+                MachineKind(g8.name, it, false) to
+                    CapacityRefusal(blocked = true, penalty = 1.0)
+            }
         val host = machine("m1")
         val yielding = plan(snapshot(listOf(job(array, 300.0)), listOf(host), refusals = refused))
-        assertEquals(1, yielding.rentals.entries.single { it.key.spot }.value)
+        assertEquals(
+            1,
+            yielding.rentals.entries
+                .single { it.key.spot }
+                .value,
+        )
         assertEquals(emptyList<Start>(), yielding.starts)
         val late = plan(snapshot(listOf(job(array, 100.0)), listOf(machine("m1")), refusals = refused))
         assertEquals(8, late.starts.size, "a boot would make it late")
@@ -314,7 +422,10 @@
     fun `a replica is not stopped only to save another one's fetch`() {
         // Found on the bench: on a quiet day a start beside its image stopped a young replica, which then fetched for
         // longer than had been saved.
-        fun plan(kind: JobKind, priority: Priority): Plan {
+        fun plan(
+            kind: JobKind,
+            priority: Priority,
+        ): Plan {
             val tenant = tenant(spec("run-9", kind, priority, gpus = 8.0, team = "blue"), ranS = 0.0)
             val holder = machine("m1", images = setOf(ImageName("img")), tenants = listOf(tenant))
             val red = PlanTeam(1e9, 1e9, 0.0, 8.0)
--- a/src/test/kotlin/oxbowlug/plan/index/CostHeapTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/index/CostHeapTest.kt
@@ -5,13 +5,17 @@
 import kotlin.random.Random
 
 internal class CostHeapTest {
-    private class Prices(size: Int) : CostHeap.Costs {
+    private class Prices(
+        size: Int,
+    ) : CostHeap.Costs {
         val costs = DoubleArray(size) { Double.POSITIVE_INFINITY }
 
         override fun of(index: Int): Double = costs[index]
 
-        fun cheapest(): Int = costs.indices.filter { costs[it] < Double.POSITIVE_INFINITY }
-            .minWithOrNull(compareBy({ costs[it] }, { it })) ?: -1
+        fun cheapest(): Int =
+            costs.indices
+                .filter { costs[it] < Double.POSITIVE_INFINITY }
+                .minWithOrNull(compareBy({ costs[it] }, { it })) ?: -1
     }
 
     @Test
--- a/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
@@ -21,17 +21,22 @@
  * they are read here as they are, and what is written before the format is switched on is the same byte by byte.
  */
 internal class ProductionDataTest {
-    private val written: Map<String, ByteArray> = javaClass.getResource("/production/format-1.txt")!!.readText()
-        .lines().filter { it.isNotBlank() && !it.startsWith("#") }
-        .associate { line -> line.substringBefore(": ") to HexFormat.of().parseHex(line.substringAfter(": ")) }
+    private val written: Map<String, ByteArray> =
+        javaClass
+            .getResource("/production/format-1.txt")!!
+            .readText()
+            .lines()
+            .filter { it.isNotBlank() && !it.startsWith("#") }
+            .associate { line -> line.substringBefore(": ") to HexFormat.of().parseHex(line.substringAfter(": ")) }
 
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
-    private val placements = mapOf(
-        4 to Placement(MachineId("host-000001"), 2),
-        5 to Placement(MachineId("host-000001"), 2),
-        6 to Placement(MachineId("host-000001"), 3),
-        9 to Placement(MachineId("host-000002"), 3),
-    )
+    private val placements =
+        mapOf(
+            4 to Placement(MachineId("host-000001"), 2),
+            5 to Placement(MachineId("host-000001"), 2),
+            6 to Placement(MachineId("host-000001"), 3),
+            9 to Placement(MachineId("host-000002"), 3),
+        )
 
     private fun bits(vararg indexes: Int) = BitSet().apply { indexes.forEach(::set) }
 
@@ -41,14 +46,15 @@
     fun `records are read and written as before`() {
         val some = bits(0, 1, 2, 8)
         val all = BitSet().apply { set(0, 16) }
-        val records = mapOf(
-            "accepted" to JobRecord(spec, 123, Phase.ACTIVE, bits(), 1, emptyMap(), "n0-x-1"),
-            "running" to JobRecord(spec, 123, Phase.ACTIVE, some, 4, placements, "n0-x-2"),
-            "done" to JobRecord(spec, 123, Phase.DONE, all, 5, emptyMap(), "n0-x-3"),
-            "cancelled" to JobRecord(spec, 123, Phase.CANCELLED, some, 4, placements, "n0-x-2", 456),
-            "cancelled and over" to
-                JobRecord(spec, 123, Phase.CANCELLED, bits(0, 1, 2), 4, emptyMap(), "n0-x-4", 456),
-        )
+        val records =
+            mapOf(
+                "accepted" to JobRecord(spec, 123, Phase.ACTIVE, bits(), 1, emptyMap(), "n0-x-1"),
+                "running" to JobRecord(spec, 123, Phase.ACTIVE, some, 4, placements, "n0-x-2"),
+                "done" to JobRecord(spec, 123, Phase.DONE, all, 5, emptyMap(), "n0-x-3"),
+                "cancelled" to JobRecord(spec, 123, Phase.CANCELLED, some, 4, placements, "n0-x-2", 456),
+                "cancelled and over" to
+                    JobRecord(spec, 123, Phase.CANCELLED, bits(0, 1, 2), 4, emptyMap(), "n0-x-4", 456),
+            )
         for ((name, record) in records) {
             val stored = bytes("record $name")
             assertArrayEquals(stored, Cbor.encode(record.encode()), name)
@@ -61,9 +67,10 @@
 
     @Test
     fun `a job writes before the switch what the version before wrote`() {
-        val job = Job(JobRecord.decode(Cbor.decode(bytes("record running"))), 1).apply {
-            restoreAttempts(JobRecord.decode(Cbor.decode(bytes("record running"))))
-        }
+        val job =
+            Job(JobRecord.decode(Cbor.decode(bytes("record running"))), 1).apply {
+                restoreAttempts(JobRecord.decode(Cbor.decode(bytes("record running"))))
+            }
         assertArrayEquals(bytes("record running"), Cbor.encode(job.record("n0-x-2").encode()))
     }
 
@@ -84,12 +91,13 @@
         val frames = written.filterKeys { it.startsWith("frame ") }
         assertEquals(4, frames.size)
         for ((name, frame) in frames) {
-            val again = when (val message = PeerFrames.next(Buffer().write(frame))) {
-                is PeerMessage.Heartbeat -> PeerFrames.encode(message.heartbeat)
-                is PeerMessage.Notice -> PeerFrames.encode(message.notice)
-                is PeerMessage.Images -> PeerFrames.encode(message.images)
-                null -> error("$name is not whole")
-            }
+            val again =
+                when (val message = PeerFrames.next(Buffer().write(frame))) {
+                    is PeerMessage.Heartbeat -> PeerFrames.encode(message.heartbeat)
+                    is PeerMessage.Notice -> PeerFrames.encode(message.notice)
+                    is PeerMessage.Images -> PeerFrames.encode(message.images)
+                    null -> error("$name is not whole")
+                }
             assertArrayEquals(frame, again.readByteArray(), name)
         }
     }
--- a/src/test/kotlin/oxbowlug/record/RecordLayoutTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordLayoutTest.kt
@@ -38,22 +38,28 @@
         phase: Phase = Phase.ACTIVE,
     ) = JobRecord(spec, 1_700_000_000_000, phase, done, 137, placements, "gaul-3-1a2b3c4d-12345")
 
-    private fun onMachines(tasks: IntRange, machines: Int) =
-        tasks.associateWith { Placement(MachineId("host-%06d".format(it % machines)), 136) }
+    private fun onMachines(
+        tasks: IntRange,
+        machines: Int,
+    ) = tasks.associateWith { Placement(MachineId("host-%06d".format(it % machines)), 136) }
 
     private fun longest(letter: Char) = letter.toString().repeat(80)
 
-    private val longestNames = spec.copy(
-        id = JobId("i".repeat(100)),
-        className = ClassName(longest('c')),
-        team = TeamName(longest('t')),
-        image = ImageName(longest('m')),
-        zone = Zone(longest('z')),
-        types = List(16) { TypeName(longest('y').dropLast(2) + "%02d".format(it)) },
-        tasks = 100_000,
-    )
+    private val longestNames =
+        spec.copy(
+            id = JobId("i".repeat(100)),
+            className = ClassName(longest('c')),
+            team = TeamName(longest('t')),
+            image = ImageName(longest('m')),
+            zone = Zone(longest('z')),
+            types = List(16) { TypeName(longest('y').dropLast(2) + "%02d".format(it)) },
+            tasks = 100_000,
+        )
 
-    private fun assertFits(form: StoredForm, name: String) {
+    private fun assertFits(
+        form: StoredForm,
+        name: String,
+    ) {
         for (value in listOf(form.head) + form.parts) {
             val bytes = json.writeValueAsBytes(value).size
             assertTrue(bytes <= limits.valueKb * 1024, "$name: a value of $bytes bytes")
@@ -65,20 +71,27 @@
     @Test
     fun `records are divided within the limits and read back whole`() {
         val alternating = BitSet().apply { for (index in 0 until 240 step 2) set(index) }
-        val cases = mapOf(
-            "accepted" to record(spec),
-            "16 tasks on as many machines" to record(spec, onMachines(0..15, 16)),
-            "240 tasks on as many machines" to record(spec.copy(tasks = 240), onMachines(0..239, 240)),
-            "every other of 240 tasks done" to record(
-                spec.copy(tasks = 240), onMachines(0..239, 240).filterKeys { it % 2 == 1 }, alternating,
-            ),
-            "many tasks on one machine" to record(
-                spec.copy(tasks = 240), onMachines(0..239, 1).filterKeys { it % 2 == 1 }, alternating,
-            ),
-            "the longest names" to record(longestNames),
-            "the longest names, placed" to record(longestNames, onMachines(99_990..99_999, 10)),
-            "many predecessors" to record(spec.copy(dependsOn = List(100) { JobId("run-%06d".format(it)) })),
-        )
+        val cases =
+            mapOf(
+                "accepted" to record(spec),
+                "16 tasks on as many machines" to record(spec, onMachines(0..15, 16)),
+                "240 tasks on as many machines" to record(spec.copy(tasks = 240), onMachines(0..239, 240)),
+                "every other of 240 tasks done" to
+                    record(
+                        spec.copy(tasks = 240),
+                        onMachines(0..239, 240).filterKeys { it % 2 == 1 },
+                        alternating,
+                    ),
+                "many tasks on one machine" to
+                    record(
+                        spec.copy(tasks = 240),
+                        onMachines(0..239, 1).filterKeys { it % 2 == 1 },
+                        alternating,
+                    ),
+                "the longest names" to record(longestNames),
+                "the longest names, placed" to record(longestNames, onMachines(99_990..99_999, 10)),
+                "many predecessors" to record(spec.copy(dependsOn = List(100) { JobId("run-%06d".format(it)) })),
+            )
         for ((name, record) in cases) {
             val form = assertNotNull(layout.split(record.encode()), name).let { layout.split(record.encode())!! }
             assertFits(form, name)
@@ -102,10 +115,11 @@
 
     @Test
     fun `a cancellation fits one value, whatever the record's size and however it was stored`() {
-        val cases = mapOf(
-            "divided" to record(spec.copy(tasks = 240), onMachines(0..239, 240), phase = Phase.CANCELLED),
-            "the longest names" to record(longestNames, onMachines(0..9, 10), phase = Phase.CANCELLED),
-        )
+        val cases =
+            mapOf(
+                "divided" to record(spec.copy(tasks = 240), onMachines(0..239, 240), phase = Phase.CANCELLED),
+                "the longest names" to record(longestNames, onMachines(0..9, 10), phase = Phase.CANCELLED),
+            )
         for ((name, record) in cases) {
             val stored = record.encode() + (RecordLayout.PARTS to 3L) + ("cancelled" to 1_700_000_000_000)
             val head = layout.headAlone(stored)
@@ -137,15 +151,24 @@
     }
 
     /** As many tasks as there is room for, [perMachine] on each machine, on top of what was done before. */
-    private fun fill(tasks: Int, perMachine: Int, doneBefore: BitSet): JobRecord {
+    private fun fill(
+        tasks: Int,
+        perMachine: Int,
+        doneBefore: BitSet,
+    ): JobRecord {
         val job = spec.copy(tasks = tasks)
         val placements = LinkedHashMap<Int, Placement>()
         val from = doneBefore.length()
         while (true) {
-            val occupancy = RecordLayout.Occupancy(
-                tasks, 137, TaskRanges.count(doneBefore), placements.size,
-                placements.values.distinctBy { it.machine }.size, "000000".length,
-            )
+            val occupancy =
+                RecordLayout.Occupancy(
+                    tasks,
+                    137,
+                    TaskRanges.count(doneBefore),
+                    placements.size,
+                    placements.values.distinctBy { it.machine }.size,
+                    "000000".length,
+                )
             val room = layout.roomForTasks(occupancy)
             val next = minOf(room, tasks - from - placements.size)
             if (next <= 0) return record(job, placements, doneBefore)
@@ -158,25 +181,32 @@
 
     @Test
     fun `what there is room for fits, however its tasks end`() {
-        class Case(val tasks: Int, val perMachine: Int, val doneRanges: Int, val atLeast: Int)
-        val cases = listOf(
-            Case(tasks = 240, perMachine = 1, doneRanges = 0, atLeast = 240),
-            Case(tasks = 240, perMachine = 8, doneRanges = 0, atLeast = 240),
-            Case(tasks = 100_000, perMachine = 1, doneRanges = 0, atLeast = 150),
-            Case(tasks = 100_000, perMachine = 64, doneRanges = 0, atLeast = 300),
-            Case(tasks = 100_000, perMachine = 2, doneRanges = 200, atLeast = 100),
+        class Case(
+            val tasks: Int,
+            val perMachine: Int,
+            val doneRanges: Int,
+            val atLeast: Int,
         )
+        val cases =
+            listOf(
+                Case(tasks = 240, perMachine = 1, doneRanges = 0, atLeast = 240),
+                Case(tasks = 240, perMachine = 8, doneRanges = 0, atLeast = 240),
+                Case(tasks = 100_000, perMachine = 1, doneRanges = 0, atLeast = 150),
+                Case(tasks = 100_000, perMachine = 64, doneRanges = 0, atLeast = 300),
+                Case(tasks = 100_000, perMachine = 2, doneRanges = 200, atLeast = 100),
+            )
         for (case in cases) {
             val name = "${case.tasks} tasks, ${case.perMachine} a machine, ${case.doneRanges} ranges done"
             val before = BitSet().apply { for (index in 0 until case.doneRanges) set(index * 2) }
             val full = fill(case.tasks, case.perMachine, before)
             assertTrue(full.placements.size >= case.atLeast, "$name: ${full.placements.size} at once")
             // The worst ends: every other task, or all but one of each machine.
-            val ends = listOf<
-                (
-                    Int
-                ) -> Boolean
-            >({ false }, { it % 2 == 0 }, { it % 2 == 1 }, { it % case.perMachine != 0 })
+            val ends =
+                listOf<
+                    (
+                        Int,
+                    ) -> Boolean,
+                >({ false }, { it % 2 == 0 }, { it % 2 == 1 }, { it % case.perMachine != 0 })
             for ((index, end) in ends.withIndex()) {
                 val ended = full.placements.keys.filter(end)
                 val done = (before.clone() as BitSet).apply { ended.forEach(::set) }
--- a/src/test/kotlin/oxbowlug/record/RecordsTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordsTest.kt
@@ -18,12 +18,13 @@
 
     @Test
     fun `ranges are written short and read back`() {
-        val cases = mapOf(
-            "" to bits(),
-            "0" to bits(0),
-            "0-3,7" to bits(0, 1, 2, 3, 7),
-            "5,7,9-10" to bits(5, 7, 9, 10),
-        )
+        val cases =
+            mapOf(
+                "" to bits(),
+                "0" to bits(0),
+                "0-3,7" to bits(0, 1, 2, 3, 7),
+                "5,7,9-10" to bits(5, 7, 9, 10),
+            )
         for ((text, set) in cases) {
             assertEquals(text, TaskRanges.encode(set))
             assertEquals(set, TaskRanges.decode(text))
@@ -33,12 +34,13 @@
 
     @Test
     fun `a record survives the store`() {
-        val placements = mapOf(
-            4 to Placement(MachineId("host-1"), 2),
-            5 to Placement(MachineId("host-1"), 2),
-            6 to Placement(MachineId("host-1"), 3),
-            9 to Placement(MachineId("host-2"), 3),
-        )
+        val placements =
+            mapOf(
+                4 to Placement(MachineId("host-1"), 2),
+                5 to Placement(MachineId("host-1"), 2),
+                6 to Placement(MachineId("host-1"), 3),
+                9 to Placement(MachineId("host-2"), 3),
+            )
         val record = JobRecord(spec, 123, Phase.ACTIVE, bits(0, 1, 2), 4, placements, "n-1")
         val read = JobRecord.decode(Cbor.decode(Cbor.encode(record.encode())))
         assertEquals(record.encode(), read.encode())
--- a/src/test/kotlin/oxbowlug/region/RegionsTest.kt
+++ b/src/test/kotlin/oxbowlug/region/RegionsTest.kt
@@ -29,15 +29,21 @@
 
     @Test
     fun `a zone's own controller renews it, and otherwise the least burdened one of its region`() {
-        class Case(val name: String, val standing: Map<String, Zone>, val loads: List<Int>, val expected: String?)
-
-        val cases = listOf(
-            Case("one in the zone", mapOf("n0" to zones[0], "n1" to zones[1]), listOf(0, 5, 0), "n1"),
-            Case("one in the region", mapOf("n0" to zones[0], "n2" to zones[2]), listOf(3, 0, 0), "n0"),
-            Case("none in the region", mapOf("n2" to zones[2]), listOf(0, 0, 0), null),
-            Case("the least burdened", mapOf("n0" to zones[0], "n1" to zones[0]), listOf(2, 1, 0), "n1"),
-            Case("equally burdened", mapOf("n0" to zones[0], "n1" to zones[0]), listOf(1, 1, 0), "n0"),
+        class Case(
+            val name: String,
+            val standing: Map<String, Zone>,
+            val loads: List<Int>,
+            val expected: String?,
         )
+
+        val cases =
+            listOf(
+                Case("one in the zone", mapOf("n0" to zones[0], "n1" to zones[1]), listOf(0, 5, 0), "n1"),
+                Case("one in the region", mapOf("n0" to zones[0], "n2" to zones[2]), listOf(3, 0, 0), "n0"),
+                Case("none in the region", mapOf("n2" to zones[2]), listOf(0, 0, 0), null),
+                Case("the least burdened", mapOf("n0" to zones[0], "n1" to zones[0]), listOf(2, 1, 0), "n1"),
+                Case("equally burdened", mapOf("n0" to zones[0], "n1" to zones[0]), listOf(1, 1, 0), "n0"),
+            )
         for (case in cases) {
             val present = members.filter { it.label in case.standing }
             val choice = DelegateChoice(regions, case.standing)
@@ -49,17 +55,19 @@
 
     @Test
     fun `a policy's regions are checked against the zones of the settings`() {
-        val cases = mapOf(
-            "return { regions = 7 }" to "policy.regions: ",
-            "return { regions = { north = 'a' } }" to "policy.regions.north: ",
-            "return { regions = { north = { 1 } } }" to "policy.regions.north: ",
-            "return { regions = { north = { 'a', 'z' } } }" to "policy.regions.north: names z",
-            "return { regions = { north = { 'a', 'b' }, south = { 'b' } } }" to "policy.regions.",
-        )
+        val cases =
+            mapOf(
+                "return { regions = 7 }" to "policy.regions: ",
+                "return { regions = { north = 'a' } }" to "policy.regions.north: ",
+                "return { regions = { north = { 1 } } }" to "policy.regions.north: ",
+                "return { regions = { north = { 'a', 'z' } } }" to "policy.regions.north: names z",
+                "return { regions = { north = { 'a', 'b' }, south = { 'b' } } }" to "policy.regions.",
+            )
         for ((script, expected) in cases) {
-            val error = assertThrows(InvalidSettings::class.java, {
-                SettingsFile.parse(SampleSettings.valid, PolicyFile.parse(script))
-            }, script)
+            val error =
+                assertThrows(InvalidSettings::class.java, {
+                    SettingsFile.parse(SampleSettings.valid, PolicyFile.parse(script))
+                }, script)
             assertTrue(error.message.orEmpty().startsWith(expected), "$script: ${error.message}")
         }
         val shipped = PolicyFile.parse(File("deploy/regions.lua").readText())
--- a/src/test/kotlin/oxbowlug/request/AdaptiveConcurrencyLimitTest.kt
+++ b/src/test/kotlin/oxbowlug/request/AdaptiveConcurrencyLimitTest.kt
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Test
 
 internal class AdaptiveConcurrencyLimitTest {
-    private fun AdaptiveConcurrencyLimit.serve(count: Int, tookMs: Long) = repeat(count) {
+    private fun AdaptiveConcurrencyLimit.serve(
+        count: Int,
+        tookMs: Long,
+    ) = repeat(count) {
         var entered = 0
         while (tryEnter()) entered++
         repeat(entered) { leave(tookMs, applied = true) }
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -49,9 +49,10 @@
     private val clock = DriftingClock(world, 0.0, 0)
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(team = TeamName("vision"), tasks = 2)
     private val key = Keys.job(spec.id.value)
-    private val types = listOf(
-        MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, listOf(Zone("a"))),
-    ).associateBy { it.name }
+    private val types =
+        listOf(
+            MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, listOf(Zone("a"))),
+        ).associateBy { it.name }
 
     /** Runs just before the next transaction is carried out. */
     private var meanwhile: () -> Unit = {}
@@ -60,7 +61,10 @@
     private var beforeAnswer: () -> Unit = {}
 
     private inner class Port : ImmediateStatePort(store) {
-        override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) {
+        override fun commit(
+            transaction: Transaction,
+            done: (CommitOutcome) -> Unit,
+        ) {
             meanwhile().also { meanwhile = {} }
             val outcome = store.commit(transaction)
             beforeAnswer().also { beforeAnswer = {} }
@@ -72,16 +76,28 @@
     private val cache = StateCache(Port(), clock, timing, IgnoringListener)
     private val told = ArrayList<String>()
 
-    private fun jobRequests(copy: StateCache) = UserRequestHandler(
-        RequestIds(Member("n0", "x")), settings, Port(), clock, timing, copy, TokenBucket(10.0), FailingMeters,
-        onCancelled = { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") },
-        onAnsweredCancelled = { told.add("told $it") },
-        decisions = permissiveContext,
-    )
+    private fun jobRequests(copy: StateCache) =
+        UserRequestHandler(
+            RequestIds(Member("n0", "x")),
+            settings,
+            Port(),
+            clock,
+            timing,
+            copy,
+            TokenBucket(10.0),
+            FailingMeters,
+            onCancelled = { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") },
+            onAnsweredCancelled = { told.add("told $it") },
+            decisions = permissiveContext,
+        )
 
     private fun machines(value: Map<String, Any?>): Int = (value["run"] as? Map<*, *>)?.size ?: 0
 
-    private fun write(phase: Phase, placedOn: List<String>, done: Int = 0) {
+    private fun write(
+        phase: Phase,
+        placedOn: List<String>,
+        done: Int = 0,
+    ) {
         val placements = placedOn.withIndex().associate { (task, host) -> task to Placement(MachineId(host), 1) }
         val record = JobRecord(spec, 5, phase, BitSet().apply { set(0, done) }, 2, placements, "w-$phase-$placedOn")
         store.commit(Transaction(emptyList(), listOf(Change.Put(key, record.encode()))))
@@ -96,19 +112,26 @@
             val said: List<String>,
             val machines: Int,
         )
-        val cases = listOf(
-            Case("nothing", {}, JobState.CANCELLED, listOf("confirmed ${spec.id} of 1 machines"), 1),
-            // Written over, the last end would be taken back, or a start that is on its way forgotten.
-            Case("the last end", { write(Phase.DONE, emptyList(), 2) }, JobState.DONE, emptyList(), 0),
-            Case(
-                "a placement", { write(Phase.ACTIVE, listOf("host-1", "host-2")) }, JobState.CANCELLED,
-                listOf("confirmed ${spec.id} of 2 machines"), 2,
-            ),
-            Case(
-                "another cancellation", { write(Phase.CANCELLED, listOf("host-1")) }, JobState.CANCELLED,
-                listOf("told ${spec.id}"), 1,
-            ),
-        )
+        val cases =
+            listOf(
+                Case("nothing", {}, JobState.CANCELLED, listOf("confirmed ${spec.id} of 1 machines"), 1),
+                // Written over, the last end would be taken back, or a start that is on its way forgotten.
+                Case("the last end", { write(Phase.DONE, emptyList(), 2) }, JobState.DONE, emptyList(), 0),
+                Case(
+                    "a placement",
+                    { write(Phase.ACTIVE, listOf("host-1", "host-2")) },
+                    JobState.CANCELLED,
+                    listOf("confirmed ${spec.id} of 2 machines"),
+                    2,
+                ),
+                Case(
+                    "another cancellation",
+                    { write(Phase.CANCELLED, listOf("host-1")) },
+                    JobState.CANCELLED,
+                    listOf("told ${spec.id}"),
+                    1,
+                ),
+            )
         for (case in cases) {
             told.clear()
             write(Phase.ACTIVE, listOf("host-1"))
@@ -127,10 +150,21 @@
         }
     }
 
-    private fun accept(id: String, kind: JobKind = JobKind.ARRAY, phase: Phase = Phase.ACTIVE) {
-        val record = JobRecord(
-            spec.copy(id = JobId(id), kind = kind), 5, phase, BitSet(), 1, emptyMap(), "w-$id",
-        )
+    private fun accept(
+        id: String,
+        kind: JobKind = JobKind.ARRAY,
+        phase: Phase = Phase.ACTIVE,
+    ) {
+        val record =
+            JobRecord(
+                spec.copy(id = JobId(id), kind = kind),
+                5,
+                phase,
+                BitSet(),
+                1,
+                emptyMap(),
+                "w-$id",
+            )
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job(id), record.encode()))))
     }
 
@@ -138,7 +172,10 @@
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))))
     }
 
-    private fun answerTo(copy: StateCache, spec: JobSpec): UserResponse {
+    private fun answerTo(
+        copy: StateCache,
+        spec: JobSpec,
+    ): UserResponse {
         val answers = ArrayList<UserResponse>()
         jobRequests(copy).submit(spec, types) { answers.add(it) }
         world.runUntil(world.nowMs + 1_000)
@@ -148,17 +185,23 @@
 
     @Test
     fun `jobs to wait for have to be known for sure, and known by another controller is known`() {
-        class Case(val name: String, val dependsOn: String, val expected: String, val meanwhile: () -> Unit = {})
-        val cases = listOf(
-            Case("accepted", "run-a", "Accepted"),
-            Case("done", "run-done", "Accepted"),
-            Case("cancelled", "run-gone", "Accepted"),
-            Case("accepted by another controller a moment ago", "run-new", "Accepted") { accept("run-new") },
-            Case("never submitted", "run-never", "Rejected"),
-            Case("a service", "run-service", "Rejected"),
-            Case("the job itself", spec.id.value, "Rejected"),
-            Case("a record that can't be read", "run-torn", "Unavailable"),
+        class Case(
+            val name: String,
+            val dependsOn: String,
+            val expected: String,
+            val meanwhile: () -> Unit = {},
         )
+        val cases =
+            listOf(
+                Case("accepted", "run-a", "Accepted"),
+                Case("done", "run-done", "Accepted"),
+                Case("cancelled", "run-gone", "Accepted"),
+                Case("accepted by another controller a moment ago", "run-new", "Accepted") { accept("run-new") },
+                Case("never submitted", "run-never", "Rejected"),
+                Case("a service", "run-service", "Rejected"),
+                Case("the job itself", spec.id.value, "Rejected"),
+                Case("a record that can't be read", "run-torn", "Unavailable"),
+            )
         for (case in cases) {
             switchFormatOn()
             accept("run-a")
@@ -217,10 +260,20 @@
         names.forEach { accept(it) }
         val small = settings.state.copy(next = WriteLimits(15.0, 2.0, 4))
         val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
-        val jobRequests = UserRequestHandler(
-            RequestIds(Member("n0", "x")), settings.copy(state = small), Port(), clock, timing, copy, TokenBucket(10.0),
-            FailingMeters, { _, _, _ -> }, {}, permissiveContext,
-        )
+        val jobRequests =
+            UserRequestHandler(
+                RequestIds(Member("n0", "x")),
+                settings.copy(state = small),
+                Port(),
+                clock,
+                timing,
+                copy,
+                TokenBucket(10.0),
+                FailingMeters,
+                { _, _, _ -> },
+                {},
+                permissiveContext,
+            )
         val before = store.revision
         val answers = ArrayList<UserResponse>()
         jobRequests.submit(spec.copy(dependsOn = names.map(::JobId)), types) { answers.add(it) }
@@ -234,8 +287,9 @@
         val record = JobRecord(spec.copy(tasks = 240), 5, Phase.ACTIVE, BitSet(), 2, placements, "w-1").encode()
         val limits = WriteLimits(15.0, 2.0, 4)
         val form = RecordLayout(limits).split(record) ?: error("doesn't fit")
-        val divided = listOf(Change.Put(key, form.head)) +
-            form.parts.mapIndexed { index, part -> Change.Put(Keys.part(spec.id.value, index), part) }
+        val divided =
+            listOf(Change.Put(key, form.head)) +
+                form.parts.mapIndexed { index, part -> Change.Put(Keys.part(spec.id.value, index), part) }
         for (changes in listOf(divided, listOf(Change.Put(key, record)))) {
             store.limits = null
             switchFormatOn()
@@ -244,11 +298,20 @@
             store.limits = limits
             world.runUntil(world.nowMs + 2_000)
             told.clear()
-            val jobRequests = UserRequestHandler(
-                RequestIds(Member("n0", "x")), settings.copy(state = settings.state.copy(next = limits)), Port(), clock,
-                timing, copy, TokenBucket(10.0), FailingMeters,
-                { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") }, {}, permissiveContext,
-            )
+            val jobRequests =
+                UserRequestHandler(
+                    RequestIds(Member("n0", "x")),
+                    settings.copy(state = settings.state.copy(next = limits)),
+                    Port(),
+                    clock,
+                    timing,
+                    copy,
+                    TokenBucket(10.0),
+                    FailingMeters,
+                    { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") },
+                    {},
+                    permissiveContext,
+                )
             val answers = ArrayList<UserResponse>()
             jobRequests.cancel(spec.id) { answers.add(it) }
             world.runUntil(world.nowMs + 1_000)
--- a/src/test/kotlin/oxbowlug/scale/NetworkTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/NetworkTest.kt
@@ -8,14 +8,18 @@
 
 internal class NetworkTest {
     private val world = World(1)
-    private val options = ScaleOptionParser().parse(listOf("--zones", "4", "--regions", "2", "--controllers", "3"))
-        ?: error("only the help")
+    private val options =
+        ScaleOptionParser().parse(listOf("--zones", "4", "--regions", "2", "--controllers", "3"))
+            ?: error("only the help")
     private val topology = Topology(options)
     private val network = Network(world, topology)
 
     private fun end(zone: Zone?): Endpoint = if (zone == null) Endpoint.StateService else Endpoint.Worker(zone)
 
-    private fun arrivals(from: Zone?, to: Zone?): Long {
+    private fun arrivals(
+        from: Zone?,
+        to: Zone?,
+    ): Long {
         var at = -1L
         network.deliver(end(from), end(to)) { at = world.nowMs }
         world.advanceTo(world.nowMs + 60_000)
--- a/src/test/kotlin/oxbowlug/scale/ReportFilesTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/ReportFilesTest.kt
@@ -11,17 +11,31 @@
     @TempDir
     lateinit var folder: File
 
-    private fun result() = ScenarioResult(
-        scenario = "leader-killed", title = "the leader is killed", seconds = 25.0,
-        controllers = listOf(ControllerUse("controller-0", "zone-0", true, 0.25, 90.0, 95.0, 70, 12.0, 13.0, 5.0)),
-        reports = ReportTraffic(16.0, 2048.0, 1024.0, 1.0, 3, 0, 0),
-        state = StateTraffic(10.0, 1.0, 4.0, 5.0, 0, 37, 545),
-        cloudCallsPerS = 0.7, peerBytesPerS = 1_000.0, tasksRunning = 492, startsAsked = 0, startsPerS = 3.0,
-        mostStartsInASecond = 29, urgentStart = DurationSummary(9, 650, 680, 690),
-        acceptance = DurationSummary(8, 10, 110, 110), userAnswers = mapOf(200 to 90L),
-        allLeasesRenewedAfterMs = 5_800, longestWithoutRenewalMs = 8_200, tasksLost = 0, endedByThemselves = 0,
-        standInsProcessorShare = 0.1, standInsLatestMs = 6, rulesBroken = emptyList(),
-    )
+    private fun result() =
+        ScenarioResult(
+            scenario = "leader-killed",
+            title = "the leader is killed",
+            seconds = 25.0,
+            controllers = listOf(ControllerUse("controller-0", "zone-0", true, 0.25, 90.0, 95.0, 70, 12.0, 13.0, 5.0)),
+            reports = ReportTraffic(16.0, 2048.0, 1024.0, 1.0, 3, 0, 0),
+            state = StateTraffic(10.0, 1.0, 4.0, 5.0, 0, 37, 545),
+            cloudCallsPerS = 0.7,
+            peerBytesPerS = 1_000.0,
+            tasksRunning = 492,
+            startsAsked = 0,
+            startsPerS = 3.0,
+            mostStartsInASecond = 29,
+            urgentStart = DurationSummary(9, 650, 680, 690),
+            acceptance = DurationSummary(8, 10, 110, 110),
+            userAnswers = mapOf(200 to 90L),
+            allLeasesRenewedAfterMs = 5_800,
+            longestWithoutRenewalMs = 8_200,
+            tasksLost = 0,
+            endedByThemselves = 0,
+            standInsProcessorShare = 0.1,
+            standInsLatestMs = 6,
+            rulesBroken = emptyList(),
+        )
 
     @Test
     fun `a run is written as data and as one page that needs nothing beside it`() {
--- a/src/test/kotlin/oxbowlug/scale/ScaleOptionsTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/ScaleOptionsTest.kt
@@ -10,23 +10,24 @@
 
     @Test
     fun `arguments that can't work are refused in one line that begins with their name`() {
-        val cases = listOf(
-            listOf("--workers", "0") to "workers: ",
-            listOf("--workers", "1000000") to "workers: ",
-            listOf("--workers", "100", "--controllers", "1", "--max-sockets", "50") to "max-sockets: ",
-            listOf("--controllers", "0") to "controllers: ",
-            listOf("--regions", "4", "--zones", "3") to "zones: ",
-            listOf("--teams", "0") to "teams: ",
-            listOf("--scenarios", "ordinary,earthquake") to "scenarios: earthquake ",
-            listOf("--scenario-seconds", "0") to "scenario-seconds: ",
-            listOf("--lease-s", "4", "--report-s", "2.5") to "lease-s: ",
-            listOf("--heap-mb", "1") to "heap-mb: ",
-            listOf("--write-rps", "0") to "write-rps: ",
-            listOf("--peak-starts", "-1") to "peak-starts: ",
-            listOf("--deploy", "deploy/nowhere.toml") to "deploy: ",
-            listOf("--first-port", "99") to "first-port: ",
-            listOf("stray") to "stray: ",
-        )
+        val cases =
+            listOf(
+                listOf("--workers", "0") to "workers: ",
+                listOf("--workers", "1000000") to "workers: ",
+                listOf("--workers", "100", "--controllers", "1", "--max-sockets", "50") to "max-sockets: ",
+                listOf("--controllers", "0") to "controllers: ",
+                listOf("--regions", "4", "--zones", "3") to "zones: ",
+                listOf("--teams", "0") to "teams: ",
+                listOf("--scenarios", "ordinary,earthquake") to "scenarios: earthquake ",
+                listOf("--scenario-seconds", "0") to "scenario-seconds: ",
+                listOf("--lease-s", "4", "--report-s", "2.5") to "lease-s: ",
+                listOf("--heap-mb", "1") to "heap-mb: ",
+                listOf("--write-rps", "0") to "write-rps: ",
+                listOf("--peak-starts", "-1") to "peak-starts: ",
+                listOf("--deploy", "deploy/nowhere.toml") to "deploy: ",
+                listOf("--first-port", "99") to "first-port: ",
+                listOf("stray") to "stray: ",
+            )
         for ((arguments, expected) in cases) {
             val message = assertThrows(InvalidOption::class.java) { parse(*arguments.toTypedArray()) }.message.orEmpty()
             assertTrue(message.startsWith(expected), "$arguments: $message")
@@ -49,8 +50,9 @@
 
     @Test
     fun `the plan has the proportions of the full size`() {
-        val options = parse("--workers", "6500", "--teams", "170", "--zones", "15", "--regions", "4")
-            ?: error("only the help")
+        val options =
+            parse("--workers", "6500", "--teams", "170", "--zones", "15", "--regions", "4")
+                ?: error("only the help")
         val plan = FleetPlan(options, Topology(options))
         val jobs = plan.standingJobs()
         assertEquals(79_950, jobs.sumOf { it.spec.tasks })
--- a/src/test/kotlin/oxbowlug/scale/WireTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/WireTest.kt
@@ -30,23 +30,33 @@
 
     @Test
     fun `a report comes back as it was`() {
-        val report = WorkerHeartbeat(
-            MachineId("host-1"), "127.64.0.1:9000", TypeName("t"), Zone("z"), false, 2, 7, FencingToken(41), 12.5,
-            listOf(
-                TaskStatus(attempt, TaskState.RUNNING, null, saved = false),
-                TaskStatus(AttemptId(attempt.task, 1), TaskState.EXITED, ExitCause.STOPPED, saved = true),
-            ),
-        )
+        val report =
+            WorkerHeartbeat(
+                MachineId("host-1"),
+                "127.64.0.1:9000",
+                TypeName("t"),
+                Zone("z"),
+                false,
+                2,
+                7,
+                FencingToken(41),
+                12.5,
+                listOf(
+                    TaskStatus(attempt, TaskState.RUNNING, null, saved = false),
+                    TaskStatus(AttemptId(attempt.task, 1), TaskState.EXITED, ExitCause.STOPPED, saved = true),
+                ),
+            )
         assertEquals(report, WorkerCodec.decodeHeartbeat(throughCbor(Wire.encodeReport(report))))
     }
 
     @Test
     fun `answers and their commands are understood`() {
-        val commands = listOf(
-            WorkerCommand.Start(attempt),
-            WorkerCommand.Stop(attempt, 10.0),
-            WorkerCommand.Forget(attempt),
-        )
+        val commands =
+            listOf(
+                WorkerCommand.Start(attempt),
+                WorkerCommand.Stop(attempt, 10.0),
+                WorkerCommand.Forget(attempt),
+            )
         val answer = throughCbor(WorkerCodec.encodeAnswer(FencingToken(9), commands))
         assertEquals(HeartbeatResponse.Renewed(FencingToken(9), commands), Wire.decodeAnswer(200, answer))
         assertEquals(HeartbeatResponse.Redirect("n1"), Wire.decodeAnswer(421, mapOf("drover" to "n1")))
@@ -56,10 +66,11 @@
 
     @Test
     fun `a transaction comes back as it was`() {
-        val transaction = Transaction(
-            listOf(Condition("a", 0), Condition("b", 7)),
-            listOf(Change.Put("a", mapOf("x" to 1L), lease = 4), Change.Put("c", emptyMap()), Change.Delete("b")),
-        )
+        val transaction =
+            Transaction(
+                listOf(Condition("a", 0), Condition("b", 7)),
+                listOf(Change.Put("a", mapOf("x" to 1L), lease = 4), Change.Put("c", emptyMap()), Change.Delete("b")),
+            )
         assertEquals(transaction, Wire.decodeTransaction(throughCbor(StoreCodec.encode(transaction))))
     }
 }
--- a/src/test/kotlin/oxbowlug/scheduling/InheritedPriorityTest.kt
+++ b/src/test/kotlin/oxbowlug/scheduling/InheritedPriorityTest.kt
@@ -13,22 +13,33 @@
 
 /** Urgency that users set on a pipeline's last job only, as the jobs before it have it. */
 internal class InheritedPriorityTest {
-    private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
-        .copy(priority = Priority.LOW, deadlineS = null, estimateS = 10.0, imageGb = 0.0)
+    private val spec =
+        JobSpecCodec
+            .decode(JobSpecCodecTest.valid())
+            .copy(priority = Priority.LOW, deadlineS = null, estimateS = 10.0, imageGb = 0.0)
 
-    private fun job(id: String, vararg dependsOn: String, priority: Priority = Priority.LOW, deadlineS: Double? = null) =
-        Job(
-            JobRecord(
-                spec.copy(
-                    id = JobId(id),
-                    dependsOn = dependsOn.map(::JobId),
-                    priority = priority,
-                    deadlineS = deadlineS,
-                ),
-                0, Phase.ACTIVE, BitSet(), 1, emptyMap(), "w",
+    private fun job(
+        id: String,
+        vararg dependsOn: String,
+        priority: Priority = Priority.LOW,
+        deadlineS: Double? = null,
+    ) = Job(
+        JobRecord(
+            spec.copy(
+                id = JobId(id),
+                dependsOn = dependsOn.map(::JobId),
+                priority = priority,
+                deadlineS = deadlineS,
             ),
+            0,
+            Phase.ACTIVE,
+            BitSet(),
             1,
-        )
+            emptyMap(),
+            "w",
+        ),
+        1,
+    )
 
     private fun update(vararg jobs: Job) =
         InheritedPriority.update(jobs.associateBy { it.id }, emptyList(), stageMs = 2_000)
@@ -46,7 +57,7 @@
             listOf(100_000L, 40_000L, 88_000L, 28_000L),
             listOf(last, right, left, first).map {
                 it.latestEndMs
-            }
+            },
         )
         assertEquals(Priority.NORMAL to 7_000L, other.priority to other.latestEndMs)
     }
@@ -65,10 +76,11 @@
     @Test
     fun `a chain of thousands is walked once`() {
         val length = 20_000
-        val chain = List(length) { index ->
-            val deadlineS = if (index == length - 1) 1e6 else null
-            if (index == 0) job("0") else job("$index", "${index - 1}", deadlineS = deadlineS)
-        }
+        val chain =
+            List(length) { index ->
+                val deadlineS = if (index == length - 1) 1e6 else null
+                if (index == 0) job("0") else job("$index", "${index - 1}", deadlineS = deadlineS)
+            }
         update(*chain.toTypedArray())
         assertEquals(1_000_000_000L - (length - 1) * 12_000L, chain.first().latestEndMs)
     }
--- a/src/test/kotlin/oxbowlug/sim/BehaviourTraceTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/BehaviourTraceTest.kt
@@ -11,23 +11,33 @@
  * changes only with a change of behaviour, which its commit names; a move, rename, split or merge leaves all of them.
  */
 internal class BehaviourTraceTest {
-    private class Day(val name: String, val shape: Shape, val endMs: Long, val play: Simulation.(Long) -> Unit)
-
-    private val days = listOf(
-        Day("crashes", Shape(), endMs = 120_000) { playCrashes() },
-        Day("upgrade", Shape(nodes = 5, machinesUp = 8, nextLimits = NEXT), endMs = 150_000) { playUpgrade() },
-        Day("drawn", Shape(nodes = 5, machinesUp = 8, jobsAtStart = 12, nextLimits = NEXT), endMs = 130_000) { seed ->
-            users(everyMs = 2_500, untilMs = 90_000)
-            pipelines(everyMs = 8_000, untilMs = 90_000)
-            SimulatedFaults(this, LEASE_MS).play(FaultSchedule.draw(seed, 5, 20_000, 90_000, LEASE_MS))
-        },
-        Day("wide", Shape(nodes = 3, machinesUp = 24, capacity = 48, jobsAtStart = 60), endMs = 90_000) {
-            users(everyMs = 700, untilMs = 70_000)
-            at(40_000) { end(leader, forMs = 4_000) }
-            cancelServices(45_000, count = 12)
-        },
+    private class Day(
+        val name: String,
+        val shape: Shape,
+        val endMs: Long,
+        val play: Simulation.(Long) -> Unit,
     )
 
+    private val days =
+        listOf(
+            Day("crashes", Shape(), endMs = 120_000) { playCrashes() },
+            Day("upgrade", Shape(nodes = 5, machinesUp = 8, nextLimits = NEXT), endMs = 150_000) { playUpgrade() },
+            Day(
+                "drawn",
+                Shape(nodes = 5, machinesUp = 8, jobsAtStart = 12, nextLimits = NEXT),
+                endMs = 130_000,
+            ) { seed ->
+                users(everyMs = 2_500, untilMs = 90_000)
+                pipelines(everyMs = 8_000, untilMs = 90_000)
+                SimulatedFaults(this, LEASE_MS).play(FaultSchedule.draw(seed, 5, 20_000, 90_000, LEASE_MS))
+            },
+            Day("wide", Shape(nodes = 3, machinesUp = 24, capacity = 48, jobsAtStart = 60), endMs = 90_000) {
+                users(everyMs = 700, untilMs = 70_000)
+                at(40_000) { end(leader, forMs = 4_000) }
+                cancelServices(45_000, count = 12)
+            },
+        )
+
     @Test
     fun `fixed days send the same messages at the same times`() {
         val found = LinkedHashMap<String, String>()
@@ -37,7 +47,10 @@
         assertEquals(expected().entries.joinToString("\n"), found.entries.joinToString("\n"))
     }
 
-    private fun digestOf(day: Day, seed: Long): String {
+    private fun digestOf(
+        day: Day,
+        seed: Long,
+    ): String {
         val trace = PortTrace()
         val simulation = Simulation(seed, shape = day.shape)
         simulation.trace(trace)
@@ -47,7 +60,10 @@
     }
 
     private fun expected(): Map<String, String> =
-        javaClass.getResource("/behaviour/digests.txt")!!.readText().lines()
+        javaClass
+            .getResource("/behaviour/digests.txt")!!
+            .readText()
+            .lines()
             .filter { it.isNotBlank() && !it.startsWith("#") }
             .associate { it.substringBefore("=") to it.substringAfter("=") }
 
@@ -56,9 +72,16 @@
         val SEEDS = 1L..3L
         const val LEASE_MS = 10_000L
 
-        fun Simulation.at(ms: Long, action: Simulation.() -> Unit) = world.after(ms) { action() }
+        fun Simulation.at(
+            ms: Long,
+            action: Simulation.() -> Unit,
+        ) = world.after(ms) { action() }
 
-        fun Simulation.end(node: SimNode, forMs: Long, isOld: Boolean = false) {
+        fun Simulation.end(
+            node: SimNode,
+            forMs: Long,
+            isOld: Boolean = false,
+        ) {
             if (!node.isUp) return
             node.crash()
             world.after(forMs) {
@@ -68,7 +91,10 @@
         }
 
         /** Users call off services that run just then. */
-        fun Simulation.cancelServices(atMs: Long, count: Int) = at(atMs) {
+        fun Simulation.cancelServices(
+            atMs: Long,
+            count: Int,
+        ) = at(atMs) {
             val running = cloud.workers.flatMap { worker -> worker.onMachine().map { it.attempt.task.job.value } }
             val services = running.distinct().filter { spec(it)?.kind == JobKind.SERVICE }
             for (id in services.take(count)) world.after(world.between(0, 200)) { cancel(id) }
