--- a/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
@@ -26,11 +26,14 @@
         override fun toString() = name
     }
 
-    class Gap(seed: Long) {
-        val day = Simulation(
-            seed,
-            shape = Shape(nodes = 5, machinesUp = 12, jobsAtStart = 40, serviceMs = LATER),
-        )
+    class Gap(
+        seed: Long,
+    ) {
+        val day =
+            Simulation(
+                seed,
+                shape = Shape(nodes = 5, machinesUp = 12, jobsAtStart = 40, serviceMs = LATER),
+            )
         lateinit var leader: SimNode
         lateinit var confirmer: SimNode
 
@@ -38,14 +41,22 @@
         lateinit var running: List<String>
         val cancelled: List<String> get() = running.take(CANCELLED)
 
-        fun at(ms: Long, action: () -> Unit) = day.world.after(REFUSED_MS + ms - day.world.nowMs, action)
-
-        fun running(): Set<AttemptId> = day.cloud.workers.flatMap { it.onMachine() }
-            .filter { day.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }.map { it.attempt }.toSet()
-
-        fun hosts(job: String): List<SimWorker> = day.cloud.workers.filter { worker ->
-            worker.onMachine().any { it.attempt.task.job.value == job }
-        }
+        fun at(
+            ms: Long,
+            action: () -> Unit,
+        ) = day.world.after(REFUSED_MS + ms - day.world.nowMs, action)
+
+        fun running(): Set<AttemptId> =
+            day.cloud.workers
+                .flatMap { it.onMachine() }
+                .filter { day.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
+                .map { it.attempt }
+                .toSet()
+
+        fun hosts(job: String): List<SimWorker> =
+            day.cloud.workers.filter { worker ->
+                worker.onMachine().any { it.attempt.task.job.value == job }
+            }
 
         private var told = 0
         var endsAfterAnswers = Int.MAX_VALUE
@@ -105,7 +116,12 @@
             day.run(300_000)
             assertEquals(emptyList<String>(), day.rules.broken.take(5), case.name)
             if (case.cancels) {
-                val confirmed = cancelled.count { day.rules.jobs.getValue(it).cancelledAt != null }
+                val confirmed =
+                    cancelled.count {
+                        day.rules.jobs
+                            .getValue(it)
+                            .cancelledAt != null
+                    }
                 assertEquals(CANCELLED, confirmed, "${case.name}: cancellations confirmed")
             }
             assertTrue(before.isNotEmpty(), "${case.name}: nothing ran")
@@ -133,87 +149,95 @@
         private const val CANCELLED = 4
 
         @JvmStatic
-        fun cases(): List<Case> = listOf(
-            Case("the gap", goneWithinMs = 2_900),
-            Case("a plain outage, nothing cancelled", cancels = false) { leader.withoutState = false },
-            Case("the confirmer ends right after confirming, and stays away", runsOn = false) {
-                endsAfterAnswers = CANCELLED
-            },
-            Case("the confirmer ends right after confirming, as the outage begins, and is back") {
-                endsAfterAnswers = CANCELLED
-                outageAtOnce = true
-                at(6_000) { confirmer.start() }
-            },
-            Case("the confirmer is restarted") {
-                endsAfterAnswers = CANCELLED
-                at(820) { confirmer.start() }
-            },
-            Case("the confirmer is cut from all others, and ends", runsOn = false) {
-                confirmer.withoutPeers = true
-                at(520) { confirmer.crash() }
-                at(6_000) { confirmer.start() }
-                at(60_000) { confirmer.withoutPeers = false }
-            },
-            Case("the confirmer is cut from all others, and lives", runsOn = false) {
-                confirmer.withoutPeers = true
-                at(60_000) { confirmer.withoutPeers = false }
-            },
-            Case("a zone is cut off, nothing cancelled", cancels = false) {
-                leader.withoutState = false
-                at(2_500) { day.weather.cutZones.add(leader.zone) }
-                at(47_000) { day.weather.cutZones.clear() }
-            },
-            Case("the leader's zone is cut off, and jobs there are cancelled from the other", runsOn = false) {
-                leader.withoutState = false
-                confirmer = day.nodes.first { it.zone != leader.zone }
-                running = running.filter { job -> hosts(job).any { it.zone == leader.zone } }
-                day.weather.cutZones.add(leader.zone)
-                at(50_000) { day.weather.cutZones.clear() }
-            },
-            Case("the old leader ends, and a deputy renews", runsOn = false) { at(1_500) { leader.crash() } },
-            Case("the old leader is also cut from its peers", runsOn = false) {
-                leader.withoutPeers = true
-                at(60_000) { leader.withoutPeers = false }
-            },
-            Case("machines that hold cancelled work hang and go on later", runsOn = false) {
-                at(400) { hosts(cancelled.first()).forEach { it.hungUntil = day.world.nowMs + 8_000 } }
-                at(450) { hosts(cancelled.last()).forEach { it.hungUntil = day.world.nowMs + 33_000 } }
-            },
-            Case("machines that hold cancelled work hear nothing", runsOn = false) {
-                at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 60_000 } }
-            },
-            Case("only the old leader reaches workers, and learns of it when it no longer leads") {
-                leaveAllTo(leader)
-                leader.withoutPeers = true
-                at(6_000) { leader.withoutPeers = false }
-            },
-            Case("only the old leader reaches the cloud, and machines of cancelled work hear nothing", runsOn = false) {
-                leaveAllTo(leader)
-                leader.withoutPeers = true
-                at(6_000) { leader.withoutPeers = false }
-                at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 7_000 } }
-                // Each time within the lease, and not awake for long enough to take an order.
-                for (ms in 7_500L..44_000L step 8_000) {
-                    at(ms) { hosts(cancelled.first()).forEach { it.hungUntil = day.world.nowMs + 7_950 } }
-                }
-            },
-            Case("machines that hold cancelled work hang again and again", runsOn = false) {
-                // Each time within the lease, and never awake for long enough to take an order.
-                val hosts = hosts(cancelled.first())
-                for (ms in 400L..44_000L step 8_000) at(ms) { hosts.forEach { it.hungUntil = day.world.nowMs + 7_950 } }
-            },
-            Case("the refusal repeats before the first is settled") {
-                at(48_000) { refuse(14_000) }
-                at(49_000) { running.drop(CANCELLED).take(2).forEach { day.cancelAt(confirmer, it) } }
-                at(49_500) { day.store.down = true }
-                at(49_500 + 45_000) { day.store.down = false }
-            },
-            Case("jobs cancelled as their starts are sent") {
-                at(-300) { repeat(6) { day.submit(day.randomSpec("late-00000$it").copy(tasks = 2)) } }
-                for (ms in 100L..1_500L step 100) {
-                    at(ms) { repeat(6) { day.cancelAt(confirmer, "late-00000$it") } }
-                }
-            },
-        ).filter(Seeds::takes)
+        fun cases(): List<Case> =
+            listOf(
+                Case("the gap", goneWithinMs = 2_900),
+                Case("a plain outage, nothing cancelled", cancels = false) { leader.withoutState = false },
+                Case("the confirmer ends right after confirming, and stays away", runsOn = false) {
+                    endsAfterAnswers = CANCELLED
+                },
+                Case("the confirmer ends right after confirming, as the outage begins, and is back") {
+                    endsAfterAnswers = CANCELLED
+                    outageAtOnce = true
+                    at(6_000) { confirmer.start() }
+                },
+                Case("the confirmer is restarted") {
+                    endsAfterAnswers = CANCELLED
+                    at(820) { confirmer.start() }
+                },
+                Case("the confirmer is cut from all others, and ends", runsOn = false) {
+                    confirmer.withoutPeers = true
+                    at(520) { confirmer.crash() }
+                    at(6_000) { confirmer.start() }
+                    at(60_000) { confirmer.withoutPeers = false }
+                },
+                Case("the confirmer is cut from all others, and lives", runsOn = false) {
+                    confirmer.withoutPeers = true
+                    at(60_000) { confirmer.withoutPeers = false }
+                },
+                Case("a zone is cut off, nothing cancelled", cancels = false) {
+                    leader.withoutState = false
+                    at(2_500) { day.weather.cutZones.add(leader.zone) }
+                    at(47_000) { day.weather.cutZones.clear() }
+                },
+                Case("the leader's zone is cut off, and jobs there are cancelled from the other", runsOn = false) {
+                    leader.withoutState = false
+                    confirmer = day.nodes.first { it.zone != leader.zone }
+                    running = running.filter { job -> hosts(job).any { it.zone == leader.zone } }
+                    day.weather.cutZones.add(leader.zone)
+                    at(50_000) { day.weather.cutZones.clear() }
+                },
+                Case("the old leader ends, and a deputy renews", runsOn = false) { at(1_500) { leader.crash() } },
+                Case("the old leader is also cut from its peers", runsOn = false) {
+                    leader.withoutPeers = true
+                    at(60_000) { leader.withoutPeers = false }
+                },
+                Case("machines that hold cancelled work hang and go on later", runsOn = false) {
+                    at(400) { hosts(cancelled.first()).forEach { it.hungUntil = day.world.nowMs + 8_000 } }
+                    at(450) { hosts(cancelled.last()).forEach { it.hungUntil = day.world.nowMs + 33_000 } }
+                },
+                Case("machines that hold cancelled work hear nothing", runsOn = false) {
+                    at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 60_000 } }
+                },
+                Case("only the old leader reaches workers, and learns of it when it no longer leads") {
+                    leaveAllTo(leader)
+                    leader.withoutPeers = true
+                    at(6_000) { leader.withoutPeers = false }
+                },
+                Case(
+                    "only the old leader reaches the cloud, and machines of cancelled work hear nothing",
+                    runsOn = false,
+                ) {
+                    leaveAllTo(leader)
+                    leader.withoutPeers = true
+                    at(6_000) { leader.withoutPeers = false }
+                    at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 7_000 } }
+                    // Each time within the lease, and not awake for long enough to take an order.
+                    for (ms in 7_500L..44_000L step 8_000) {
+                        at(ms) { hosts(cancelled.first()).forEach { it.hungUntil = day.world.nowMs + 7_950 } }
+                    }
+                },
+                Case("machines that hold cancelled work hang again and again", runsOn = false) {
+                    // Each time within the lease, and never awake for long enough to take an order.
+                    val hosts = hosts(cancelled.first())
+                    for (ms in 400L..44_000L step 8_000) {
+                        at(
+                            ms,
+                        ) { hosts.forEach { it.hungUntil = day.world.nowMs + 7_950 } }
+                    }
+                },
+                Case("the refusal repeats before the first is settled") {
+                    at(48_000) { refuse(14_000) }
+                    at(49_000) { running.drop(CANCELLED).take(2).forEach { day.cancelAt(confirmer, it) } }
+                    at(49_500) { day.store.down = true }
+                    at(49_500 + 45_000) { day.store.down = false }
+                },
+                Case("jobs cancelled as their starts are sent") {
+                    at(-300) { repeat(6) { day.submit(day.randomSpec("late-00000$it").copy(tasks = 2)) } }
+                    for (ms in 100L..1_500L step 100) {
+                        at(ms) { repeat(6) { day.cancelAt(confirmer, "late-00000$it") } }
+                    }
+                },
+            ).filter(Seeds::takes)
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
@@ -9,8 +9,12 @@
 
 /** Two troubles at once, each brought about on purpose; docs/safety.md has the table. */
 internal class ConcurrentFaultsTest {
-    private fun Simulation.running(): Set<AttemptId> = cloud.workers.flatMap { it.onMachine() }
-        .filter { spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }.map { it.attempt }.toSet()
+    private fun Simulation.running(): Set<AttemptId> =
+        cloud.workers
+            .flatMap { it.onMachine() }
+            .filter { spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
+            .map { it.attempt }
+            .toSet()
 
     private fun Simulation.hosts(job: String) =
         cloud.workers.filter { worker -> worker.onMachine().any { it.attempt.task.job.value == job } }
--- a/src/test/kotlin/oxbowlug/sim/DriftingClock.kt
+++ b/src/test/kotlin/oxbowlug/sim/DriftingClock.kt
@@ -4,7 +4,11 @@
 import oxbowlug.standin.World
 
 /** A node's clocks: its steady one drifts, its time of day is off by a constant. */
-internal class DriftingClock(private val world: World, private val drift: Double, private val offMs: Long) : Clock {
+internal class DriftingClock(
+    private val world: World,
+    private val drift: Double,
+    private val offMs: Long,
+) : Clock {
     override fun steadyMs(): Long = (world.nowMs * (1.0 + drift)).toLong()
 
     override fun wallMs(): Long = BASE_MS + world.nowMs + offMs
--- a/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
@@ -9,21 +9,22 @@
 internal class FleetSizeTest {
     @Test
     fun `a large fleet keeps the rules through a cut zone, a mass loss and the end of all controllers`() {
-        val shape = Shape(
-            nodes = 5,
-            machinesUp = 900,
-            capacity = MACHINES,
-            teamLimits = mapOf("red" to 5_000.0, "blue" to 3_000.0),
-            teamGuarantee = 1_500.0,
-            writeRps = 70.0,
-            jobsAtStart = 950,
-            largestService = 8,
-            largestArray = 60,
-            serviceMs = 60_000L..150_000L,
-            checkEveryMs = 500,
-            reportMs = 2_500,
-            leaseMs = 15_000,
-        )
+        val shape =
+            Shape(
+                nodes = 5,
+                machinesUp = 900,
+                capacity = MACHINES,
+                teamLimits = mapOf("red" to 5_000.0, "blue" to 3_000.0),
+                teamGuarantee = 1_500.0,
+                writeRps = 70.0,
+                jobsAtStart = 950,
+                largestService = 8,
+                largestArray = 60,
+                serviceMs = 60_000L..150_000L,
+                checkEveryMs = 500,
+                reportMs = 2_500,
+                leaseMs = 15_000,
+            )
         val day = Simulation(11, shape = shape)
         day.users(everyMs = 350, untilMs = 90_000)
         day.world.after(35_000) { day.weather.cutZones.add(day.zones[1]) }
@@ -41,11 +42,18 @@
     }
 
     private fun leader(day: Simulation): SimNode {
-        val label = day.store.entry(Keys.LEADERSHIP)?.value?.get("leader")
+        val label =
+            day.store
+                .entry(Keys.LEADERSHIP)
+                ?.value
+                ?.get("leader")
         return day.nodes.first { it.label == label }
     }
 
-    private fun crash(day: Simulation, node: SimNode) {
+    private fun crash(
+        day: Simulation,
+        node: SimNode,
+    ) {
         node.crash()
         day.world.after(5_000) { if (!node.isUp) node.start() }
     }
--- a/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
@@ -9,23 +9,28 @@
 internal class GrownFleetTest {
     @Test
     fun `a grown fleet keeps the rules while its leader crashes`() {
-        val shape = Shape(
-            nodes = 5,
-            machinesUp = 110,
-            capacity = MACHINES,
-            teamLimits = mapOf("red" to 800.0, "blue" to 600.0),
-            teamGuarantee = 300.0,
-            writeRps = 20.0,
-            jobsAtStart = 120,
-            largestService = 8,
-            largestArray = 60,
-            serviceMs = 60_000L..200_000L,
-            checkEveryMs = 100,
-        )
+        val shape =
+            Shape(
+                nodes = 5,
+                machinesUp = 110,
+                capacity = MACHINES,
+                teamLimits = mapOf("red" to 800.0, "blue" to 600.0),
+                teamGuarantee = 300.0,
+                writeRps = 20.0,
+                jobsAtStart = 120,
+                largestService = 8,
+                largestArray = 60,
+                serviceMs = 60_000L..200_000L,
+                checkEveryMs = 100,
+            )
         val day = Simulation(7, shape = shape)
         day.users(everyMs = 900, untilMs = 150_000)
         day.world.after(90_000) {
-            val label = day.store.entry(Keys.LEADERSHIP)?.value?.get("leader")
+            val label =
+                day.store
+                    .entry(Keys.LEADERSHIP)
+                    ?.value
+                    ?.get("leader")
             val leader = day.nodes.first { it.label == label }
             leader.crash()
             day.world.after(5_000) { leader.start() }
--- a/src/test/kotlin/oxbowlug/sim/OldVersion.kt
+++ b/src/test/kotlin/oxbowlug/sim/OldVersion.kt
@@ -17,15 +17,17 @@
 
     fun ignores(key: String): Boolean = newKeys.any { key.startsWith(it) }
 
-    fun writes(transaction: Transaction): Transaction = transaction.copy(
-        changes = transaction.changes.map { change ->
-            if (change is Change.Put && change.key.startsWith(Keys.MEMBERS)) {
-                change.copy(value = change.value - "format")
-            } else {
-                change
-            }
-        },
-    )
+    fun writes(transaction: Transaction): Transaction =
+        transaction.copy(
+            changes =
+                transaction.changes.map { change ->
+                    if (change is Change.Put && change.key.startsWith(Keys.MEMBERS)) {
+                        change.copy(value = change.value - "format")
+                    } else {
+                        change
+                    }
+                },
+        )
 
     fun reads(page: ReadPage): ReadPage {
         page.entries.forEach { entry -> check(entry.key, entry.value) }
@@ -37,7 +39,10 @@
         return changes.copy(events = changes.events.filter { event: Event -> !ignores(event.key) })
     }
 
-    private fun check(key: String, value: Map<String, Any?>?) {
+    private fun check(
+        key: String,
+        value: Map<String, Any?>?,
+    ) {
         check(!key.startsWith(Keys.PARTS)) { "an old controller meets $key" }
         if (!key.startsWith(Keys.JOBS) || value == null) return
         val spec = value["spec"] as Map<*, *>
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -39,7 +39,10 @@
             assertTrue(day.store.entry(Keys.FORMAT) != null, "$what: the format isn't switched on")
             if (!case.fallsUnprepared) assertEquals(0, day.store.refusedForSize, "$what: refused for their size")
             assertTrue(day.store.partsWritten > 0, "$what: no record was divided")
-            val stages = day.rules.jobs.filterKeys { it.startsWith("pipe-") }.values
+            val stages =
+                day.rules.jobs
+                    .filterKeys { it.startsWith("pipe-") }
+                    .values
             assertTrue(stages.count { it.started.isNotEmpty() } > 20, "$what: few stages started")
         }
     }
@@ -48,11 +51,18 @@
         /** Smaller than the record of a stage on several machines. */
         private val NEXT = WriteLimits(writeRps = 30.0, valueKb = 0.58, txnOps = 4)
 
-        private fun Simulation.at(ms: Long, action: Simulation.() -> Unit) = world.after(ms) { action() }
+        private fun Simulation.at(
+            ms: Long,
+            action: Simulation.() -> Unit,
+        ) = world.after(ms) { action() }
 
         private fun Simulation.limitsFall(atMs: Long) = at(atMs) { store.limits = NEXT }
 
-        private fun Simulation.end(node: SimNode, forMs: Long, isOld: Boolean = false) {
+        private fun Simulation.end(
+            node: SimNode,
+            forMs: Long,
+            isOld: Boolean = false,
+        ) {
             if (!node.isUp) return
             node.crash()
             world.after(forMs) {
@@ -61,17 +71,29 @@
             }
         }
 
-        private fun Simulation.leaderEnds(atMs: Long, forMs: Long = 3_000) = at(atMs) { end(leader, forMs) }
+        private fun Simulation.leaderEnds(
+            atMs: Long,
+            forMs: Long = 3_000,
+        ) = at(atMs) { end(leader, forMs) }
 
         /** In the order of [indexes], so many at a time. */
-        private fun Simulation.upgrade(fromMs: Long, everyMs: Long, indexes: List<Int>, atOnce: Int = 1) {
+        private fun Simulation.upgrade(
+            fromMs: Long,
+            everyMs: Long,
+            indexes: List<Int>,
+            atOnce: Int = 1,
+        ) {
             for ((turn, group) in indexes.chunked(atOnce).withIndex()) {
                 at(fromMs + turn * everyMs) { for (index in group) end(nodes[index], forMs = 3_000) }
             }
         }
 
         /** The leader of the moment is taken first each time, or is left for last. */
-        private fun Simulation.upgradeByLeader(fromMs: Long, everyMs: Long, leaderFirst: Boolean) {
+        private fun Simulation.upgradeByLeader(
+            fromMs: Long,
+            everyMs: Long,
+            leaderFirst: Boolean,
+        ) {
             repeat(nodes.size) { turn ->
                 at(fromMs + turn * everyMs) {
                     val old = nodes.filter { it.isOld && it.isUp }
@@ -82,22 +104,38 @@
             }
         }
 
-        private fun Simulation.spell(atMs: Long, forMs: Long, begin: () -> Unit, end: () -> Unit) {
+        private fun Simulation.spell(
+            atMs: Long,
+            forMs: Long,
+            begin: () -> Unit,
+            end: () -> Unit,
+        ) {
             at(atMs) { begin() }
             at(atMs + forMs) { end() }
         }
 
-        private fun Simulation.unansweredWrites(atMs: Long, forMs: Long) =
-            spell(atMs, forMs, { weather.unansweredWrites = 0.2 }, { weather.unansweredWrites = 0.0 })
+        private fun Simulation.unansweredWrites(
+            atMs: Long,
+            forMs: Long,
+        ) = spell(atMs, forMs, { weather.unansweredWrites = 0.2 }, { weather.unansweredWrites = 0.0 })
 
-        private fun Simulation.lateWrites(atMs: Long, forMs: Long) =
-            spell(atMs, forMs, { weather.lateWrites = 0.2 }, { weather.lateWrites = 0.0 })
+        private fun Simulation.lateWrites(
+            atMs: Long,
+            forMs: Long,
+        ) = spell(atMs, forMs, { weather.lateWrites = 0.2 }, { weather.lateWrites = 0.0 })
 
         /** The job that a running or waiting stage needs is called off, and users ask about everything at once. */
-        private fun Simulation.cancelFirstStages(count: Int, atMs: Long) = at(atMs) {
-            val first = rules.jobs.values.filter {
-                it.spec.id.value.endsWith("-a") && it.accepted && it.told?.isOverQuota != true
-            }
+        private fun Simulation.cancelFirstStages(
+            count: Int,
+            atMs: Long,
+        ) = at(atMs) {
+            val first =
+                rules.jobs.values.filter {
+                    it.spec.id.value
+                        .endsWith("-a") &&
+                        it.accepted &&
+                        it.told?.isOverQuota != true
+                }
             for (job in first.takeLast(count)) world.after(world.between(0, 200)) { cancel(job.spec.id.value) }
         }
 
@@ -105,128 +143,134 @@
             get() = this == oxbowlug.wire.JobState.DONE || this == oxbowlug.wire.JobState.CANCELLED
 
         @JvmStatic
-        fun cases(): List<Case> = listOf(
-            Case("a quiet day") {},
-            Case("the limits fall") { limitsFall(40_000) },
-            Case("the leader ends again and again, and the limits fall") {
-                limitsFall(30_000)
-                for (ms in 25_000L..85_000L step 12_000) leaderEnds(ms)
-            },
-            Case("all controllers end, and the limits fall meanwhile") {
-                at(40_000) { nodes.forEach { end(it, forMs = 5_000) } }
-                limitsFall(42_000)
-                at(60_000) { nodes.forEach { end(it, forMs = 400) } }
-            },
-            Case("answers of transactions are lost while stages end and the leader does") {
-                closeLooks = 0.3
-                unansweredWrites(20_000, 70_000)
-                leaderEnds(40_000)
-                leaderEnds(60_000, forMs = 300)
-            },
-            Case("transactions are carried out late while first stages are called off") {
-                closeLooks = 0.2
-                lateWrites(20_000, 70_000)
-                for (ms in 25_000L..80_000L step 8_000) cancelFirstStages(2, ms)
-                leaderEnds(45_000)
-            },
-            Case("jobs are called off in the moment of their end") {
-                cancelsAtEnd = 0.15
-                closeLooks = 0.3
-                leaderEnds(50_000)
-            },
-            Case("the leader is refused by the state service, first stages are called off, then an outage for all") {
-                closeLooks = 0.2
-                at(40_000) {
-                    val node = leader
-                    spell(0, 14_000, { node.withoutState = true }, { node.withoutState = false })
-                }
-                cancelFirstStages(3, 41_000)
-                spell(42_000, 45_000, { store.down = true }, { store.down = false })
-            },
-            Case("a zone is cut off, and first stages are called off") {
-                spell(40_000, 25_000, { weather.cutZones.add(zones[0]) }, { weather.cutZones.clear() })
-                cancelFirstStages(3, 44_000)
-                leaderEnds(50_000)
-            },
-            Case("a rolling upgrade, one by one", startsOld = true) {
-                upgrade(20_000, 8_000, listOf(0, 1, 2, 3, 4))
-                limitsFall(75_000)
-            },
-            Case("a rolling upgrade, two at once", startsOld = true) {
-                upgrade(20_000, 10_000, listOf(3, 1, 4, 0, 2), atOnce = 2)
-                limitsFall(70_000)
-            },
-            Case("a rolling upgrade, the leader first each time", startsOld = true) {
-                upgradeByLeader(20_000, 9_000, leaderFirst = true)
-                limitsFall(80_000)
-            },
-            Case("a rolling upgrade, the leader last, while writes are late", startsOld = true) {
-                lateWrites(15_000, 60_000)
-                upgradeByLeader(20_000, 9_000, leaderFirst = false)
-                limitsFall(85_000)
-            },
-            Case("frames between old and new controllers are held while jobs are called off", startsOld = true) {
-                closeLooks = 0.2
-                spell(15_000, 80_000, { weather.heldFrames = 0.01 }, { weather.heldFrames = 0.0 })
-                upgrade(20_000, 8_000, listOf(1, 3, 0, 2, 4))
-                for (ms in 22_000L..80_000L step 6_000) cancelFirstStages(1, ms)
-                for (ms in 24_000L..60_000L step 6_000) {
-                    at(ms) {
-                        val running = cloud.workers.flatMap { it.onMachine() }.map { it.attempt.task.job.value }
-                        running.distinct().take(1).forEach(::cancel)
+        fun cases(): List<Case> =
+            listOf(
+                Case("a quiet day") {},
+                Case("the limits fall") { limitsFall(40_000) },
+                Case("the leader ends again and again, and the limits fall") {
+                    limitsFall(30_000)
+                    for (ms in 25_000L..85_000L step 12_000) leaderEnds(ms)
+                },
+                Case("all controllers end, and the limits fall meanwhile") {
+                    at(40_000) { nodes.forEach { end(it, forMs = 5_000) } }
+                    limitsFall(42_000)
+                    at(60_000) { nodes.forEach { end(it, forMs = 400) } }
+                },
+                Case("answers of transactions are lost while stages end and the leader does") {
+                    closeLooks = 0.3
+                    unansweredWrites(20_000, 70_000)
+                    leaderEnds(40_000)
+                    leaderEnds(60_000, forMs = 300)
+                },
+                Case("transactions are carried out late while first stages are called off") {
+                    closeLooks = 0.2
+                    lateWrites(20_000, 70_000)
+                    for (ms in 25_000L..80_000L step 8_000) cancelFirstStages(2, ms)
+                    leaderEnds(45_000)
+                },
+                Case("jobs are called off in the moment of their end") {
+                    cancelsAtEnd = 0.15
+                    closeLooks = 0.3
+                    leaderEnds(50_000)
+                },
+                Case(
+                    "the leader is refused by the state service, first stages are called off, then an outage for all",
+                ) {
+                    closeLooks = 0.2
+                    at(40_000) {
+                        val node = leader
+                        spell(0, 14_000, { node.withoutState = true }, { node.withoutState = false })
                     }
-                }
-                limitsFall(75_000)
-            },
-            Case("old processes end and come back old during the upgrade", startsOld = true) {
-                at(24_000) { nodes.filter { it.isOld }.take(2).forEach { end(it, forMs = 2_000, isOld = true) } }
-                upgrade(20_000, 9_000, listOf(0, 1, 2, 3))
-                at(58_000) { end(nodes[4], forMs = 4_000, isOld = true) }
-                at(70_000) { end(nodes[4], forMs = 4_000) }
-                limitsFall(90_000)
-            },
-            Case("large records are written whole, and the limits fall as the format changes", true, true) {
-                at(12_000) {
-                    repeat(4) { submit(stage("large-$it").copy(tasks = 40, cores = 8.0), taskMs = 20_000) }
-                }
-                upgrade(20_000, 5_000, listOf(2, 0, 4, 1, 3))
-                var hasFallen = false
-                world.every(20) {
-                    if (!hasFallen && store.entry(Keys.FORMAT) != null) {
-                        hasFallen = true
-                        store.limits = NEXT
-                        cancel("large-0")
-                        world.after(300) { end(leader, forMs = 2_000) }
-                        world.after(2_000) { cancel("large-1") }
+                    cancelFirstStages(3, 41_000)
+                    spell(42_000, 45_000, { store.down = true }, { store.down = false })
+                },
+                Case("a zone is cut off, and first stages are called off") {
+                    spell(40_000, 25_000, { weather.cutZones.add(zones[0]) }, { weather.cutZones.clear() })
+                    cancelFirstStages(3, 44_000)
+                    leaderEnds(50_000)
+                },
+                Case("a rolling upgrade, one by one", startsOld = true) {
+                    upgrade(20_000, 8_000, listOf(0, 1, 2, 3, 4))
+                    limitsFall(75_000)
+                },
+                Case("a rolling upgrade, two at once", startsOld = true) {
+                    upgrade(20_000, 10_000, listOf(3, 1, 4, 0, 2), atOnce = 2)
+                    limitsFall(70_000)
+                },
+                Case("a rolling upgrade, the leader first each time", startsOld = true) {
+                    upgradeByLeader(20_000, 9_000, leaderFirst = true)
+                    limitsFall(80_000)
+                },
+                Case("a rolling upgrade, the leader last, while writes are late", startsOld = true) {
+                    lateWrites(15_000, 60_000)
+                    upgradeByLeader(20_000, 9_000, leaderFirst = false)
+                    limitsFall(85_000)
+                },
+                Case("frames between old and new controllers are held while jobs are called off", startsOld = true) {
+                    closeLooks = 0.2
+                    spell(15_000, 80_000, { weather.heldFrames = 0.01 }, { weather.heldFrames = 0.0 })
+                    upgrade(20_000, 8_000, listOf(1, 3, 0, 2, 4))
+                    for (ms in 22_000L..80_000L step 6_000) cancelFirstStages(1, ms)
+                    for (ms in 24_000L..60_000L step 6_000) {
+                        at(ms) {
+                            val running = cloud.workers.flatMap { it.onMachine() }.map { it.attempt.task.job.value }
+                            running.distinct().take(1).forEach(::cancel)
+                        }
                     }
-                }
-            },
-            Case("stages end, are called off, and the leader ends, within milliseconds") {
-                closeLooks = 0.2
-                cancelsAtEnd = 0.3
-                limitsFall(30_000)
-                var nextEndAt = 25_000L
-                onAnyDone = {
-                    if (world.nowMs >= nextEndAt && world.nowMs < 90_000) {
-                        nextEndAt = world.nowMs + 9_000
-                        world.after(world.between(0, 40)) { end(leader, forMs = 1_000) }
+                    limitsFall(75_000)
+                },
+                Case("old processes end and come back old during the upgrade", startsOld = true) {
+                    at(24_000) { nodes.filter { it.isOld }.take(2).forEach { end(it, forMs = 2_000, isOld = true) } }
+                    upgrade(20_000, 9_000, listOf(0, 1, 2, 3))
+                    at(58_000) { end(nodes[4], forMs = 4_000, isOld = true) }
+                    at(70_000) { end(nodes[4], forMs = 4_000) }
+                    limitsFall(90_000)
+                },
+                Case("large records are written whole, and the limits fall as the format changes", true, true) {
+                    at(12_000) {
+                        repeat(4) { submit(stage("large-$it").copy(tasks = 40, cores = 8.0), taskMs = 20_000) }
                     }
-                }
-            },
-            Case("jobs are called off and a zone is cut during the upgrade", startsOld = true) {
-                closeLooks = 0.2
-                upgrade(20_000, 8_000, listOf(4, 2, 0, 1, 3))
-                for (ms in 22_000L..60_000L step 6_000) {
-                    at(ms) {
-                        val running = cloud.workers.flatMap {
-                            it.onMachine()
-                        }.map { it.attempt.task.job.value }.distinct()
-                        running.take(1).forEach(::cancel)
+                    upgrade(20_000, 5_000, listOf(2, 0, 4, 1, 3))
+                    var hasFallen = false
+                    world.every(20) {
+                        if (!hasFallen && store.entry(Keys.FORMAT) != null) {
+                            hasFallen = true
+                            store.limits = NEXT
+                            cancel("large-0")
+                            world.after(300) { end(leader, forMs = 2_000) }
+                            world.after(2_000) { cancel("large-1") }
+                        }
                     }
-                }
-                spell(30_000, 12_000, { weather.cutZones.add(zones[1]) }, { weather.cutZones.clear() })
-                limitsFall(80_000)
-            },
-        ).filter(Seeds::takes)
+                },
+                Case("stages end, are called off, and the leader ends, within milliseconds") {
+                    closeLooks = 0.2
+                    cancelsAtEnd = 0.3
+                    limitsFall(30_000)
+                    var nextEndAt = 25_000L
+                    onAnyDone = {
+                        if (world.nowMs >= nextEndAt && world.nowMs < 90_000) {
+                            nextEndAt = world.nowMs + 9_000
+                            world.after(world.between(0, 40)) { end(leader, forMs = 1_000) }
+                        }
+                    }
+                },
+                Case("jobs are called off and a zone is cut during the upgrade", startsOld = true) {
+                    closeLooks = 0.2
+                    upgrade(20_000, 8_000, listOf(4, 2, 0, 1, 3))
+                    for (ms in 22_000L..60_000L step 6_000) {
+                        at(ms) {
+                            val running =
+                                cloud.workers
+                                    .flatMap {
+                                        it.onMachine()
+                                    }.map { it.attempt.task.job.value }
+                                    .distinct()
+                            running.take(1).forEach(::cancel)
+                        }
+                    }
+                    spell(30_000, 12_000, { weather.cutZones.add(zones[1]) }, { weather.cutZones.clear() })
+                    limitsFall(80_000)
+                },
+            ).filter(Seeds::takes)
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -50,35 +50,53 @@
         return HexFormat.of().formatHex(soFar.digest()).take(DIGITS)
     }
 
-    fun note(atMs: Long, sender: String, what: String, body: ByteArray = ByteArray(0)) {
+    fun note(
+        atMs: Long,
+        sender: String,
+        what: String,
+        body: ByteArray = ByteArray(0),
+    ) {
         messages++
         digest.update("$atMs $sender $what ${body.size}\n".encodeToByteArray())
         digest.update(body)
     }
 
-    fun heartbeat(atMs: Long, sender: String, heartbeat: PeerHeartbeat) =
-        note(atMs, sender, "heartbeat", PeerFrames.encode(heartbeat).readByteArray())
+    fun heartbeat(
+        atMs: Long,
+        sender: String,
+        heartbeat: PeerHeartbeat,
+    ) = note(atMs, sender, "heartbeat", PeerFrames.encode(heartbeat).readByteArray())
 
-    fun reportAnswer(atMs: Long, sender: String, report: WorkerHeartbeat, answer: HeartbeatResponse) {
-        val (status, body) = when (answer) {
-            is HeartbeatResponse.Renewed -> 200 to WorkerCodec.encodeAnswer(answer.token, answer.commands)
-            is HeartbeatResponse.Redirect -> 421 to AnswerCodec.redirect(answer.label)
-            HeartbeatResponse.Unavailable -> 503 to emptyMap()
-        }
+    fun reportAnswer(
+        atMs: Long,
+        sender: String,
+        report: WorkerHeartbeat,
+        answer: HeartbeatResponse,
+    ) {
+        val (status, body) =
+            when (answer) {
+                is HeartbeatResponse.Renewed -> 200 to WorkerCodec.encodeAnswer(answer.token, answer.commands)
+                is HeartbeatResponse.Redirect -> 421 to AnswerCodec.redirect(answer.label)
+                HeartbeatResponse.Unavailable -> 503 to emptyMap()
+            }
         note(atMs, sender, "report ${report.machine.value} $status", Cbor.encode(body))
     }
 
-    fun userAnswer(atMs: Long, answer: UserResponse?) {
-        val (status, body) = when (answer) {
-            null -> 0 to emptyMap()
-            is UserResponse.Accepted -> 201 to AnswerCodec.accepted(answer.status)
-            is UserResponse.Known -> 200 to AnswerCodec.polled(answer.status)
-            is UserResponse.Malformed -> 400 to AnswerCodec.problem(answer.problem)
-            is UserResponse.Rejected -> 422 to AnswerCodec.problem(answer.problem)
-            UserResponse.NotFound -> 404 to emptyMap()
-            is UserResponse.Unavailable -> 503 to AnswerCodec.problem(answer.why)
-            is UserResponse.Overloaded -> 429 to emptyMap()
-        }
+    fun userAnswer(
+        atMs: Long,
+        answer: UserResponse?,
+    ) {
+        val (status, body) =
+            when (answer) {
+                null -> 0 to emptyMap()
+                is UserResponse.Accepted -> 201 to AnswerCodec.accepted(answer.status)
+                is UserResponse.Known -> 200 to AnswerCodec.polled(answer.status)
+                is UserResponse.Malformed -> 400 to AnswerCodec.problem(answer.problem)
+                is UserResponse.Rejected -> 422 to AnswerCodec.problem(answer.problem)
+                UserResponse.NotFound -> 404 to emptyMap()
+                is UserResponse.Unavailable -> 503 to AnswerCodec.problem(answer.why)
+                is UserResponse.Overloaded -> 429 to emptyMap()
+            }
         note(atMs, "user", "$status", Cbor.encode(body))
     }
 
@@ -96,30 +114,54 @@
     private val cloud: CloudPort,
     private val workers: WorkerPort,
     private val peers: PeerPort,
-) : StatePort, CloudPort, WorkerPort, PeerPort {
-    private fun note(what: String, body: ByteArray = ByteArray(0)) = trace.note(world.nowMs, label, what, body)
-
-    override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) {
+) : StatePort,
+    CloudPort,
+    WorkerPort,
+    PeerPort {
+    private fun note(
+        what: String,
+        body: ByteArray = ByteArray(0),
+    ) = trace.note(world.nowMs, label, what, body)
+
+    override fun commit(
+        transaction: Transaction,
+        done: (CommitOutcome) -> Unit,
+    ) {
         note("commit", Cbor.encode(StoreCodec.encode(transaction)))
         state.commit(transaction, done)
     }
 
-    override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) {
+    override fun readPage(
+        prefix: String,
+        after: String?,
+        done: (ReadPage?) -> Unit,
+    ) {
         note("read $prefix $after")
         state.readPage(prefix, after, done)
     }
 
-    override fun changes(prefix: String, from: Long, waitMs: Long, done: (ChangesOutcome) -> Unit) {
+    override fun changes(
+        prefix: String,
+        from: Long,
+        waitMs: Long,
+        done: (ChangesOutcome) -> Unit,
+    ) {
         note("changes $prefix $from $waitMs")
         state.changes(prefix, from, waitMs, done)
     }
 
-    override fun grant(lifeMs: Long, done: (Long?) -> Unit) {
+    override fun grant(
+        lifeMs: Long,
+        done: (Long?) -> Unit,
+    ) {
         note("grant $lifeMs")
         state.grant(lifeMs, done)
     }
 
-    override fun touch(lease: Long, done: (TouchOutcome) -> Unit) {
+    override fun touch(
+        lease: Long,
+        done: (TouchOutcome) -> Unit,
+    ) {
         note("touch $lease")
         state.touch(lease, done)
     }
@@ -134,12 +176,18 @@
         cloud.types(done)
     }
 
-    override fun rent(request: RentalRequest, done: (RentalOutcome) -> Unit) {
+    override fun rent(
+        request: RentalRequest,
+        done: (RentalOutcome) -> Unit,
+    ) {
         note("rent", Cbor.encode(CloudCodec.encodeRental(request)))
         cloud.rent(request, done)
     }
 
-    override fun returnMachines(machines: List<MachineId>, done: (Boolean) -> Unit) {
+    override fun returnMachines(
+        machines: List<MachineId>,
+        done: (Boolean) -> Unit,
+    ) {
         note("return", Cbor.encode(CloudCodec.encodeReturn(machines)))
         cloud.returnMachines(machines, done)
     }
@@ -149,7 +197,10 @@
         cloud.list(done)
     }
 
-    override fun status(endpoint: Address, done: (WorkerHeartbeat?) -> Unit) {
+    override fun status(
+        endpoint: Address,
+        done: (WorkerHeartbeat?) -> Unit,
+    ) {
         note("status $endpoint")
         workers.status(endpoint, done)
     }
@@ -165,7 +216,10 @@
         workers.command(endpoint, token, incarnation, commands, done)
     }
 
-    override fun send(label: String, notice: CancellationNotice) {
+    override fun send(
+        label: String,
+        notice: CancellationNotice,
+    ) {
         note("to $label", PeerFrames.encode(notice).readByteArray())
         peers.send(label, notice)
     }
--- a/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
@@ -15,17 +15,25 @@
 
 /** Two regions of two zones; in one zone of the second there is no controller. */
 internal class RegionsApartTest {
-    class Trouble(val name: String, val cause: (Simulation) -> Unit) {
+    class Trouble(
+        val name: String,
+        val cause: (Simulation) -> Unit,
+    ) {
         override fun toString() = name
     }
 
-    private fun play(seed: Long, policy: Policy, cause: (Simulation) -> Unit): Simulation {
-        val shape = Shape(
-            zones = listOf("a", "b", "c", "d"),
-            machinesUp = 8,
-            capacity = 16,
-            serviceMs = 60_000L..100_000L,
-        )
+    private fun play(
+        seed: Long,
+        policy: Policy,
+        cause: (Simulation) -> Unit,
+    ): Simulation {
+        val shape =
+            Shape(
+                zones = listOf("a", "b", "c", "d"),
+                machinesUp = 8,
+                capacity = 16,
+                serviceMs = 60_000L..100_000L,
+            )
         val day = Simulation(seed, policy, shape)
         day.users(everyMs = 2500, untilMs = 90_000)
         cause(day)
@@ -34,13 +42,19 @@
     }
 
     /** Tasks that ended with their leases there, seen just before the regions reach each other again. */
-    private fun endedInLonelyZone(seed: Long, policy: Policy): Int {
+    private fun endedInLonelyZone(
+        seed: Long,
+        policy: Policy,
+    ): Int {
         var ended = 0
         play(seed, policy) { day ->
             for (number in 0..2) day.world.after(5_000) { day.submit(day.lonelyService("lonely-$number")) }
             day.separate(30_000, 40_000)
             day.world.after(69_500) {
-                ended = day.cloud.workers.filter { it.zone == day.zones[LONELY] }.sumOf { it.endedByLease }
+                ended =
+                    day.cloud.workers
+                        .filter { it.zone == day.zones[LONELY] }
+                        .sumOf { it.endedByLease }
             }
         }
         return ended
@@ -68,19 +82,27 @@
 
     private companion object {
         const val LONELY = 3
-        val regional = Policy(
-            regions = Regions(
-                mapOf("north" to listOf(Zone("a"), Zone("b")), "south" to listOf(Zone("c"), Zone("d"))),
-            ),
-        )
+        val regional =
+            Policy(
+                regions =
+                    Regions(
+                        mapOf("north" to listOf(Zone("a"), Zone("b")), "south" to listOf(Zone("c"), Zone("d"))),
+                    ),
+            )
 
-        fun Simulation.separate(fromMs: Long, forMs: Long) {
+        fun Simulation.separate(
+            fromMs: Long,
+            forMs: Long,
+        ) {
             val south = zones.drop(2)
             world.after(fromMs) { weather.separatedZones.addAll(south) }
             world.after(fromMs + forMs) { weather.separatedZones.removeAll(south.toSet()) }
         }
 
-        private fun Simulation.crash(atMs: Long, which: () -> SimNode) {
+        private fun Simulation.crash(
+            atMs: Long,
+            which: () -> SimNode,
+        ) {
             world.after(atMs) {
                 val node = which()
                 node.crash()
@@ -89,70 +111,86 @@
         }
 
         /** Replicas that may run in the zone without a controller only. */
-        private fun Simulation.lonelyService(id: String): JobSpec = randomSpec(id).copy(
-            className = ClassName("serving"), kind = JobKind.SERVICE, priority = Priority.PRODUCTION, tasks = 2,
-            gpus = 1.0, types = null, zone = zones[LONELY], oneZone = false, spread = false, spot = false,
-            estimateS = 0.0, checkpointS = 0.0, saveS = 0.0, deadlineS = null,
-        )
+        private fun Simulation.lonelyService(id: String): JobSpec =
+            randomSpec(id).copy(
+                className = ClassName("serving"),
+                kind = JobKind.SERVICE,
+                priority = Priority.PRODUCTION,
+                tasks = 2,
+                gpus = 1.0,
+                types = null,
+                zone = zones[LONELY],
+                oneZone = false,
+                spread = false,
+                spot = false,
+                estimateS = 0.0,
+                checkpointS = 0.0,
+                saveS = 0.0,
+                deadlineS = null,
+            )
 
         private fun Simulation.south(): SimNode = nodes.first { it.zone == zones[2] }
 
-        private fun Simulation.cancelSome(atMs: Long) = world.after(atMs) {
-            for ((id, job) in rules.jobs.entries.take(12)) if (job.accepted) cancel(id)
-        }
+        private fun Simulation.cancelSome(atMs: Long) =
+            world.after(atMs) {
+                for ((id, job) in rules.jobs.entries.take(12)) if (job.accepted) cancel(id)
+            }
 
         @JvmStatic
-        fun troubles() = listOf(
-            Trouble("apart") { it.separate(30_000, 40_000) },
-            Trouble("apart and the leader ends") {
-                it.separate(30_000, 40_000)
-                it.crash(40_000) { it.leader }
-            },
-            Trouble("apart and the delegate ends") {
-                it.separate(30_000, 40_000)
-                it.crash(42_000) { it.south() }
-            },
-            Trouble("the delegate ends just before, and is named anew") {
-                it.crash(28_000) { it.south() }
-                it.separate(34_500, 30_000)
-            },
-            Trouble("apart and cancellations fall into it") {
-                it.separate(30_000, 40_000)
-                it.cancelSome(31_000)
-                it.cancelSome(50_000)
-            },
-            Trouble("the link flaps") { day ->
-                for (round in 0..7) day.separate(25_000 + round * 7_000L, 4_000)
-            },
-            Trouble("apart with the delegate's own zone cut off as well") { day ->
-                day.separate(30_000, 40_000)
-                day.world.after(35_000) { day.weather.cutZones.add(day.zones[2]) }
-                day.world.after(60_000) { day.weather.cutZones.clear() }
-            },
-            Trouble("only the delegate's zone is cut off, and machines of the other one die") { day ->
-                day.world.after(30_000) { day.weather.cutZones.add(day.zones[2]) }
-                day.world.after(34_000) {
-                    day.cloud.workers.filter { it.zone == day.zones[LONELY] }.forEach { day.cloud.fail(it.id) }
-                }
-                day.world.after(65_000) { day.weather.cutZones.clear() }
-            },
-            Trouble("apart, with held frames, late reports and late writes") { day ->
-                day.weather.heldFrames = 0.002
-                day.weather.lateReports = 0.02
-                day.weather.lateWrites = 0.02
-                day.separate(30_000, 30_000)
-                day.cancelSome(45_000)
-                day.world.after(100_000) {
-                    day.weather.heldFrames = 0.0
-                    day.weather.lateReports = 0.0
-                    day.weather.lateWrites = 0.0
-                }
-            },
-            Trouble("apart while all controllers end") { day ->
-                day.separate(30_000, 40_000)
-                day.world.after(38_000) { for (node in day.nodes) node.crash() }
-                day.world.after(42_000) { for (node in day.nodes) if (!node.isUp) node.start() }
-            },
-        )
+        fun troubles() =
+            listOf(
+                Trouble("apart") { it.separate(30_000, 40_000) },
+                Trouble("apart and the leader ends") {
+                    it.separate(30_000, 40_000)
+                    it.crash(40_000) { it.leader }
+                },
+                Trouble("apart and the delegate ends") {
+                    it.separate(30_000, 40_000)
+                    it.crash(42_000) { it.south() }
+                },
+                Trouble("the delegate ends just before, and is named anew") {
+                    it.crash(28_000) { it.south() }
+                    it.separate(34_500, 30_000)
+                },
+                Trouble("apart and cancellations fall into it") {
+                    it.separate(30_000, 40_000)
+                    it.cancelSome(31_000)
+                    it.cancelSome(50_000)
+                },
+                Trouble("the link flaps") { day ->
+                    for (round in 0..7) day.separate(25_000 + round * 7_000L, 4_000)
+                },
+                Trouble("apart with the delegate's own zone cut off as well") { day ->
+                    day.separate(30_000, 40_000)
+                    day.world.after(35_000) { day.weather.cutZones.add(day.zones[2]) }
+                    day.world.after(60_000) { day.weather.cutZones.clear() }
+                },
+                Trouble("only the delegate's zone is cut off, and machines of the other one die") { day ->
+                    day.world.after(30_000) { day.weather.cutZones.add(day.zones[2]) }
+                    day.world.after(34_000) {
+                        day.cloud.workers
+                            .filter { it.zone == day.zones[LONELY] }
+                            .forEach { day.cloud.fail(it.id) }
+                    }
+                    day.world.after(65_000) { day.weather.cutZones.clear() }
+                },
+                Trouble("apart, with held frames, late reports and late writes") { day ->
+                    day.weather.heldFrames = 0.002
+                    day.weather.lateReports = 0.02
+                    day.weather.lateWrites = 0.02
+                    day.separate(30_000, 30_000)
+                    day.cancelSome(45_000)
+                    day.world.after(100_000) {
+                        day.weather.heldFrames = 0.0
+                        day.weather.lateReports = 0.0
+                        day.weather.lateWrites = 0.0
+                    }
+                },
+                Trouble("apart while all controllers end") { day ->
+                    day.separate(30_000, 40_000)
+                    day.world.after(38_000) { for (node in day.nodes) node.crash() }
+                    day.world.after(42_000) { for (node in day.nodes) if (!node.isUp) node.start() }
+                },
+            )
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/RulesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RulesTest.kt
@@ -31,24 +31,46 @@
     private val rules = Rules(world, mapOf("red" to 4.0), CANCEL_MS)
     private val zones = listOf(Zone("a"), Zone("b"))
     private val type = MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, zones)
-    private val workers = List(3) { index ->
-        SimWorker(
-            world, Book(), { emptyList() }, MachineId("host-00000$index"), type, zones[index % 2], false,
-            leaseMs = 1_000_000, pacing = HeartbeatPacing.Fixed(1_000),
-        )
-    }
+    private val workers =
+        List(3) { index ->
+            SimWorker(
+                world,
+                Book(),
+                { emptyList() },
+                MachineId("host-00000$index"),
+                type,
+                zones[index % 2],
+                false,
+                leaseMs = 1_000_000,
+                pacing = HeartbeatPacing.Fixed(1_000),
+            )
+        }
     private val serving = Serving(world, rules, { workers }, mapOf("red" to 4.0), 0)
-    private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(
-        id = JobId("run-1"), team = TeamName("red"), kind = JobKind.SERVICE, tasks = 3, cores = 1.0,
-        gpus = 1.0, memoryGb = 1.0, imageGb = 0.0, types = null, zone = null, oneZone = false, spread = false,
-    )
+    private val spec =
+        JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(
+            id = JobId("run-1"),
+            team = TeamName("red"),
+            kind = JobKind.SERVICE,
+            tasks = 3,
+            cores = 1.0,
+            gpus = 1.0,
+            memoryGb = 1.0,
+            imageGb = 0.0,
+            types = null,
+            zone = null,
+            oneZone = false,
+            spread = false,
+        )
 
     private inner class Book : JobBook {
         override fun spec(job: String): JobSpec? = rules.jobs[job]?.spec
 
         override fun runMs(job: String): Long = 10_000_000
 
-        override fun onStarted(machine: SimWorker, attempt: AttemptId) = rules.started(machine, attempt)
+        override fun onStarted(
+            machine: SimWorker,
+            attempt: AttemptId,
+        ) = rules.started(machine, attempt)
 
         override fun onDone(attempt: AttemptId) = rules.done(attempt)
     }
@@ -60,10 +82,16 @@
 
     private fun view(state: JobState) = JobStatus(spec.id, state, 0, 0)
 
-    private fun tell(state: JobState, askedMs: Long = world.nowMs) =
-        rules.told(spec.id.value, UserResponse.Known(view(state)), askedMs)
+    private fun tell(
+        state: JobState,
+        askedMs: Long = world.nowMs,
+    ) = rules.told(spec.id.value, UserResponse.Known(view(state)), askedMs)
 
-    private fun start(task: Int, host: Int, attempt: Long = 1) {
+    private fun start(
+        task: Int,
+        host: Int,
+        attempt: Long = 1,
+    ) {
         val command = WorkerCommand.Start(AttemptId(TaskId(spec.id, task), attempt))
         workers[host].direct(FencingToken(1), 1, listOf(command)) { _, _ -> }
         pass(1)
@@ -95,93 +123,98 @@
 
     @Test
     fun `each rule fires where it is broken, and only there`() {
-        class Case(val rule: String?, val name: String, val play: () -> Unit)
-        val cases = listOf(
-            Case(null, "all is well") {
-                repeat(3) { start(it, it) }
-                rules.check(workers)
-            },
-            Case("ran_twice", "a task on two machines") {
-                start(0, 0)
-                start(0, 1, attempt = 2)
-            },
-            Case("quota", "more than the team's limit") {
-                submit(spec.copy(gpus = 2.0))
-                repeat(3) { start(it, 0) }
-                rules.check(workers)
-            },
-            Case("wrong_place", "more than half in a zone") {
-                submit(spec.copy(spread = true))
-                repeat(3) { start(it, 0) }
-            },
-            Case("wrong_place", "two zones of a job for one") {
-                submit(spec.copy(oneZone = true))
-                repeat(2) { start(it, it) }
-            },
-            Case("ran_cancelled", "still there") {
-                start(0, 0)
-                cancel()
-                pass(CANCEL_MS + 1)
-                rules.check(workers)
-            },
-            Case("ran_cancelled", "starts too late") {
-                cancel()
-                pass(CANCEL_MS + 1)
-                start(0, 0)
-            },
-            Case(null, "gone in time") {
-                cancel()
-                pass(CANCEL_MS + 1)
-                rules.check(workers)
-            },
-            Case("forgotten", "404") { rules.told(spec.id.value, UserResponse.NotFound, world.nowMs) },
-            Case("forgotten", "422") { rules.told(spec.id.value, UserResponse.Rejected("no"), world.nowMs) },
-            Case("invented", "200 for nobody's job") {
-                rules.told("run-2", UserResponse.Known(view(JobState.QUEUED)), world.nowMs)
-            },
-            Case("not_done", "done before its tasks") { tell(JobState.DONE) },
-            Case("went_back", "cancelled by nobody") { tell(JobState.CANCELLED) },
-            Case("went_back", "running again") {
-                cancel()
-                pass(10)
-                tell(JobState.RUNNING)
-            },
-            Case(null, "an answer that crosses the cancellation") {
-                pass(10)
-                cancel()
-                tell(JobState.RUNNING, askedMs = world.nowMs - 5)
-            },
-            Case("too_early", "a task starts while a job that it needs runs") {
-                submit(spec.copy(dependsOn = listOf(needed.id)))
-                submit(needed)
-                start(0, 0)
-            },
-            Case(null, "all that it needs is done") {
-                submit(spec.copy(dependsOn = listOf(needed.id)))
-                submit(needed)
-                repeat(needed.tasks) { rules.done(AttemptId(TaskId(needed.id, it), 1)) }
-                start(0, 0)
-            },
-            Case("orphaned", "queued long after a job that it needs through another one was cancelled") {
-                orphan()
-                pass(CANCEL_MS + 1)
-                tell(JobState.QUEUED)
-            },
-            Case(null, "queued shortly after a job that it needs was cancelled") {
-                orphan()
-                pass(CANCEL_MS - 1)
-                tell(JobState.QUEUED)
-            },
-            Case(null, "cancelled with a job that it needs") {
-                orphan()
-                tell(JobState.CANCELLED)
-            },
-            Case("went_back", "accepted once more") {
-                cancel()
-                pass(10)
-                rules.told(spec.id.value, UserResponse.Accepted(view(JobState.QUEUED)), world.nowMs)
-            },
+        class Case(
+            val rule: String?,
+            val name: String,
+            val play: () -> Unit,
         )
+        val cases =
+            listOf(
+                Case(null, "all is well") {
+                    repeat(3) { start(it, it) }
+                    rules.check(workers)
+                },
+                Case("ran_twice", "a task on two machines") {
+                    start(0, 0)
+                    start(0, 1, attempt = 2)
+                },
+                Case("quota", "more than the team's limit") {
+                    submit(spec.copy(gpus = 2.0))
+                    repeat(3) { start(it, 0) }
+                    rules.check(workers)
+                },
+                Case("wrong_place", "more than half in a zone") {
+                    submit(spec.copy(spread = true))
+                    repeat(3) { start(it, 0) }
+                },
+                Case("wrong_place", "two zones of a job for one") {
+                    submit(spec.copy(oneZone = true))
+                    repeat(2) { start(it, it) }
+                },
+                Case("ran_cancelled", "still there") {
+                    start(0, 0)
+                    cancel()
+                    pass(CANCEL_MS + 1)
+                    rules.check(workers)
+                },
+                Case("ran_cancelled", "starts too late") {
+                    cancel()
+                    pass(CANCEL_MS + 1)
+                    start(0, 0)
+                },
+                Case(null, "gone in time") {
+                    cancel()
+                    pass(CANCEL_MS + 1)
+                    rules.check(workers)
+                },
+                Case("forgotten", "404") { rules.told(spec.id.value, UserResponse.NotFound, world.nowMs) },
+                Case("forgotten", "422") { rules.told(spec.id.value, UserResponse.Rejected("no"), world.nowMs) },
+                Case("invented", "200 for nobody's job") {
+                    rules.told("run-2", UserResponse.Known(view(JobState.QUEUED)), world.nowMs)
+                },
+                Case("not_done", "done before its tasks") { tell(JobState.DONE) },
+                Case("went_back", "cancelled by nobody") { tell(JobState.CANCELLED) },
+                Case("went_back", "running again") {
+                    cancel()
+                    pass(10)
+                    tell(JobState.RUNNING)
+                },
+                Case(null, "an answer that crosses the cancellation") {
+                    pass(10)
+                    cancel()
+                    tell(JobState.RUNNING, askedMs = world.nowMs - 5)
+                },
+                Case("too_early", "a task starts while a job that it needs runs") {
+                    submit(spec.copy(dependsOn = listOf(needed.id)))
+                    submit(needed)
+                    start(0, 0)
+                },
+                Case(null, "all that it needs is done") {
+                    submit(spec.copy(dependsOn = listOf(needed.id)))
+                    submit(needed)
+                    repeat(needed.tasks) { rules.done(AttemptId(TaskId(needed.id, it), 1)) }
+                    start(0, 0)
+                },
+                Case("orphaned", "queued long after a job that it needs through another one was cancelled") {
+                    orphan()
+                    pass(CANCEL_MS + 1)
+                    tell(JobState.QUEUED)
+                },
+                Case(null, "queued shortly after a job that it needs was cancelled") {
+                    orphan()
+                    pass(CANCEL_MS - 1)
+                    tell(JobState.QUEUED)
+                },
+                Case(null, "cancelled with a job that it needs") {
+                    orphan()
+                    tell(JobState.CANCELLED)
+                },
+                Case("went_back", "accepted once more") {
+                    cancel()
+                    pass(10)
+                    rules.told(spec.id.value, UserResponse.Accepted(view(JobState.QUEUED)), world.nowMs)
+                },
+            )
         for (case in cases) {
             rules.broken.clear()
             rules.jobs.clear()
--- a/src/test/kotlin/oxbowlug/sim/Serving.kt
+++ b/src/test/kotlin/oxbowlug/sim/Serving.kt
@@ -36,23 +36,36 @@
         }
     }
 
-    private fun waitsBesideRoom(id: String, job: Rules.Known): Boolean {
+    private fun waitsBesideRoom(
+        id: String,
+        job: Rules.Known,
+    ): Boolean {
         if (rules.ancestors(job).any { it.told != JobState.DONE }) return false
-        val running = workers().filter { it.alive }.flatMap { host ->
-            host.tasks.values.filter { it.cause == null && it.attempt.task.job.value == id }
-                .map { it.attempt.task to host }
-        }.toMap()
+        val running =
+            workers()
+                .filter { it.alive }
+                .flatMap { host ->
+                    host.tasks.values
+                        .filter { it.cause == null && it.attempt.task.job.value == id }
+                        .map { it.attempt.task to host }
+                }.toMap()
         if (running.size + job.done.size >= job.spec.tasks) return false
         val team = job.spec.team.value
-        val used = workers().flatMap { it.onMachine() }
-            .mapNotNull { rules.jobs[it.attempt.task.job.value]?.spec }
-            .filter { it.team.value == team }
-            .sumOf { it.gpus }
+        val used =
+            workers()
+                .flatMap { it.onMachine() }
+                .mapNotNull { rules.jobs[it.attempt.task.job.value]?.spec }
+                .filter { it.team.value == team }
+                .sumOf { it.gpus }
         if (used + job.spec.gpus > (limits[team] ?: Double.MAX_VALUE)) return false
         return workers().any { fits(job, it, running.values) }
     }
 
-    private fun fits(job: Rules.Known, host: SimWorker, others: Collection<SimWorker>): Boolean {
+    private fun fits(
+        job: Rules.Known,
+        host: SimWorker,
+        others: Collection<SimWorker>,
+    ): Boolean {
         val spec = job.spec
         if (!host.alive || host.isHung || host.spot && !spec.spot) return false
         if (spec.zone != null && spec.zone != host.zone) return false
@@ -65,13 +78,15 @@
     /** Classes, teams and largest jobs of which less than half is served, or that began too late. */
     fun neglected(): List<String> {
         val jobs = rules.jobs.values.filter { it.accepted && !rules.isCalledOff(it) }
-        val groups = jobs.groupBy { "class ${it.spec.className}" } + jobs.groupBy { "team ${it.spec.team}" } +
-            largest(jobs).groupBy { "largest ${it.spec.className}" }
+        val groups =
+            jobs.groupBy { "class ${it.spec.className}" } + jobs.groupBy { "team ${it.spec.team}" } +
+                largest(jobs).groupBy { "largest ${it.spec.className}" }
         val few = groups.filterValues { group -> group.count(::isServed) * 2 < group.size }.keys
-        val late = largest(jobs).filter { job ->
-            val acceptedAt = job.acceptedAt ?: return@filter false
-            (job.firstStartAt ?: world.nowMs) - acceptedAt > LARGEST_BEGIN_MS
-        }
+        val late =
+            largest(jobs).filter { job ->
+                val acceptedAt = job.acceptedAt ?: return@filter false
+                (job.firstStartAt ?: world.nowMs) - acceptedAt > LARGEST_BEGIN_MS
+            }
         val neglected = few.map { "$it: less than half served" }
         return neglected + late.map { "${it.spec.id}: among the largest, began too late" }
     }
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -36,7 +36,11 @@
 import kotlin.random.Random
 
 /** Faults of messages, as shares of them. */
-internal class Weather(var lost: Double = 0.0, var late: Double = 0.0, var lateMs: Long = 20_000) {
+internal class Weather(
+    var lost: Double = 0.0,
+    var late: Double = 0.0,
+    var lateMs: Long = 20_000,
+) {
     /** Shares of transactions that get no answer: carried out at once, or 2 to 12 s later, after newer ones. */
     var unansweredWrites = 0.0
 
@@ -66,7 +70,10 @@
     val separatedZones = HashSet<Zone>()
 
     /** Whether these two can't reach each other; null stands for what belongs to no zone. */
-    fun apart(one: Zone?, other: Zone?): Boolean =
+    fun apart(
+        one: Zone?,
+        other: Zone?,
+    ): Boolean =
         one != other && (one in cutZones || other in cutZones) || (one in separatedZones) != (other in separatedZones)
 }
 
@@ -141,20 +148,24 @@
         val random = Random(world.random.nextLong())
         val self = Member(label, "life$life-${random.nextInt(1_000_000)}")
         lateinit var started: Controller
-        started = Controller(settings, self, state, cloud, workers, clock, Counting(), random, peers) {
-            if (!draining) {
-                draining = true
-                world.after(pauseLeftMs) {
-                    draining = false
-                    if (lives == life && core != null) started.drain()
+        started =
+            Controller(settings, self, state, cloud, workers, clock, Counting(), random, peers) {
+                if (!draining) {
+                    draining = true
+                    world.after(pauseLeftMs) {
+                        draining = false
+                        if (lives == life && core != null) started.drain()
+                    }
                 }
             }
-        }
         core = started
         tick(life, started)
     }
 
-    private fun tick(life: Int, running: Controller) {
+    private fun tick(
+        life: Int,
+        running: Controller,
+    ) {
         if (lives != life || core == null) return
         if (pauseLeftMs > 0) return world.after(pauseLeftMs) { tick(life, running) }
         running.offer(ControllerEvent.Tick)
@@ -170,7 +181,11 @@
     private val heldUntil = HashMap<SimNode, Long>()
 
     /** In order, also what was held on its way, and also when this process has ended meanwhile. */
-    private fun deliver(peer: SimNode, usualMs: Long, frame: (Controller) -> Unit) {
+    private fun deliver(
+        peer: SimNode,
+        usualMs: Long,
+        frame: (Controller) -> Unit,
+    ) {
         if (!reaches(peer)) return
         val until = heldUntil[peer] ?: 0L
         if (weather.heldFrames > 0.0 && world.nowMs >= until && world.chance(weather.heldFrames)) {
@@ -192,35 +207,50 @@
         lives++
     }
 
-    override fun receive(report: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit) {
+    override fun receive(
+        report: WorkerHeartbeat,
+        answer: (HeartbeatResponse?) -> Unit,
+    ) {
         val running = core
 
         fun isCut() = cut || withoutWorkers || weather.apart(zone, report.zone)
 
         if (isCut()) return
-        if (running == null)
+        if (running == null) {
             answer(null)
-        else
+        } else {
             running.offer(
                 ControllerEvent.Heartbeat(report) {
                     trace?.reportAnswer(world.nowMs, label, report, it)
                     if (!isCut()) answer(it)
-                }
+                },
             )
+        }
     }
 
     /** False when nobody listens. */
     fun ask(command: ControllerEvent): Boolean = !isAway && (core?.offer(command) ?: false)
 
-    private inner class Ports(private val life: Int) : StatePort, CloudPort, WorkerPort, PeerPort {
-        override fun send(label: String, notice: CancellationNotice) {
+    private inner class Ports(
+        private val life: Int,
+    ) : StatePort,
+        CloudPort,
+        WorkerPort,
+        PeerPort {
+        override fun send(
+            label: String,
+            notice: CancellationNotice,
+        ) {
             val peer = peers().first { it.label == label }
             deliver(peer, usualMs = 1) { it.offer(ControllerEvent.CancellationNoticeReceived(notice)) }
         }
 
         override fun heartbeatChanged() = Unit
 
-        override fun status(endpoint: Address, done: (WorkerHeartbeat?) -> Unit) {
+        override fun status(
+            endpoint: Address,
+            done: (WorkerHeartbeat?) -> Unit,
+        ) {
             val worker = endpoints(endpoint)
             val isCut = cut || withoutWorkers || weather.apart(zone, worker?.zone)
             if (isCut || worker == null || !worker.alive) return settle(TIMEOUT_MS, null, done)
@@ -241,12 +271,22 @@
             }
         }
 
-        private fun <T> settle(delayMs: Long, outcome: T, done: (T) -> Unit) {
+        private fun <T> settle(
+            delayMs: Long,
+            outcome: T,
+            done: (T) -> Unit,
+        ) {
             world.after(delayMs) { if (lives == life) core?.offer(ControllerEvent.CallCompleted { done(outcome) }) }
         }
 
         /** A call whose request or answer may be lost, and whose request may be executed late. */
-        private fun <T> call(reachable: () -> Boolean, away: T, lost: T, done: (T) -> Unit, execute: () -> T) {
+        private fun <T> call(
+            reachable: () -> Boolean,
+            away: T,
+            lost: T,
+            done: (T) -> Unit,
+            execute: () -> T,
+        ) {
             if (cut || !reachable()) return settle(world.between(1, 10), away, done)
             if (world.chance(weather.late)) {
                 settle(TIMEOUT_MS, lost, done)
@@ -270,7 +310,10 @@
         /** Of this life: an old process that ends with a write on its way stays what it was. */
         private val runsOld = isOld
 
-        override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) {
+        override fun commit(
+            transaction: Transaction,
+            done: (CommitOutcome) -> Unit,
+        ) {
             if (runsOld && transaction.changes.any { OldVersion.ignores(it.key) }) {
                 return settle(world.between(1, 10), CommitOutcome.Applied(0), done)
             }
@@ -289,23 +332,37 @@
         /** Draws no number for a trouble that the day doesn't have, so that other days stay what they were. */
         private fun happens(share: Double): Boolean = share > 0.0 && world.chance(share)
 
-        private fun commitAnsweredLate(transaction: Transaction, done: (CommitOutcome) -> Unit) =
-            world.after(world.between(1, 5)) {
-                val outcome = if (store.down) CommitOutcome.Refused else store.commit(transaction)
-                settle(world.between(50, 1_500), outcome, done)
-            }
+        private fun commitAnsweredLate(
+            transaction: Transaction,
+            done: (CommitOutcome) -> Unit,
+        ) = world.after(world.between(1, 5)) {
+            val outcome = if (store.down) CommitOutcome.Refused else store.commit(transaction)
+            settle(world.between(50, 1_500), outcome, done)
+        }
 
-        override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) {
+        override fun readPage(
+            prefix: String,
+            after: String?,
+            done: (ReadPage?) -> Unit,
+        ) {
             val slow = weather.slowPages ?: return readNow(prefix, after, done)
             world.after(world.between(slow)) { readNow(prefix, after, done) }
         }
 
-        private fun readNow(prefix: String, after: String?, done: (ReadPage?) -> Unit) =
-            call<ReadPage?>(::stateUp, null, null, done) {
-                store.read(prefix, after, 7).let { if (runsOld) OldVersion.reads(it) else it }
-            }
+        private fun readNow(
+            prefix: String,
+            after: String?,
+            done: (ReadPage?) -> Unit,
+        ) = call<ReadPage?>(::stateUp, null, null, done) {
+            store.read(prefix, after, 7).let { if (runsOld) OldVersion.reads(it) else it }
+        }
 
-        override fun changes(prefix: String, from: Long, waitMs: Long, done: (ChangesOutcome) -> Unit) {
+        override fun changes(
+            prefix: String,
+            from: Long,
+            waitMs: Long,
+            done: (ChangesOutcome) -> Unit,
+        ) {
             if (waitMs == 0L) {
                 return call(::stateUp, ChangesOutcome.Failed, ChangesOutcome.Failed, done) {
                     seen(store.changes(prefix, from))
@@ -328,16 +385,21 @@
         }
 
         private fun seen(outcome: ChangesOutcome): ChangesOutcome =
-            if (runsOld && outcome is ChangesOutcome.Read)
+            if (runsOld && outcome is ChangesOutcome.Read) {
                 ChangesOutcome.Read(OldVersion.reads(outcome.changes))
-            else
+            } else {
                 outcome
+            }
 
-        override fun grant(lifeMs: Long, done: (Long?) -> Unit) =
-            call<Long?>(::stateUp, null, null, done) { store.grant(lifeMs) }
+        override fun grant(
+            lifeMs: Long,
+            done: (Long?) -> Unit,
+        ) = call<Long?>(::stateUp, null, null, done) { store.grant(lifeMs) }
 
-        override fun touch(lease: Long, done: (TouchOutcome) -> Unit) =
-            call(::stateUp, TouchOutcome.FAILED, TouchOutcome.FAILED, done) { store.touch(lease) }
+        override fun touch(
+            lease: Long,
+            done: (TouchOutcome) -> Unit,
+        ) = call(::stateUp, TouchOutcome.FAILED, TouchOutcome.FAILED, done) { store.touch(lease) }
 
         override fun release(lease: Long) = call(::stateUp, Unit, Unit, {}) { store.release(lease) }
 
@@ -346,14 +408,18 @@
         override fun types(done: (List<MachineType>?) -> Unit) =
             call<List<MachineType>?>(::cloudUp, null, null, done) { cloud.types }
 
-        override fun rent(request: RentalRequest, done: (RentalOutcome) -> Unit) =
-            call(::cloudUp, RentalOutcome.Refused, RentalOutcome.Unanswered, done) { cloud.rent(request) }
-
-        override fun returnMachines(machines: List<MachineId>, done: (Boolean) -> Unit) =
-            call(::cloudUp, false, false, done) {
-                cloud.returnMachines(machines)
-                true
-            }
+        override fun rent(
+            request: RentalRequest,
+            done: (RentalOutcome) -> Unit,
+        ) = call(::cloudUp, RentalOutcome.Refused, RentalOutcome.Unanswered, done) { cloud.rent(request) }
+
+        override fun returnMachines(
+            machines: List<MachineId>,
+            done: (Boolean) -> Unit,
+        ) = call(::cloudUp, false, false, done) {
+            cloud.returnMachines(machines)
+            true
+        }
 
         override fun list(done: (List<ListedMachine>?) -> Unit) =
             call<List<ListedMachine>?>(::cloudUp, null, null, done) { cloud.list() }
@@ -389,7 +455,10 @@
     }
 
     private inner class Counting : Meters {
-        override fun planned(nanos: Long, priced: Int) {
+        override fun planned(
+            nanos: Long,
+            priced: Int,
+        ) {
             plans++
             this@SimNode.priced += priced
         }
--- a/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
@@ -8,7 +8,10 @@
 import oxbowlug.standin.SimWorker
 
 /** Plays a drawn schedule of faults on virtual time. */
-internal class SimulatedFaults(private val day: Simulation, private val leaseMs: Long) {
+internal class SimulatedFaults(
+    private val day: Simulation,
+    private val leaseMs: Long,
+) {
     private val world = day.world
     private val weather = day.weather
 
@@ -55,9 +58,10 @@
             FaultKind.HANG_WORKERS -> some(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
             FaultKind.UNANSWERED_THEN_MUTE_WORKERS -> some(fault).forEach { LostAnswers(world, leaseMs).begin(it) }
             FaultKind.CANCEL_RUNNING -> cancelRunning(fault)
-            FaultKind.CANCEL_RUNNING_AND_HANG -> cancelRunning(fault).forEach {
-                it.hungUntil = world.nowMs + fault.forMs
-            }
+            FaultKind.CANCEL_RUNNING_AND_HANG ->
+                cancelRunning(fault).forEach {
+                    it.hungUntil = world.nowMs + fault.forMs
+                }
         }
     }
 
@@ -66,19 +70,27 @@
         withoutPeers = isCut
     }
 
-    private fun hold(fault: Fault, set: (Boolean) -> Unit) {
+    private fun hold(
+        fault: Fault,
+        set: (Boolean) -> Unit,
+    ) {
         set(true)
         world.after(fault.forMs) { set(false) }
     }
 
-    private fun kill(nodes: List<SimNode>, fault: Fault) {
+    private fun kill(
+        nodes: List<SimNode>,
+        fault: Fault,
+    ) {
         val running = nodes.filter { it.isUp }
         running.forEach { it.crash() }
         world.after(fault.forMs) { running.filterNot { it.isUp }.forEach { it.start() } }
     }
 
     private fun some(fault: Fault): List<SimWorker> =
-        day.cloud.workers.shuffled(world.random).take(1 + fault.target % MOST_WORKERS)
+        day.cloud.workers
+            .shuffled(world.random)
+            .take(1 + fault.target % MOST_WORKERS)
 
     /** Returns the machines that hold what is called off. */
     private fun cancelRunning(fault: Fault): Set<SimWorker> {
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -72,10 +72,11 @@
     private val pacing = HeartbeatPacing.Fixed(shape.reportMs)
     val weather = Weather()
     val zones = shape.zones.map(::Zone)
-    private val types = listOf(
-        MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, zones),
-        MachineType(TypeName("c32"), 32.0, 0.0, 128.0, 35.0, 0.5, 1.2, 0.5, 5.0, zones),
-    )
+    private val types =
+        listOf(
+            MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, zones),
+            MachineType(TypeName("c32"), 32.0, 0.0, 128.0, 35.0, 0.5, 1.2, 0.5, 5.0, zones),
+        )
     val store = SimStore(world, shape.keptChanges)
     val cloud = SimCloud(world, types, shape.capacity, LIST_LAG_MS, ::makeWorker)
 
@@ -83,9 +84,10 @@
     var bootMs: Long? by cloud::bootMs
     val rules = Rules(world, shape.teamLimits, CANCEL_MS, store::names)
     val serving = Serving(world, rules, { cloud.workers }, shape.teamLimits, shape.calmFromMs)
-    val nodes: List<SimNode> = List(shape.nodes) { index ->
-        SimNode(world, settings(index), store, cloud, weather, ::byEndpoint, ::peers)
-    }
+    val nodes: List<SimNode> =
+        List(shape.nodes) { index ->
+            SimNode(world, settings(index), store, cloud, weather, ::byEndpoint, ::peers)
+        }
     private val runMs = HashMap<String, Long>()
     private var submitted = 0
 
@@ -121,8 +123,12 @@
 
     private fun byEndpoint(address: Address) = cloud.at(address.toString())
 
-    private fun makeWorker(id: MachineId, type: MachineType, zone: Zone, spot: Boolean) =
-        SimWorker(world, this, { nodes }, id, type, zone, spot, shape.leaseMs, pacing, ::copied)
+    private fun makeWorker(
+        id: MachineId,
+        type: MachineType,
+        zone: Zone,
+        spot: Boolean,
+    ) = SimWorker(world, this, { nodes }, id, type, zone, spot, shape.leaseMs, pacing, ::copied)
 
     private val kept = ArrayList<WorkerHeartbeat>()
     private var lastLeader: Any? = null
@@ -151,7 +157,10 @@
 
     override fun runMs(job: String): Long = runMs.getValue(job)
 
-    override fun onStarted(machine: SimWorker, attempt: AttemptId) = rules.started(machine, attempt)
+    override fun onStarted(
+        machine: SimWorker,
+        attempt: AttemptId,
+    ) = rules.started(machine, attempt)
 
     /** Share of the tasks' ends at which the job is called off in the same moment, the last ones above all. */
     var cancelsAtEnd = 0.0
@@ -166,31 +175,38 @@
         if (world.chance(cancelsAtEnd)) world.after(world.between(0, 400)) { cancel(id) }
     }
 
-    private fun settings(index: Int) = Settings(
-        label = "n$index",
-        zone = zones[index % zones.size],
-        clientListen = Address("127.0.0.1", 8080),
-        peerListen = Address("127.0.0.1", 8081),
-        peers = (0 until shape.nodes).filter { it != index }.map { other ->
-            Peer("n$other", zones[other % zones.size], Address("127.0.0.1", 8081))
-        },
-        cloudAddress = Address("127.0.0.1", 8443),
-        stateAddress = Address("127.0.0.1", 2379),
-        zones = zones,
-        skewMs = 100.0,
-        teams = shape.teamLimits.map { (name, limit) ->
-            Team(TeamName(name), 0.0, Double.POSITIVE_INFINITY, shape.teamGuarantee, limit)
-        }.associateBy { it.name },
-        objectives = emptyList(),
-        workers = WorkerSettings(shape.reportMs / 1000.0, shape.leaseMs / 1000.0, CANCEL_MS / 1000.0),
-        state = StateSettings(shape.writeRps * 12.0, WriteLimits(shape.writeRps, 16.0, 12), shape.nextLimits),
-        cloud = CloudSettings(4.0, LIST_LAG_MS / 1000.0),
-        limits = LimitSettings(150.0, 600),
-        policy = policy,
-    )
+    private fun settings(index: Int) =
+        Settings(
+            label = "n$index",
+            zone = zones[index % zones.size],
+            clientListen = Address("127.0.0.1", 8080),
+            peerListen = Address("127.0.0.1", 8081),
+            peers =
+                (0 until shape.nodes).filter { it != index }.map { other ->
+                    Peer("n$other", zones[other % zones.size], Address("127.0.0.1", 8081))
+                },
+            cloudAddress = Address("127.0.0.1", 8443),
+            stateAddress = Address("127.0.0.1", 2379),
+            zones = zones,
+            skewMs = 100.0,
+            teams =
+                shape.teamLimits
+                    .map { (name, limit) ->
+                        Team(TeamName(name), 0.0, Double.POSITIVE_INFINITY, shape.teamGuarantee, limit)
+                    }.associateBy { it.name },
+            objectives = emptyList(),
+            workers = WorkerSettings(shape.reportMs / 1000.0, shape.leaseMs / 1000.0, CANCEL_MS / 1000.0),
+            state = StateSettings(shape.writeRps * 12.0, WriteLimits(shape.writeRps, 16.0, 12), shape.nextLimits),
+            cloud = CloudSettings(4.0, LIST_LAG_MS / 1000.0),
+            limits = LimitSettings(150.0, 600),
+            policy = policy,
+        )
 
     /** Users: one who submits every now and then, polls what is open, and cancels services after a while. */
-    fun users(everyMs: Long, untilMs: Long) {
+    fun users(
+        everyMs: Long,
+        untilMs: Long,
+    ) {
         world.after(world.between(everyMs / 2, everyMs * 3 / 2)) {
             if (world.nowMs < untilMs) {
                 submitNext()
@@ -205,7 +221,11 @@
      * Users whose work comes in stages: one, two that need it, and a last one with a deadline that needs both and the
      * first. Each is submitted as soon as those that it needs are accepted; now and then one is called off.
      */
-    fun pipelines(everyMs: Long, untilMs: Long, cancelled: Double = 0.2) {
+    fun pipelines(
+        everyMs: Long,
+        untilMs: Long,
+        cancelled: Double = 0.2,
+    ) {
         world.after(world.between(everyMs / 2, everyMs * 3 / 2)) {
             if (world.nowMs < untilMs) {
                 submitPipeline("pipe-%04d".format(pipelines++), cancelled)
@@ -214,7 +234,10 @@
         }
     }
 
-    private fun submitPipeline(name: String, cancelled: Double) {
+    private fun submitPipeline(
+        name: String,
+        cancelled: Double,
+    ) {
         val first = stage("$name-a")
         val second = listOf("b", "c").map { stage("$name-$it", first) }
         val last = stage("$name-d", first, *second.toTypedArray()).copy(deadlineS = 60.0, priority = Priority.HIGH)
@@ -231,36 +254,44 @@
     }
 
     /** A stage of a pipeline: some short tasks without GPUs, few on a machine so that records are long. */
-    fun stage(id: String, vararg needs: JobSpec): JobSpec = randomSpec(id).copy(
-        className = ClassName("stage"),
-        kind = JobKind.ARRAY,
-        priority = Priority.LOW,
-        tasks = 1 + world.random.nextInt(12),
-        cores = 16.0,
-        gpus = 0.0,
-        types = null,
-        zone = null,
-        spread = false,
-        oneZone = false,
-        spot = true,
-        estimateS = 4.0,
-        deadlineS = null,
-        dependsOn = needs.map { it.id },
-    )
+    fun stage(
+        id: String,
+        vararg needs: JobSpec,
+    ): JobSpec =
+        randomSpec(id).copy(
+            className = ClassName("stage"),
+            kind = JobKind.ARRAY,
+            priority = Priority.LOW,
+            tasks = 1 + world.random.nextInt(12),
+            cores = 16.0,
+            gpus = 0.0,
+            types = null,
+            zone = null,
+            spread = false,
+            oneZone = false,
+            spot = true,
+            estimateS = 4.0,
+            deadlineS = null,
+            dependsOn = needs.map { it.id },
+        )
 
     private fun submitAfter(spec: JobSpec) {
         if (spec.dependsOn.all {
                 rules.jobs[it.value]?.accepted == true
             }
-        )
+        ) {
             submit(spec)
-        else
+        } else {
             world.after(50) { submitAfter(spec) }
+        }
     }
 
     private fun submitNext() = submit(randomSpec("run-%06d".format(submitted++)))
 
-    fun submit(spec: JobSpec, taskMs: Long = world.between(2_000, 15_000)) {
+    fun submit(
+        spec: JobSpec,
+        taskMs: Long = world.between(2_000, 15_000),
+    ) {
         val id = spec.id.value
         rules.jobs[id] = Rules.Known(spec)
         runMs[id] = taskMs
@@ -292,10 +323,11 @@
                 val isFinal = told == oxbowlug.wire.JobState.DONE || told == oxbowlug.wire.JobState.CANCELLED
                 if (isFinal) rules.jobs[id]?.let { lookClosely(it.spec) }
                 // Now and then a user asks again long after the end.
-                if (!isFinal)
+                if (!isFinal) {
                     poll(id)
-                else if (world.chance(0.5))
+                } else if (world.chance(0.5)) {
                     world.after(20_000) { poll(id) }
+                }
             }
         }
     }
@@ -312,7 +344,11 @@
     }
 
     /** A cancellation that this controller is asked for, once. */
-    fun cancelAt(node: SimNode, id: String, whenTold: () -> Unit = {}) {
+    fun cancelAt(
+        node: SimNode,
+        id: String,
+        whenTold: () -> Unit = {},
+    ) {
         rules.jobs.getValue(id).askedToCancel = true
         val askedMs = world.nowMs
         val tell: (UserResponse) -> Unit = {
@@ -328,7 +364,10 @@
             return nodes.first { it.label == label }
         }
 
-    fun pollUnknown(id: String, told: (UserResponse?) -> Unit) = ask({ ControllerEvent.Poll(JobId(id), it) }, told)
+    fun pollUnknown(
+        id: String,
+        told: (UserResponse?) -> Unit,
+    ) = ask({ ControllerEvent.Poll(JobId(id), it) }, told)
 
     /** Users ask every controller within milliseconds of an answer, and repeat the submission; some cancel at once. */
     var closeLooks = 0.0
@@ -341,7 +380,16 @@
                 world.after(world.between(0, 30) + round * 40L) {
                     val askedMs = world.nowMs
                     val tell: (UserResponse) -> Unit = { rules.told(id, it, askedMs) }
-                    node.ask(if (world.chance(0.7)) ControllerEvent.Poll(spec.id, tell) else ControllerEvent.Submit(spec, tell))
+                    node.ask(
+                        if (world.chance(
+                                0.7,
+                            )
+                        ) {
+                            ControllerEvent.Poll(spec.id, tell)
+                        } else {
+                            ControllerEvent.Submit(spec, tell)
+                        },
+                    )
                 }
             }
         }
@@ -349,7 +397,10 @@
     }
 
     /** One request through the load balancer: null when nobody answered in time. */
-    private fun ask(command: ((UserResponse) -> Unit) -> ControllerEvent, told: (UserResponse?) -> Unit) {
+    private fun ask(
+        command: ((UserResponse) -> Unit) -> ControllerEvent,
+        told: (UserResponse?) -> Unit,
+    ) {
         val up = nodes.filter { it.isUp && !it.isAway }
         var answered = false
         val reply: (UserResponse?) -> Unit = { answer ->
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -15,7 +15,10 @@
 
 /** Days on virtual time: after every step the protocol's rules hold, and once all is well again all work is served. */
 internal class SimulationTest {
-    class Trouble(val name: String, val cause: (Simulation) -> Unit) {
+    class Trouble(
+        val name: String,
+        val cause: (Simulation) -> Unit,
+    ) {
         override fun toString() = name
     }
 
@@ -45,7 +48,11 @@
         day.run(10_000)
         for (node in day.nodes) node.crash()
         day.run(14_500)
-        val report = day.cloud.workers.first().sent.last()
+        val report =
+            day.cloud.workers
+                .first()
+                .sent
+                .last()
         var answer: HeartbeatResponse? = null
         day.nodes[0].start()
         day.nodes[0].receive(report) { answer = it }
@@ -71,8 +78,13 @@
             day.run(25_000)
             val cut = day.zones[(day.leaderIndex() + leadersZone) % 2]
 
-            fun running() = day.cloud.workers.filter { it.zone == cut }.flatMap { it.onMachine() }
-                .filter { day.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }.map { it.attempt }.toSet()
+            fun running() =
+                day.cloud.workers
+                    .filter { it.zone == cut }
+                    .flatMap { it.onMachine() }
+                    .filter { day.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
+                    .map { it.attempt }
+                    .toSet()
 
             val before = running()
             day.weather.cutZones.add(cut)
@@ -89,9 +101,16 @@
     companion object {
         private val LATER = 60_000L..90_000L
 
-        private fun Simulation.at(ms: Long, action: Simulation.() -> Unit) = world.after(ms) { action() }
+        private fun Simulation.at(
+            ms: Long,
+            action: Simulation.() -> Unit,
+        ) = world.after(ms) { action() }
 
-        private fun Simulation.crash(index: Int, atMs: Long, forMs: Long) {
+        private fun Simulation.crash(
+            index: Int,
+            atMs: Long,
+            forMs: Long,
+        ) {
             at(atMs) { nodes[index].crash() }
             at(atMs + forMs) { nodes[index].start() }
         }
@@ -101,7 +120,10 @@
             return nodes.indexOfFirst { it.label == label }.coerceAtLeast(0)
         }
 
-        private fun Simulation.crashLeader(atMs: Long, forMs: Long) = at(atMs) {
+        private fun Simulation.crashLeader(
+            atMs: Long,
+            forMs: Long,
+        ) = at(atMs) {
             val node = nodes[leaderIndex()]
             if (node.isUp) {
                 node.crash()
@@ -109,7 +131,10 @@
             }
         }
 
-        private fun Simulation.stormy(lost: Double, late: Double) {
+        private fun Simulation.stormy(
+            lost: Double,
+            late: Double,
+        ) {
             weather.lost = lost
             weather.late = late
             at(110_000) {
@@ -118,43 +143,82 @@
             }
         }
 
-        private fun Simulation.spell(atMs: Long, forMs: Long, begin: () -> Unit, end: () -> Unit) {
+        private fun Simulation.spell(
+            atMs: Long,
+            forMs: Long,
+            begin: () -> Unit,
+            end: () -> Unit,
+        ) {
             at(atMs) { begin() }
             at(atMs + forMs) { end() }
         }
 
-        private fun Simulation.lateWrites(share: Double, atMs: Long, forMs: Long) =
-            spell(atMs, forMs, { weather.lateWrites = share }, { weather.lateWrites = 0.0 })
+        private fun Simulation.lateWrites(
+            share: Double,
+            atMs: Long,
+            forMs: Long,
+        ) = spell(atMs, forMs, { weather.lateWrites = share }, { weather.lateWrites = 0.0 })
 
-        private fun Simulation.unansweredWrites(share: Double, atMs: Long, forMs: Long) =
-            spell(atMs, forMs, { weather.unansweredWrites = share }, { weather.unansweredWrites = 0.0 })
+        private fun Simulation.unansweredWrites(
+            share: Double,
+            atMs: Long,
+            forMs: Long,
+        ) = spell(atMs, forMs, { weather.unansweredWrites = share }, { weather.unansweredWrites = 0.0 })
 
-        private fun Simulation.lateReports(share: Double, atMs: Long, forMs: Long) =
-            spell(atMs, forMs, { weather.lateReports = share }, { weather.lateReports = 0.0 })
+        private fun Simulation.lateReports(
+            share: Double,
+            atMs: Long,
+            forMs: Long,
+        ) = spell(atMs, forMs, { weather.lateReports = share }, { weather.lateReports = 0.0 })
 
-        private fun Simulation.reportsForNext(share: Double, atMs: Long, forMs: Long) =
-            spell(atMs, forMs, { weather.reportsForNext = share }, { weather.reportsForNext = 0.0 })
+        private fun Simulation.reportsForNext(
+            share: Double,
+            atMs: Long,
+            forMs: Long,
+        ) = spell(atMs, forMs, { weather.reportsForNext = share }, { weather.reportsForNext = 0.0 })
 
-        private fun Simulation.deaf(count: Int, atMs: Long, forMs: Long) = at(atMs) {
-            cloud.workers.shuffled(world.random).take(count).forEach { it.unresponsiveUntil = atMs + forMs }
+        private fun Simulation.deaf(
+            count: Int,
+            atMs: Long,
+            forMs: Long,
+        ) = at(atMs) {
+            cloud.workers
+                .shuffled(world.random)
+                .take(count)
+                .forEach { it.unresponsiveUntil = atMs + forMs }
         }
 
-        private fun Simulation.mute(count: Int, atMs: Long, forMs: Long) = at(atMs) {
-            cloud.workers.shuffled(world.random).take(count).forEach { it.muteUntil = atMs + forMs }
+        private fun Simulation.mute(
+            count: Int,
+            atMs: Long,
+            forMs: Long,
+        ) = at(atMs) {
+            cloud.workers
+                .shuffled(world.random)
+                .take(count)
+                .forEach { it.muteUntil = atMs + forMs }
         }
 
         /** Users call off as many jobs that run at once; their machines may hang that long. */
-        private fun Simulation.cancelNow(count: Int, atMs: Long, hangMs: Long = 0) = at(atMs) {
-            val running = cloud.workers.flatMap { worker ->
-                worker.onMachine().map { it.attempt.task.job.value to worker }
-            }
+        private fun Simulation.cancelNow(
+            count: Int,
+            atMs: Long,
+            hangMs: Long = 0,
+        ) = at(atMs) {
+            val running =
+                cloud.workers.flatMap { worker ->
+                    worker.onMachine().map { it.attempt.task.job.value to worker }
+                }
             val called = running.map { it.first }.distinct().take(count)
             for (id in called) world.after(world.between(0, 200)) { cancel(id) }
             if (hangMs > 0) running.filter { it.first in called }.forEach { it.second.hungUntil = atMs + hangMs }
         }
 
         /** Brief one-task jobs, four a second, a quarter of them cancelled. */
-        private fun Simulation.manySmall(atMs: Long, forMs: Long) {
+        private fun Simulation.manySmall(
+            atMs: Long,
+            forMs: Long,
+        ) {
             for (index in 0 until forMs / 250) {
                 at(atMs + index * 250) {
                     val spec = randomSpec("small-%06d".format(index)).copy(tasks = 1, spread = false, gpus = 1.0)
@@ -164,7 +228,10 @@
             }
         }
 
-        private fun Simulation.leaderAlone(atMs: Long, forMs: Long) = at(atMs) {
+        private fun Simulation.leaderAlone(
+            atMs: Long,
+            forMs: Long,
+        ) = at(atMs) {
             val node = nodes[leaderIndex()]
             node.withoutState = true
             node.withoutPeers = true
@@ -174,183 +241,193 @@
             }
         }
 
-        private fun Simulation.cutZone(index: Int, atMs: Long, forMs: Long) = at(atMs) {
+        private fun Simulation.cutZone(
+            index: Int,
+            atMs: Long,
+            forMs: Long,
+        ) = at(atMs) {
             weather.cutZones.add(zones[index])
             world.after(forMs) { weather.cutZones.remove(zones[index]) }
         }
 
-        private fun Simulation.hang(atMs: Long, forMs: Long) = at(atMs) { randomWorker()?.hungUntil = atMs + forMs }
+        private fun Simulation.hang(
+            atMs: Long,
+            forMs: Long,
+        ) = at(atMs) { randomWorker()?.hungUntil = atMs + forMs }
 
         @JvmStatic
-        fun troubles(): List<Trouble> = listOf(
-            Trouble("a quiet day") {},
-            Trouble("messages are lost and executed late") { it.stormy(lost = 0.05, late = 0.05) },
-            Trouble("the leader crashes") { it.crashLeader(30_000, 5_000) },
-            Trouble("the leader is back within a fraction of a second, twice") {
-                it.crashLeader(30_000, 200)
-                it.crashLeader(31_000, 150)
-            },
-            Trouble("all controllers crash") { day -> for (index in 0..2) day.crash(index, 40_000, 5_000) },
-            Trouble("a rolling restart") { day ->
-                for (index in 0..2) day.crash(index, 30_000L + index * 10_000, 5_000)
-            },
-            Trouble("the state service is away for longer than a worker's lease, and all crash meanwhile") { day ->
-                day.at(30_000) { store.down = true }
-                for (index in 0..2) day.crash(index, 40_000, 5_000)
-                day.at(55_000) { store.down = false }
-            },
-            Trouble("the leader loses the state service alone") { day ->
-                day.at(30_000) {
-                    val node = nodes[leaderIndex()]
-                    node.withoutState = true
-                    world.after(25_000) { node.withoutState = false }
-                }
-            },
-            Trouble("the leader is cut off") { day ->
-                day.at(30_000) {
-                    val node = nodes[leaderIndex()]
-                    node.cut = true
-                    world.after(25_000) { node.cut = false }
-                }
-            },
-            Trouble("the leader loses its workers alone") { day ->
-                day.at(30_000) {
-                    val node = nodes[leaderIndex()]
-                    node.withoutWorkers = true
-                    world.after(25_000) { node.withoutWorkers = false }
-                    // Before the workers' leases are over another one answers them.
-                    world.after(8_000) { check(nodes[leaderIndex()] !== node) { "still led by the one cut off" } }
-                }
-            },
-            Trouble("a zone is cut off") { day -> day.cutZone(1, 30_000, 25_000) },
-            Trouble("a zone is cut off, and the leader and then a controller in it crash") { day ->
-                day.cutZone(1, 30_000, 25_000)
-                day.crashLeader(36_000, 5_000)
-                day.crash(1, 44_000, 300)
-            },
-            Trouble("the zone of the leader is cut off twice, and it crashes in between") { day ->
-                day.at(30_000) { cutZone(leaderIndex() % 2, 0, 20_000) }
-                day.crashLeader(51_000, 300)
-                day.at(55_000) { cutZone(leaderIndex() % 2, 0, 22_000) }
-            },
-            Trouble("a zone is cut off in a storm while machines hang") { day ->
-                day.stormy(lost = 0.03, late = 0.05)
-                day.cutZone(0, 30_000, 18_000)
-                day.hang(32_000, 6_000)
-                day.hang(34_000, 14_000)
-                day.cutZone(0, 52_000, 9_000)
-                day.hang(54_000, 20_000)
-            },
-            Trouble("machines hang, within their lease and beyond it") { day ->
-                day.hang(25_000, 6_000)
-                day.hang(35_000, 14_000)
-                day.hang(45_000, 40_000)
-            },
-            Trouble("machines die and are taken") { day ->
-                day.at(30_000) { randomWorker()?.let { cloud.fail(it.id) } }
-                day.at(45_000) { randomWorker()?.let { cloud.take(it.id) } }
-            },
-            Trouble("a machine hears nothing") { day -> day.at(30_000) { randomWorker()?.unresponsiveUntil = 60_000 } },
-            Trouble("copies of reports come late") { day ->
-                repeat(60) { index ->
-                    day.at(20_000L + index * 1500) {
-                        val worker = randomWorker()
-                        val copy = worker?.sent?.firstOrNull()
-                        if (copy != null) nodes[world.random.nextInt(3)].receive(copy) {}
+        fun troubles(): List<Trouble> =
+            listOf(
+                Trouble("a quiet day") {},
+                Trouble("messages are lost and executed late") { it.stormy(lost = 0.05, late = 0.05) },
+                Trouble("the leader crashes") { it.crashLeader(30_000, 5_000) },
+                Trouble("the leader is back within a fraction of a second, twice") {
+                    it.crashLeader(30_000, 200)
+                    it.crashLeader(31_000, 150)
+                },
+                Trouble("all controllers crash") { day -> for (index in 0..2) day.crash(index, 40_000, 5_000) },
+                Trouble("a rolling restart") { day ->
+                    for (index in 0..2) day.crash(index, 30_000L + index * 10_000, 5_000)
+                },
+                Trouble("the state service is away for longer than a worker's lease, and all crash meanwhile") { day ->
+                    day.at(30_000) { store.down = true }
+                    for (index in 0..2) day.crash(index, 40_000, 5_000)
+                    day.at(55_000) { store.down = false }
+                },
+                Trouble("the leader loses the state service alone") { day ->
+                    day.at(30_000) {
+                        val node = nodes[leaderIndex()]
+                        node.withoutState = true
+                        world.after(25_000) { node.withoutState = false }
                     }
-                }
-            },
-            Trouble("the cloud is away, and a machine dies meanwhile") { day ->
-                day.at(30_000) {
-                    cloud.down = true
-                    randomWorker()?.let { cloud.fail(it.id) }
-                }
-                day.at(60_000) { cloud.down = false }
-            },
-            Trouble("answers of transactions are lost while users look closely and the leader ends") { day ->
-                day.closeLooks = 0.3
-                day.unansweredWrites(0.3, 20_000, 60_000)
-                day.crashLeader(40_000, 5_000)
-                day.crashLeader(60_000, 300)
-            },
-            Trouble("transactions are carried out late while the leader ends") { day ->
-                day.lateWrites(0.2, 20_000, 60_000)
-                day.crashLeader(35_000, 5_000)
-                day.crashLeader(55_000, 300)
-            },
-            Trouble("new machines are up at once, get work while writes are late, and the leader ends") { day ->
-                day.bootMs = 500
-                day.lateWrites(0.2, 20_000, 70_000)
-                for (ms in 25_000L..75_000L step 10_000) {
-                    day.at(ms) { repeat(4) { submit(randomSpec("boot-%03d%03d".format(ms / 1000, it))) } }
-                    day.crashLeader(ms + 2_000, 300)
-                }
-            },
-            Trouble("copies of reports come late and for the next leader, from earlier sessions too") { day ->
-                day.lateReports(0.2, 15_000, 80_000)
-                day.reportsForNext(0.1, 15_000, 80_000)
-                day.hang(26_000, 12_000)
-                day.hang(40_000, 12_000)
-                for (ms in 30_000L..80_000L step 10_000) day.crashLeader(ms, 1_000)
-            },
-            Trouble("one-task jobs come four a second, and a quarter is cancelled") { day ->
-                day.manySmall(20_000, 60_000)
-                day.crashLeader(50_000, 1_000)
-            },
-            Trouble("machines hear nothing while jobs are cancelled and the leader ends") { day ->
-                day.deaf(4, 30_000, 30_000)
-                day.cancelNow(4, 33_000)
-                day.crashLeader(36_000, 5_000)
-            },
-            Trouble("machines reach no controller, direct commands reach them, jobs are cancelled") { day ->
-                day.mute(4, 30_000, 30_000)
-                day.cancelNow(4, 33_000)
-                day.crashLeader(38_000, 5_000)
-            },
-            Trouble("jobs are cancelled, their machines hang and go on, and the leader ends") { day ->
-                day.cancelNow(6, 30_000, hangMs = 8_000)
-                day.crashLeader(32_000, 5_000)
-                day.cancelNow(6, 60_000, hangMs = 25_000)
-                day.crashLeader(61_000, 300)
-            },
-            Trouble("the leader is cut from state service and peers while jobs are cancelled") { day ->
-                day.closeLooks = 0.2
-                day.leaderAlone(30_000, 30_000)
-                day.cancelNow(6, 36_000)
-                day.cancelNow(4, 50_000)
-            },
-            Trouble("jobs are cancelled in the seconds in which the work changes hands") { day ->
-                day.closeLooks = 0.2
-                for (ms in 30_000L..70_000L step 20_000) {
-                    day.crashLeader(ms, 5_000)
-                    for (later in 0L..6_000L step 500) day.cancelNow(1, ms + later)
-                }
-            },
-            Trouble("jobs are called off at the moment of their end") { day ->
-                day.closeLooks = 0.3
-                day.spell(20_000, 70_000, { day.cancelsAtEnd = 0.5 }, { day.cancelsAtEnd = 0.0 })
-                day.crashLeader(50_000, 1_000)
-            },
-            Trouble("leaders change ten times, also inside an outage") { day ->
-                for (index in 0..9) day.crashLeader(20_000L + index * 10_000, if (index % 2 == 0) 400 else 4_000)
-                day.spell(52_000, 20_000, { day.store.down = true }, { day.store.down = false })
-            },
-            Trouble("machines are cut off at the teams' limits, jobs are cancelled and the leader changes") { day ->
-                day.users(everyMs = 1800, untilMs = 80_000)
-                day.cutZone(0, 40_000, 22_000)
-                day.cancelNow(5, 43_000)
-                day.crashLeader(46_000, 5_000)
-                day.hang(50_000, 9_000)
-            },
-            Trouble("everything at once") { day ->
-                day.stormy(lost = 0.03, late = 0.03)
-                day.crashLeader(25_000, 5_000)
-                day.hang(28_000, 20_000)
-                day.at(45_000) { store.down = true }
-                day.at(60_000) { store.down = false }
-                day.crashLeader(62_000, 300)
-                day.at(70_000) { randomWorker()?.let { cloud.take(it.id) } }
-            },
-        ).filter(Seeds::takes)
+                },
+                Trouble("the leader is cut off") { day ->
+                    day.at(30_000) {
+                        val node = nodes[leaderIndex()]
+                        node.cut = true
+                        world.after(25_000) { node.cut = false }
+                    }
+                },
+                Trouble("the leader loses its workers alone") { day ->
+                    day.at(30_000) {
+                        val node = nodes[leaderIndex()]
+                        node.withoutWorkers = true
+                        world.after(25_000) { node.withoutWorkers = false }
+                        // Before the workers' leases are over another one answers them.
+                        world.after(8_000) { check(nodes[leaderIndex()] !== node) { "still led by the one cut off" } }
+                    }
+                },
+                Trouble("a zone is cut off") { day -> day.cutZone(1, 30_000, 25_000) },
+                Trouble("a zone is cut off, and the leader and then a controller in it crash") { day ->
+                    day.cutZone(1, 30_000, 25_000)
+                    day.crashLeader(36_000, 5_000)
+                    day.crash(1, 44_000, 300)
+                },
+                Trouble("the zone of the leader is cut off twice, and it crashes in between") { day ->
+                    day.at(30_000) { cutZone(leaderIndex() % 2, 0, 20_000) }
+                    day.crashLeader(51_000, 300)
+                    day.at(55_000) { cutZone(leaderIndex() % 2, 0, 22_000) }
+                },
+                Trouble("a zone is cut off in a storm while machines hang") { day ->
+                    day.stormy(lost = 0.03, late = 0.05)
+                    day.cutZone(0, 30_000, 18_000)
+                    day.hang(32_000, 6_000)
+                    day.hang(34_000, 14_000)
+                    day.cutZone(0, 52_000, 9_000)
+                    day.hang(54_000, 20_000)
+                },
+                Trouble("machines hang, within their lease and beyond it") { day ->
+                    day.hang(25_000, 6_000)
+                    day.hang(35_000, 14_000)
+                    day.hang(45_000, 40_000)
+                },
+                Trouble("machines die and are taken") { day ->
+                    day.at(30_000) { randomWorker()?.let { cloud.fail(it.id) } }
+                    day.at(45_000) { randomWorker()?.let { cloud.take(it.id) } }
+                },
+                Trouble(
+                    "a machine hears nothing",
+                ) { day -> day.at(30_000) { randomWorker()?.unresponsiveUntil = 60_000 } },
+                Trouble("copies of reports come late") { day ->
+                    repeat(60) { index ->
+                        day.at(20_000L + index * 1500) {
+                            val worker = randomWorker()
+                            val copy = worker?.sent?.firstOrNull()
+                            if (copy != null) nodes[world.random.nextInt(3)].receive(copy) {}
+                        }
+                    }
+                },
+                Trouble("the cloud is away, and a machine dies meanwhile") { day ->
+                    day.at(30_000) {
+                        cloud.down = true
+                        randomWorker()?.let { cloud.fail(it.id) }
+                    }
+                    day.at(60_000) { cloud.down = false }
+                },
+                Trouble("answers of transactions are lost while users look closely and the leader ends") { day ->
+                    day.closeLooks = 0.3
+                    day.unansweredWrites(0.3, 20_000, 60_000)
+                    day.crashLeader(40_000, 5_000)
+                    day.crashLeader(60_000, 300)
+                },
+                Trouble("transactions are carried out late while the leader ends") { day ->
+                    day.lateWrites(0.2, 20_000, 60_000)
+                    day.crashLeader(35_000, 5_000)
+                    day.crashLeader(55_000, 300)
+                },
+                Trouble("new machines are up at once, get work while writes are late, and the leader ends") { day ->
+                    day.bootMs = 500
+                    day.lateWrites(0.2, 20_000, 70_000)
+                    for (ms in 25_000L..75_000L step 10_000) {
+                        day.at(ms) { repeat(4) { submit(randomSpec("boot-%03d%03d".format(ms / 1000, it))) } }
+                        day.crashLeader(ms + 2_000, 300)
+                    }
+                },
+                Trouble("copies of reports come late and for the next leader, from earlier sessions too") { day ->
+                    day.lateReports(0.2, 15_000, 80_000)
+                    day.reportsForNext(0.1, 15_000, 80_000)
+                    day.hang(26_000, 12_000)
+                    day.hang(40_000, 12_000)
+                    for (ms in 30_000L..80_000L step 10_000) day.crashLeader(ms, 1_000)
+                },
+                Trouble("one-task jobs come four a second, and a quarter is cancelled") { day ->
+                    day.manySmall(20_000, 60_000)
+                    day.crashLeader(50_000, 1_000)
+                },
+                Trouble("machines hear nothing while jobs are cancelled and the leader ends") { day ->
+                    day.deaf(4, 30_000, 30_000)
+                    day.cancelNow(4, 33_000)
+                    day.crashLeader(36_000, 5_000)
+                },
+                Trouble("machines reach no controller, direct commands reach them, jobs are cancelled") { day ->
+                    day.mute(4, 30_000, 30_000)
+                    day.cancelNow(4, 33_000)
+                    day.crashLeader(38_000, 5_000)
+                },
+                Trouble("jobs are cancelled, their machines hang and go on, and the leader ends") { day ->
+                    day.cancelNow(6, 30_000, hangMs = 8_000)
+                    day.crashLeader(32_000, 5_000)
+                    day.cancelNow(6, 60_000, hangMs = 25_000)
+                    day.crashLeader(61_000, 300)
+                },
+                Trouble("the leader is cut from state service and peers while jobs are cancelled") { day ->
+                    day.closeLooks = 0.2
+                    day.leaderAlone(30_000, 30_000)
+                    day.cancelNow(6, 36_000)
+                    day.cancelNow(4, 50_000)
+                },
+                Trouble("jobs are cancelled in the seconds in which the work changes hands") { day ->
+                    day.closeLooks = 0.2
+                    for (ms in 30_000L..70_000L step 20_000) {
+                        day.crashLeader(ms, 5_000)
+                        for (later in 0L..6_000L step 500) day.cancelNow(1, ms + later)
+                    }
+                },
+                Trouble("jobs are called off at the moment of their end") { day ->
+                    day.closeLooks = 0.3
+                    day.spell(20_000, 70_000, { day.cancelsAtEnd = 0.5 }, { day.cancelsAtEnd = 0.0 })
+                    day.crashLeader(50_000, 1_000)
+                },
+                Trouble("leaders change ten times, also inside an outage") { day ->
+                    for (index in 0..9) day.crashLeader(20_000L + index * 10_000, if (index % 2 == 0) 400 else 4_000)
+                    day.spell(52_000, 20_000, { day.store.down = true }, { day.store.down = false })
+                },
+                Trouble("machines are cut off at the teams' limits, jobs are cancelled and the leader changes") { day ->
+                    day.users(everyMs = 1800, untilMs = 80_000)
+                    day.cutZone(0, 40_000, 22_000)
+                    day.cancelNow(5, 43_000)
+                    day.crashLeader(46_000, 5_000)
+                    day.hang(50_000, 9_000)
+                },
+                Trouble("everything at once") { day ->
+                    day.stormy(lost = 0.03, late = 0.03)
+                    day.crashLeader(25_000, 5_000)
+                    day.hang(28_000, 20_000)
+                    day.at(45_000) { store.down = true }
+                    day.at(60_000) { store.down = false }
+                    day.crashLeader(62_000, 300)
+                    day.at(70_000) { randomWorker()?.let { cloud.take(it.id) } }
+                },
+            ).filter(Seeds::takes)
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
@@ -14,17 +14,26 @@
  * starts tasks in it, and doesn't hear from it for the rest of a lease (docs/incidents/broke-at-size-2.md).
  */
 internal class UnobservedIncarnationTest {
-    private class Day(seed: Long) {
-        val simulation = Simulation(
-            seed,
-            shape = Shape(nodes = 1, machinesUp = 4, teamLimits = LIMITS, leaseMs = LEASE_MS),
-        )
+    private class Day(
+        seed: Long,
+    ) {
+        val simulation =
+            Simulation(
+                seed,
+                shape = Shape(nodes = 1, machinesUp = 4, teamLimits = LIMITS, leaseMs = LEASE_MS),
+            )
         lateinit var worker: SimWorker
 
-        private fun at(ms: Long, action: () -> Unit) = simulation.world.after(ms - simulation.world.nowMs, action)
+        private fun at(
+            ms: Long,
+            action: () -> Unit,
+        ) = simulation.world.after(ms - simulation.world.nowMs, action)
 
         /** Long tasks in both zones; an array's machine isn't given back early for its silence. */
-        private fun submitSpread(id: String, gpus: Double) = simulation.submit(
+        private fun submitSpread(
+            id: String,
+            gpus: Double,
+        ) = simulation.submit(
             simulation.randomSpec(id).copy(
                 className = ClassName("nightly"),
                 team = TeamName("red"),
@@ -81,11 +90,15 @@
         }
     }
 
-    private fun broken(rule: String): List<String> = SEEDS.flatMap { seed ->
-        val day = Day(seed)
-        day.play()
-        day.simulation.rules.broken.filter { rule in it }.take(1).map { "seed $seed: $it" }
-    }
+    private fun broken(rule: String): List<String> =
+        SEEDS.flatMap { seed ->
+            val day = Day(seed)
+            day.play()
+            day.simulation.rules.broken
+                .filter { rule in it }
+                .take(1)
+                .map { "seed $seed: $it" }
+        }
 
     @Test
     fun `what was started in a incarnation that hasn't reported isn't started elsewhere`() =
--- a/src/test/kotlin/oxbowlug/soak/SoakTest.kt
+++ b/src/test/kotlin/oxbowlug/soak/SoakTest.kt
@@ -22,9 +22,8 @@
 
     @Test
     fun `a seed draws the same troubles each time, and others than its neighbour`() {
-        fun draw(
-            seed: Long
-        ) = FaultSchedule.draw(seed, groups = 4, fromMs = 1_000, toMs = 20_000, leaseMs = 5_000).faults
+        fun draw(seed: Long) =
+            FaultSchedule.draw(seed, groups = 4, fromMs = 1_000, toMs = 20_000, leaseMs = 5_000).faults
         assertEquals(draw(7), draw(7))
         assertTrue(draw(7) != draw(8))
         assertTrue((1L..200L).flatMap { draw(it) }.map { it.kind }.toSet() == FaultKind.entries.toSet())
@@ -32,12 +31,23 @@
 
     @Test
     fun `wrong options are named`() {
-        class Case(val option: String, val value: String)
-        val cases = listOf(
-            Case("seeds", "0"), Case("at-once", "99"), Case("workers", "1"), Case("controllers", "0"),
-            Case("groups", "-1"), Case("first-port", "80"), Case("first", "-1"), Case("deploy", "nowhere.toml"),
-            Case("seeds", "many"), Case("speed", "3"),
+        class Case(
+            val option: String,
+            val value: String,
         )
+        val cases =
+            listOf(
+                Case("seeds", "0"),
+                Case("at-once", "99"),
+                Case("workers", "1"),
+                Case("controllers", "0"),
+                Case("groups", "-1"),
+                Case("first-port", "80"),
+                Case("first", "-1"),
+                Case("deploy", "nowhere.toml"),
+                Case("seeds", "many"),
+                Case("speed", "3"),
+            )
         for (case in cases) {
             val refused = assertThrows(InvalidOption::class.java) { parse("--${case.option}", case.value) }
             assertTrue(case.option in refused.message.orEmpty(), "${case.option}: ${refused.message}")
--- a/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
+++ b/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
@@ -26,17 +26,30 @@
     private val spec: JobSpec =
         JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(cores = 1.0, gpus = 0.0, imageGb = 0.0)
     private val targets = listOf(Controller("n0"), Controller("n1"))
-    private val worker = SimWorker(
-        world, Book(), { targets }, MachineId("host-000001"), type, zone, false, LEASE_MS,
-        HeartbeatPacing.AsPublished(INTERVAL_MS),
-    )
+    private val worker =
+        SimWorker(
+            world,
+            Book(),
+            { targets },
+            MachineId("host-000001"),
+            type,
+            zone,
+            false,
+            LEASE_MS,
+            HeartbeatPacing.AsPublished(INTERVAL_MS),
+        )
 
-    private inner class Controller(override val label: String) : HeartbeatTarget {
+    private inner class Controller(
+        override val label: String,
+    ) : HeartbeatTarget {
         var answer: HeartbeatResponse? = HeartbeatResponse.Renewed(FencingToken(1), emptyList())
         var isSilent = false
         val at = ArrayList<Long>()
 
-        override fun receive(report: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit) {
+        override fun receive(
+            report: WorkerHeartbeat,
+            answer: (HeartbeatResponse?) -> Unit,
+        ) {
             at.add(world.nowMs)
             if (!isSilent) answer(this.answer)
         }
@@ -47,7 +60,10 @@
 
         override fun runMs(job: String): Long = 700
 
-        override fun onStarted(machine: SimWorker, attempt: AttemptId) = Unit
+        override fun onStarted(
+            machine: SimWorker,
+            attempt: AttemptId,
+        ) = Unit
 
         override fun onDone(attempt: AttemptId) = Unit
     }
--- a/src/test/kotlin/oxbowlug/testing/SampleSettings.kt
+++ b/src/test/kotlin/oxbowlug/testing/SampleSettings.kt
@@ -2,7 +2,8 @@
 
 /** A small valid settings file, which tests change line by line. */
 internal object SampleSettings {
-    val valid = """
+    val valid =
+        """
         label = "n0"
         location = "a"
         client_listen = "127.0.0.1:8080"
@@ -37,5 +38,5 @@
         [settings.cloud]
         rps = 3.0
         list_lag_s = 5.0
-    """.trimIndent()
+        """.trimIndent()
 }
--- a/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
@@ -24,7 +24,11 @@
 
     override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
 
-    override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) = Unit
+    override fun onJob(
+        id: JobId,
+        job: CachedJob,
+        value: Map<String, Any?>,
+    ) = Unit
 
     override fun onDependencyChanged(id: JobId) = Unit
 
@@ -32,7 +36,9 @@
 }
 
 /** Stands still until a test sets it. */
-internal class ManualClock(var now: Long = 100_000) : Clock {
+internal class ManualClock(
+    var now: Long = 100_000,
+) : Clock {
     override fun steadyMs() = now
 
     override fun wallMs() = now
@@ -41,15 +47,19 @@
 }
 
 /** For tests of decisions, not of what is logged beside them. */
-internal val permissiveContext = object : DecisionContext {
-    override val mayLead = true
+internal val permissiveContext =
+    object : DecisionContext {
+        override val mayLead = true
 
-    override fun describe() = ""
-}
+        override fun describe() = ""
+    }
 
 /** A violated invariant fails the test. */
 internal object FailingMeters : Meters {
-    override fun planned(nanos: Long, priced: Int) = Unit
+    override fun planned(
+        nanos: Long,
+        priced: Int,
+    ) = Unit
 
     override fun stepped(nanos: Long) = Unit
 
@@ -65,19 +75,38 @@
 internal val failingInvariants = Invariants(permissiveContext, FailingMeters)
 
 /** Answers at once from the store; watches stay open, and there are no leases. */
-internal open class ImmediateStatePort(private val store: SimStore) : StatePort {
-    override fun commit(transaction: Transaction, done: (CommitOutcome) -> Unit) = done(store.commit(transaction))
-
-    override fun readPage(prefix: String, after: String?, done: (ReadPage?) -> Unit) =
-        done(store.read(prefix, after, PAGE))
-
-    override fun changes(prefix: String, from: Long, waitMs: Long, done: (ChangesOutcome) -> Unit) {
+internal open class ImmediateStatePort(
+    private val store: SimStore,
+) : StatePort {
+    override fun commit(
+        transaction: Transaction,
+        done: (CommitOutcome) -> Unit,
+    ) = done(store.commit(transaction))
+
+    override fun readPage(
+        prefix: String,
+        after: String?,
+        done: (ReadPage?) -> Unit,
+    ) = done(store.read(prefix, after, PAGE))
+
+    override fun changes(
+        prefix: String,
+        from: Long,
+        waitMs: Long,
+        done: (ChangesOutcome) -> Unit,
+    ) {
         if (waitMs == 0L) done(store.changes(prefix, from))
     }
 
-    override fun grant(lifeMs: Long, done: (Long?) -> Unit) = Unit
+    override fun grant(
+        lifeMs: Long,
+        done: (Long?) -> Unit,
+    ) = Unit
 
-    override fun touch(lease: Long, done: (TouchOutcome) -> Unit) = Unit
+    override fun touch(
+        lease: Long,
+        done: (TouchOutcome) -> Unit,
+    ) = Unit
 
     override fun release(lease: Long) = Unit
 
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -41,9 +41,12 @@
 internal class WireBytesTest {
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
     private val attempt = AttemptId(TaskId(JobId("run-1"), 3), 2)
-    private val commands = listOf(
-        WorkerCommand.Start(attempt), WorkerCommand.Stop(attempt, 4.5), WorkerCommand.Forget(attempt),
-    )
+    private val commands =
+        listOf(
+            WorkerCommand.Start(attempt),
+            WorkerCommand.Stop(attempt, 4.5),
+            WorkerCommand.Forget(attempt),
+        )
 
     private fun bits(vararg indexes: Int) = BitSet().apply { indexes.forEach(::set) }
 
@@ -62,42 +65,69 @@
         val wide = JobRecord(spec.copy(tasks = 60), 123, Phase.ACTIVE, bits(41, 43, 50), 4, placements, "n0-x-2")
         val form = RecordLayout(WriteLimits(30.0, 0.75, 12)).split(wide.encode()) ?: error("it is too large")
         val parts = form.parts.withIndex().associate { (index, part) -> "part $index" to part }
-        val transaction = Transaction(
-            listOf(Condition("ox/a", 7), Condition("ox/b", 0)),
-            listOf(Change.Put("ox/a", mapOf("x" to 1L)), Change.Put("ox/m", emptyMap(), 5), Change.Delete("ox/c")),
-        )
+        val transaction =
+            Transaction(
+                listOf(Condition("ox/a", 7), Condition("ox/b", 0)),
+                listOf(Change.Put("ox/a", mapOf("x" to 1L)), Change.Put("ox/m", emptyMap(), 5), Change.Delete("ox/c")),
+            )
         val view = JobStatus(JobId("run-1"), JobState.RUNNING, 3, 2)
-        val bodies = mapOf(
-            "head" to form.head,
-            "format" to DataFormat.encode(DataFormat.NEWEST),
-            "transaction" to StoreCodec.encode(transaction),
-            "report answer" to WorkerCodec.encodeAnswer(FencingToken(9), commands),
-            "direct command" to WorkerCodec.encodeDirect(FencingToken(9), 4, commands),
-            "redirect" to AnswerCodec.redirect("n1"),
-            "accepted" to AnswerCodec.accepted(view),
-            "polled" to AnswerCodec.polled(view),
-            "problem" to AnswerCodec.problem("a field is missing"),
-            "keys" to mapOf(
-                "all" to Keys.ROOT, "job" to Keys.job("run-1"), "part" to Keys.part("run-1", 2), "view" to Keys.LEADERSHIP,
-                "member" to Keys.member(Member("n0", "x1")), "delegates" to Keys.DELEGATES,
-                "format" to Keys.FORMAT, "reads" to Keys.format("n0"),
-            ),
-        )
+        val bodies =
+            mapOf(
+                "head" to form.head,
+                "format" to DataFormat.encode(DataFormat.NEWEST),
+                "transaction" to StoreCodec.encode(transaction),
+                "report answer" to WorkerCodec.encodeAnswer(FencingToken(9), commands),
+                "direct command" to WorkerCodec.encodeDirect(FencingToken(9), 4, commands),
+                "redirect" to AnswerCodec.redirect("n1"),
+                "accepted" to AnswerCodec.accepted(view),
+                "polled" to AnswerCodec.polled(view),
+                "problem" to AnswerCodec.problem("a field is missing"),
+                "keys" to
+                    mapOf(
+                        "all" to Keys.ROOT,
+                        "job" to Keys.job("run-1"),
+                        "part" to Keys.part("run-1", 2),
+                        "view" to Keys.LEADERSHIP,
+                        "member" to Keys.member(Member("n0", "x1")),
+                        "delegates" to Keys.DELEGATES,
+                        "format" to Keys.FORMAT,
+                        "reads" to Keys.format("n0"),
+                    ),
+            )
         return (bodies + parts).mapValues { (_, body) -> Cbor.encode(body) }
     }
 
     private fun frames(): Map<String, ByteArray> {
         val self = Member("n0", "x1")
         val leader = Member("n1", "y2")
-        val record = JobRecord(
-            spec, 5, Phase.CANCELLED, BitSet(), 2, mapOf(0 to Placement(MachineId("host-1"), 1)), "w-1", 77,
-        )
-        val heartbeat = PeerHeartbeat(
-            self, 7, leader, seesState = true, atMs = 41, echo = HeartbeatEcho(leader, 40, 3),
-            hasUnacknowledged = true, mayConfirm = true,
-        )
+        val record =
+            JobRecord(
+                spec,
+                5,
+                Phase.CANCELLED,
+                BitSet(),
+                2,
+                mapOf(0 to Placement(MachineId("host-1"), 1)),
+                "w-1",
+                77,
+            )
+        val heartbeat =
+            PeerHeartbeat(
+                self,
+                7,
+                leader,
+                seesState = true,
+                atMs = 41,
+                echo = HeartbeatEcho(leader, 40, 3),
+                hasUnacknowledged = true,
+                mayConfirm = true,
+            )
         val cancelled = CancellationNotice.Cancelled(self, Cancellation(JobId("run-1"), 9, record.encode()))
-        val known = CancellationNotice.Acknowledged(self, listOf(Acknowledgement(JobId("run-1"), isTerminationProven = true)))
+        val known =
+            CancellationNotice.Acknowledged(
+                self,
+                listOf(Acknowledgement(JobId("run-1"), isTerminationProven = true)),
+            )
         return mapOf(
             "frame heartbeat" to PeerFrames.encode(heartbeat),
             "frame cancelled" to PeerFrames.encode(cancelled),
@@ -114,20 +144,33 @@
             val server = runBlocking { listen(vertx, seen) }
             callAll(vertx, Address("127.0.0.1", server.actualPort()))
         } finally {
-            vertx.close().toCompletionStage().toCompletableFuture().get(CALL_S, TimeUnit.SECONDS)
+            vertx
+                .close()
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(CALL_S, TimeUnit.SECONDS)
         }
         return seen
     }
 
-    private suspend fun listen(vertx: Vertx, seen: MutableMap<String, ByteArray>): HttpServer =
-        vertx.createHttpServer().requestHandler { request: HttpServerRequest ->
-            request.body().onSuccess { body: Buffer ->
-                seen["${request.method()} ${request.uri()}"] = body.bytes
-                request.response().setStatusCode(503).end()
-            }
-        }.listen(0, "127.0.0.1").coAwait()
+    private suspend fun listen(
+        vertx: Vertx,
+        seen: MutableMap<String, ByteArray>,
+    ): HttpServer =
+        vertx
+            .createHttpServer()
+            .requestHandler { request: HttpServerRequest ->
+                request.body().onSuccess { body: Buffer ->
+                    seen["${request.method()} ${request.uri()}"] = body.bytes
+                    request.response().setStatusCode(503).end()
+                }
+            }.listen(0, "127.0.0.1")
+            .coAwait()
 
-    private fun callAll(vertx: Vertx, address: Address) {
+    private fun callAll(
+        vertx: Vertx,
+        address: Address,
+    ) {
         val scope = CoroutineScope(vertx.dispatcher())
         val http = HttpCaller(vertx, 1)
         val settle: (() -> Unit) -> Unit = { it() }
@@ -136,25 +179,26 @@
         val workers = WorkerClient(http, scope, CALL_MS, settle)
         val rental = RentalRequest("n0-x-1", TypeName("g8"), Zone("a"), spot = true, count = 2)
         val transaction = Transaction(emptyList(), listOf(Change.Delete("ox/c")))
-        val calls = listOf<(() -> Unit) -> Unit>(
-            { done -> state.commit(transaction) { done() } },
-            { done -> state.readPage("ox/", null) { done() } },
-            { done -> state.readPage("ox/", "ox/j/run-1") { done() } },
-            { done -> state.changes("ox/", 7, 0) { done() } },
-            { done -> state.changes("ox/", 7, 250) { done() } },
-            { done -> state.grant(3_000) { done() } },
-            { done -> state.touch(5) { done() } },
-            { done -> cloud.types { done() } },
-            { done -> cloud.rent(rental) { done() } },
-            { done -> cloud.returnMachines(listOf(MachineId("host-1"))) { done() } },
-            { done -> cloud.list { done() } },
-            { done -> workers.status(address) { done() } },
-            { done -> workers.command(address, FencingToken(9), 4, commands) { done() } },
-            { done ->
-                state.release(5)
-                state.touch(6) { done() }
-            },
-        )
+        val calls =
+            listOf<(() -> Unit) -> Unit>(
+                { done -> state.commit(transaction) { done() } },
+                { done -> state.readPage("ox/", null) { done() } },
+                { done -> state.readPage("ox/", "ox/j/run-1") { done() } },
+                { done -> state.changes("ox/", 7, 0) { done() } },
+                { done -> state.changes("ox/", 7, 250) { done() } },
+                { done -> state.grant(3_000) { done() } },
+                { done -> state.touch(5) { done() } },
+                { done -> cloud.types { done() } },
+                { done -> cloud.rent(rental) { done() } },
+                { done -> cloud.returnMachines(listOf(MachineId("host-1"))) { done() } },
+                { done -> cloud.list { done() } },
+                { done -> workers.status(address) { done() } },
+                { done -> workers.command(address, FencingToken(9), 4, commands) { done() } },
+                { done ->
+                    state.release(5)
+                    state.touch(6) { done() }
+                },
+            )
         for (call in calls) {
             val answered = CompletableFuture<Unit>()
             call { answered.complete(Unit) }
@@ -162,7 +206,10 @@
         }
     }
 
-    private fun assertSame(fixture: String, found: Map<String, ByteArray>) {
+    private fun assertSame(
+        fixture: String,
+        found: Map<String, ByteArray>,
+    ) {
         val hex = HexFormat.of()
         val text = found.entries.joinToString("\n") { (name, bytes) -> "$name: ${hex.formatHex(bytes)}" }
         val expected = javaClass.getResource("/production/$fixture.txt")?.readText().orEmpty()
