--- a/src/main/kotlin/oxbowlug/election/LeadershipDecisionContext.kt
+++ b/src/main/kotlin/oxbowlug/election/LeadershipDecisionContext.kt
@@ -3,8 +3,9 @@
 import oxbowlug.cache.StateCache
 import oxbowlug.invariant.DecisionContext
 import oxbowlug.port.Clock
+import oxbowlug.record.LeadershipRecord
 
-/** The basis of whoever decides here now. */
+/** What this controller decides by now: its role, the rest of its lease, and how stale its cache is. */
 internal class LeadershipDecisionContext(
     private val clock: Clock,
     private val election: LeaderElection,
@@ -12,15 +13,18 @@
 ) : DecisionContext {
     override val mayLead: Boolean get() = election.role() is LeadershipRole.Leader
 
-    override fun describe(): String {
-        val role =
-            when (val role = election.role()) {
-                is LeadershipRole.Leader -> "leader of epoch ${role.leadership.epoch} under token ${role.leadership.token.value}"
-                is LeadershipRole.RenewalOnly -> "renewing only, epoch ${role.leadership.epoch} under token ${role.leadership.token.value}"
-                is LeadershipRole.Follower -> "follower of ${role.leader.label}"
-                LeadershipRole.Unknown -> "of no known role"
-            }
-        return "$role, lease believed for ${election.leaseRemainingMs()} ms, " +
-            "copy of revision ${cache.revision}, ${cache.stalenessMs(clock.steadyMs())} ms old"
-    }
+    override fun describe(): String =
+        "${describeRole()} leaseRemainingMs=${election.leaseRemainingMs()} " +
+            "revision=${cache.revision} stalenessMs=${cache.stalenessMs(clock.steadyMs())}"
+
+    private fun describeRole(): String =
+        when (val role = election.role()) {
+            is LeadershipRole.Leader -> "role=leader ${describe(role.leadership)}"
+            is LeadershipRole.RenewalOnly -> "role=renewal-only ${describe(role.leadership)}"
+            is LeadershipRole.Follower -> "role=follower leader=${role.leader.label}"
+            LeadershipRole.Unknown -> "role=unknown"
+        }
+
+    private fun describe(leadership: LeadershipRecord): String =
+        "epoch=${leadership.epoch} token=${leadership.token.value}"
 }
