--- a/src/main/kotlin/oxbowlug/api/ClientServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ClientServer.kt
@@ -25,7 +25,7 @@
 internal class ClientServer(
     private val vertx: Vertx,
     private val settings: Settings,
-    private val core: Controller,
+    private val controller: Controller,
     private val metrics: () -> String,
 ) {
     fun start(): Future<HttpServer> =
@@ -46,7 +46,7 @@
         when {
             path == "/hello" -> withBody(request, HttpMethod.POST, ::report)
             path == "/work" -> withBody(request, HttpMethod.POST, ::submit)
-            path == "/healthz" -> reply(request, if (core.isHealthy()) 200 else 503, emptyMap())
+            path == "/healthz" -> reply(request, if (controller.isHealthy()) 200 else 503, emptyMap())
             path == "/metrics" -> request.response().putHeader("content-type", "text/plain").end(metrics())
             path != null && path.startsWith(WORK) -> job(request, path.substring(WORK.length))
             else -> reply(request, 404, AnswerCodec.problem("no such page"))
@@ -137,7 +137,7 @@
         request: HttpServerRequest,
         command: ControllerEvent,
     ) {
-        if (!core.offer(command)) later(request, 503, 1, "too busy")
+        if (!controller.offer(command)) later(request, 503, 1, "too busy")
     }
 
     private fun wrongMethod(request: HttpServerRequest) = reply(request, 405, AnswerCodec.problem("wrong method"))
--- a/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
+++ b/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
@@ -5,7 +5,7 @@
 import io.micrometer.core.instrument.Gauge
 import io.micrometer.core.instrument.Meter
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
-import oxbowlug.controller.Controller
+import oxbowlug.controller.ControllerStatus
 import oxbowlug.port.Invariant
 import oxbowlug.port.Meters
 import java.util.EnumMap
@@ -58,22 +58,22 @@
         violations.merge(invariant, 1L, Long::plus)
     }
 
-    fun watch(core: Controller) {
-        gauges["queue.depth"] = { core.queueDepth }
-        gauges["submissions.in.progress"] = { core.submissionsInProgress }
-        gauges["submissions.limit"] = { core.submissionLimit }
-        gauges["commit.backlog"] = { core.commitBacklog }
-        gauges["tasks.waiting"] = { core.waitingTasks }
-        gauges["machines"] = { core.machineCount }
-        gauges["cancellations.open"] = { core.openCancellations }
-        gauges["rate.writes.left"] = { core.writesLeft }
-        gauges["rate.cloud.left"] = { core.cloudCallsLeft }
-        gauges["epoch"] = { core.epoch }
-        gauges["leading"] = { if (core.isLeading) 1 else 0 }
-        gauges["token"] = { core.token }
-        gauges["lease.left.ms"] = { core.leaseRemainingMs }
-        gauges["copy.age.ms"] = { core.stalenessMs }
-        gauges["copy.whole.reads"] = { core.fullResyncs }
+    fun watch(status: ControllerStatus) {
+        gauges["queue.depth"] = { status.queueDepth }
+        gauges["submissions.in.progress"] = { status.submissionsInProgress }
+        gauges["submissions.limit"] = { status.submissionLimit }
+        gauges["commit.backlog"] = { status.commitBacklog }
+        gauges["tasks.waiting"] = { status.waitingTasks }
+        gauges["machines"] = { status.machineCount }
+        gauges["cancellations.open"] = { status.openCancellations }
+        gauges["rate.writes.left"] = { status.writesLeft }
+        gauges["rate.cloud.left"] = { status.cloudCallsLeft }
+        gauges["epoch"] = { status.epoch }
+        gauges["leading"] = { if (status.isLeading) 1 else 0 }
+        gauges["token"] = { status.token }
+        gauges["lease.left.ms"] = { status.leaseRemainingMs }
+        gauges["cache.staleness.ms"] = { status.stalenessMs }
+        gauges["cache.full.resyncs"] = { status.fullResyncs }
     }
 
     /** Every meter's present values, a line each. */
--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -33,7 +33,7 @@
 internal class Service(
     private val settings: Settings,
 ) {
-    private lateinit var core: Controller
+    private lateinit var controller: Controller
     private var draining = false
 
     fun start() {
@@ -66,7 +66,7 @@
             )
         val settle: (
             () -> Unit,
-        ) -> Unit = { action -> if (!core.offer(ControllerEvent.CallCompleted(action))) overflow() }
+        ) -> Unit = { action -> if (!controller.offer(ControllerEvent.CallCompleted(action))) overflow() }
         val leaseMs = (settings.workers.leaseS * 1000).toLong()
         val stateCalls = HttpCaller(vertx, STATE_CONNECTIONS, waiting = settings.limits.maxSockets)
         val state = StateClient(settings.stateAddress, stateCalls, scope, leaseMs / 5, settle)
@@ -84,31 +84,40 @@
         val workers = WorkerClient(HttpCaller(vertx, 1, commandIdleS), scope, leaseMs / 5, settle)
         val random = Random(seed())
         val self = Member(settings.label, random.nextLong().toULong().toString(36))
-        val heartbeat = { core.heartbeat() }
-        val images = { core.images() }
+        val heartbeat = { controller.heartbeat() }
+        val images = { controller.images() }
         val peers =
             PeerLink(vertx, settings, Timing(settings, random).peerHeartbeatMs, heartbeat, images) { message ->
                 when (message) {
-                    is PeerMessage.Heartbeat -> core.offer(ControllerEvent.PeerHeartbeatReceived(message.heartbeat))
-                    is PeerMessage.Notice -> core.offer(ControllerEvent.CancellationNoticeReceived(message.notice))
-                    is PeerMessage.Images -> core.offer(ControllerEvent.ImagesReceived(message.images, message.isFirst))
+                    is PeerMessage.Heartbeat ->
+                        controller.offer(
+                            ControllerEvent.PeerHeartbeatReceived(message.heartbeat),
+                        )
+                    is PeerMessage.Notice ->
+                        controller.offer(
+                            ControllerEvent.CancellationNoticeReceived(message.notice),
+                        )
+                    is PeerMessage.Images ->
+                        controller.offer(
+                            ControllerEvent.ImagesReceived(message.images, message.isFirst),
+                        )
                 }
             }
-        core =
+        controller =
             Controller(settings, self, state, cloud, workers, SystemClock, metrics, random, peers) {
                 wake(context)
             }
-        metrics.watch(core)
+        metrics.watch(controller.status)
         peers.start()
-        ClientServer(vertx, settings, core, metrics::text)
+        ClientServer(vertx, settings, controller, metrics::text)
             .start()
             .onSuccess { log.info("{} serves on {}", settings.label, settings.clientListen) }
             .onFailure {
                 log.error("cannot listen on {}: {}", settings.clientListen, it.message)
                 Runtime.getRuntime().halt(1)
             }
-        vertx.setPeriodic(core.timing.tickMs) { core.offer(ControllerEvent.Tick) }
-        core.offer(ControllerEvent.Tick)
+        vertx.setPeriodic(controller.timing.tickMs) { controller.offer(ControllerEvent.Tick) }
+        controller.offer(ControllerEvent.Tick)
     }
 
     /** Straight from the system: looking for a provider of secure numbers takes a part of the start, for one number. */
@@ -121,7 +130,7 @@
         draining = true
         context.runOnContext {
             draining = false
-            core.drain()
+            controller.drain()
         }
     }
 
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -1,6 +1,5 @@
 package oxbowlug.controller
 
-import org.agrona.concurrent.ManyToOneConcurrentArrayQueue
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.CachedJob
 import oxbowlug.cache.StateCache
@@ -16,7 +15,6 @@
 import oxbowlug.invariant.Invariants
 import oxbowlug.leader.ControllerLoad
 import oxbowlug.leader.LeaderTerm
-import oxbowlug.lease.HeartbeatResponse
 import oxbowlug.lease.LeaseRenewalDelegate
 import oxbowlug.lease.WorkerLeaseRenewals
 import oxbowlug.membership.PeerHealth
@@ -27,56 +25,52 @@
 import oxbowlug.port.PeerPort
 import oxbowlug.port.StatePort
 import oxbowlug.port.WorkerPort
-import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
 import oxbowlug.record.RequestIds
 import oxbowlug.record.WritableFormat
 import oxbowlug.request.UserRequestHandler
 import oxbowlug.timing.Timing
-import oxbowlug.timing.TokenBucket
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
-import oxbowlug.wire.MachineType
-import oxbowlug.wire.TypeName
-import oxbowlug.wire.WorkerHeartbeat
 import kotlin.random.Random
 
 /**
- * The single owner of all state. Adapters offer commands to its queue; it works through them in batches, and
- * whatever a batch changed is sent once, after it. Nothing else touches the model.
+ * The single owner of all state, and its wiring. Adapters offer events to its queue; it works through them in batches,
+ * and whatever a batch changed is sent once, after it. Nothing else touches the model; all but [offer] belongs to the
+ * event loop's thread.
  */
 internal class Controller(
     private val settings: Settings,
+    /** This controller, under an incarnation that no earlier process had. */
     val self: Member,
     private val state: StatePort,
     private val cloud: CloudPort,
     private val workers: WorkerPort,
     private val clock: Clock,
-    private val meters: Meters,
+    meters: Meters,
     random: Random,
     private val peers: PeerPort,
-    private val wake: () -> Unit,
+    wake: () -> Unit,
 ) {
+    /** The durations by which all parts go. */
     val timing = Timing(settings, random)
-    private val load = ControllerLoad(meters, timing.tickMs, (settings.policy.replanS * 1000).toLong())
-    private val queue = ManyToOneConcurrentArrayQueue<ControllerEvent>(capacity(settings))
-    private val cache = StateCache(state, clock, timing, Listener()) { isOurView() }
+    private val load = ControllerLoad(meters, timing.tickMs, (settings.policy.replanS * MS_PER_S).toLong())
+    private val queue = EventQueue(queueCapacity(settings), wake)
+    private val limits = RateLimits(settings)
+    private val requestIds = RequestIds(self)
+    private val cache = StateCache(state, clock, timing, CacheListener()) { isElected() }
     private val election = LeaderElection(self, state, clock, timing, cache, settings.state.lowest.txnOps)
     private val decisions = LeadershipDecisionContext(clock, election, cache)
     private val invariants = Invariants(decisions, meters)
     private val renewals = WorkerLeaseRenewals(cache, decisions)
     private val formatUpgrade = FormatUpgrade(settings, state, clock, timing, cache)
-
-    // Half of the write rate is for accepting and cancelling. A controller may use all of that half, since users are
-    // rarely everywhere at once; where they are, the state service refuses the surplus and it is tried again.
-    private val leaderWrites = TokenBucket(settings.state.writeRps * LEADER_SHARE)
-    private val ownWrites = TokenBucket(settings.state.writeRps * (1 - LEADER_SHARE))
-    private val cloudBudget = TokenBucket(settings.cloud.rps * 0.8)
-    private val names = RequestIds(self)
     private val delegate = LeaseRenewalDelegate(self, settings.zone, settings.policy.regions, clock, timing, cache)
     private val peerHealth = PeerHealth(settings.peers.size, clock, timing)
+    private val freshness = CancellationFreshness(self, settings, clock, timing, cache)
+    private val terms = LeaderTerms(self, election, cache, ::beginTerm)
+    private val catalog = MachineTypeCatalog(cloud, clock, timing) { isLeading }
     private val cancellations =
         CancellationTracker(
             self,
@@ -99,84 +93,56 @@
             peerHealth,
             cloud,
             workers,
-            cloudBudget,
+            limits.cloudCalls,
         )
-    private val freshness = CancellationFreshness(self, settings, clock, timing, cache)
-    private val jobRequests =
+    private val requests =
         UserRequestHandler(
-            names,
+            requestIds,
             settings,
             state,
             clock,
             timing,
             cache,
-            ownWrites,
+            limits.userWrites,
             meters,
             cancellations::confirmed,
             cancellations::onUserInformed,
             decisions,
         )
-    private var types: Map<TypeName, MachineType> = emptyMap()
-    private var fetchingTypes = false
-    private var nextTypesAt = 0L
-    private var leader: LeaderTerm? = null
+    private val heartbeats =
+        HeartbeatRouter(self, clock, timing, cache, election, terms, delegate, renewals, freshness)
+
+    /** What operators see of this controller. */
+    val status = ControllerStatus(clock, queue, cache, election, terms, limits, requests, cancellations)
     private var loggedRole: LeadershipRole = LeadershipRole.Unknown
     private var leaderChanged = false
-    private val waitingHeartbeats = ArrayDeque<WaitingHeartbeat>()
     private var rememberedImages: Map<MachineId, List<ImageName>> = emptyMap()
+    private val isLeading: Boolean get() = election.role() is LeadershipRole.Leader
 
-    val queueDepth: Int get() = queue.size
-    val submissionsInProgress: Int get() = jobRequests.inProgress
-    val submissionLimit: Int get() = jobRequests.limit
-    val commitBacklog: Int get() = leader?.commitBacklog ?: 0
-    val waitingTasks: Int get() = leader?.waitingTasks ?: 0
-    val machineCount: Int get() = leader?.cluster?.machines?.size ?: 0
-    val writesLeft: Double get() = leaderWrites.available(clock.steadyMs())
-    val cloudCallsLeft: Double get() = cloudBudget.available(clock.steadyMs())
-    val openCancellations: Int get() = cancellations.open.count { !it.isTerminationProven }
-    val epoch: Long get() = cache.leadership?.epoch ?: 0
-    val isLeading: Boolean get() = election.role() is LeadershipRole.Leader
-    val leaseRemainingMs: Long get() = election.leaseRemainingMs()
-    val stalenessMs: Long get() = cache.stalenessMs(clock.steadyMs())
-    val fullResyncs: Long get() = cache.fullResyncs
-    val token: Long get() = cache.leadership?.token?.value ?: 0
+    /** False when the queue is full: the caller answers "unavailable" itself. May be called by any thread. */
+    fun offer(event: ControllerEvent): Boolean = queue.offer(event)
 
-    /** False when the queue is full: the caller answers "unavailable" itself. */
-    fun offer(command: ControllerEvent): Boolean {
-        val taken = queue.offer(command)
-        if (taken) wake()
-        return taken
-    }
-
-    /** Works through what is in the queue now. */
+    /** Works through what is in the queue now, and sends what that changed. */
     fun drain() {
-        val began = clock.nanoTime()
-        var left = queue.size
-        while (left-- > 0) {
-            val command = queue.poll() ?: break
-            try {
-                handle(command)
-            } catch (e: RuntimeException) {
-                // One command's failure must not end the process with all that it holds.
-                log.error("{} failed", command.javaClass.simpleName, e)
-            }
-        }
+        val beganNs = clock.nanoTime()
+        queue.drain(::handle)
         if (leaderChanged) {
             leaderChanged = false
-            answerWaiting()
+            heartbeats.answerWaiting()
         }
-        leading()?.flush()
-        load.stepped(clock.nanoTime() - began)
+        terms.current()?.flush()
+        load.stepped(clock.nanoTime() - beganNs)
     }
 
     /** Whether users and workers can be served here, or at least no worse than elsewhere. */
     fun isHealthy(): Boolean =
-        cache.isSynced && types.isNotEmpty() && (seesState() || !peerHealth.someoneElseSeesState())
+        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.someoneElseSeesState())
 
-    private fun isOurView(): Boolean = cache.leadership?.leader == self
+    private fun isElected(): Boolean = cache.leadership?.leader == self
 
     private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateAwayMs * 2
 
+    /** What the other controllers are told of this one. */
     fun heartbeat(): PeerHeartbeat =
         PeerHeartbeat(
             self,
@@ -189,169 +155,69 @@
             mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.confirmsMs,
         )
 
-    /** Whether all attempts of a job are proven gone, as far as this controller has it in its account. */
-    private fun isTerminationProven(id: JobId): Boolean? =
-        when (election.role()) {
-            is LeadershipRole.Leader, is LeadershipRole.RenewalOnly ->
-                leader
-                    ?.cluster
-                    ?.jobs
-                    ?.get(id)
-                    ?.live
-                    ?.isEmpty()
-            is LeadershipRole.Follower, LeadershipRole.Unknown -> null
-        }
-
     /**
-     * Which images the machines hold, told by the leader to those who may succeed it: reports don't say it, and a
+     * Which images the machines hold, told by the leader to those who may succeed it: heartbeats don't say it, and a
      * successor that didn't know would have replicas fetch again what lies on the next machine. Empty elsewhere.
      */
-    fun images(): Map<MachineId, List<ImageName>> =
-        if (isLeading) {
-            leader
-                ?.cluster
-                ?.machines
-                ?.mapValues { it.value.images.toList() }
-                .orEmpty()
-        } else {
-            emptyMap()
-        }
-
-    /** Who answers for a machine. With one part, the leader answers for all of them. */
-    private fun owner(
-        @Suppress("UNUSED_PARAMETER") machine: MachineId,
-        role: LeadershipRole,
-    ): Member? =
-        when (role) {
-            is LeadershipRole.Leader -> role.leadership.leader
-            is LeadershipRole.RenewalOnly -> role.leadership.leader
-            is LeadershipRole.Follower -> role.leader
-            LeadershipRole.Unknown -> null
-        }
+    fun images(): Map<MachineId, List<ImageName>> {
+        val machines = if (isLeading) terms.latest?.cluster?.machines else null
+        return machines?.mapValues { it.value.images.toList() }.orEmpty()
+    }
 
-    private fun handle(command: ControllerEvent) {
-        when (command) {
-            is ControllerEvent.Submit -> jobRequests.submit(command.spec, types, command.answer)
-            is ControllerEvent.SubmitMalformed ->
-                jobRequests.submitMalformed(
-                    command.id,
-                    command.problem,
-                    command.answer,
-                )
-            is ControllerEvent.Poll -> jobRequests.poll(command.id, command.answer)
-            is ControllerEvent.Cancel -> jobRequests.cancel(command.id, command.answer)
+    private fun handle(event: ControllerEvent) {
+        when (event) {
+            is ControllerEvent.Submit -> requests.submit(event.spec, catalog.types, event.answer)
+            is ControllerEvent.SubmitMalformed -> requests.submitMalformed(event.id, event.problem, event.answer)
+            is ControllerEvent.Poll -> requests.poll(event.id, event.answer)
+            is ControllerEvent.Cancel -> requests.cancel(event.id, event.answer)
             is ControllerEvent.Heartbeat -> {
                 load.reported()
-                answerOrWait(WaitingHeartbeat(command, clock.steadyMs() + timing.heartbeatWaitMs))
+                heartbeats.accept(event)
             }
-            is ControllerEvent.PeerHeartbeatReceived -> {
-                peerHealth.onHeartbeat(command.heartbeat)
-                delegate.onHeartbeat(command.heartbeat)
-                leader?.delegates?.onHeartbeat(command.heartbeat)
-                freshness.onHeartbeat(command.heartbeat)
-                election.observeEpoch(command.heartbeat.epoch, command.heartbeat.leader)
-            }
-            is ControllerEvent.CancellationNoticeReceived -> cancellations.onNotice(command.notice)
+            is ControllerEvent.PeerHeartbeatReceived -> onPeerHeartbeat(event.heartbeat)
+            is ControllerEvent.CancellationNoticeReceived -> cancellations.onNotice(event.notice)
             is ControllerEvent.ImagesReceived ->
-                rememberedImages = if (command.isFirst) command.images else rememberedImages + command.images
-            is ControllerEvent.CallCompleted -> command.action()
+                rememberedImages = if (event.isFirst) event.images else rememberedImages + event.images
+            is ControllerEvent.CallCompleted -> event.action()
             ControllerEvent.Tick -> tick()
         }
     }
 
-    private class WaitingHeartbeat(
-        val command: ControllerEvent.Heartbeat,
-        val until: Long,
-    )
-
-    /**
-     * A worker that is refused goes on to the next controller a second later, and after the end of all controllers its
-     * lease has few of them left. So while a leader is about to be known, its report waits a moment for that.
-     */
-    private fun answerOrWait(waiting: WaitingHeartbeat) {
-        val answer = onHeartbeat(waiting.command.report)
-        if (answer.isFinal && !isLeaderGone() && !mayBeDelegated(answer) || clock.steadyMs() >= waiting.until) {
-            waiting.command.answer(answer)
-        } else {
-            waitingHeartbeats.addLast(waiting)
-        }
-    }
-
-    private val HeartbeatResponse.isFinal: Boolean get() = this !is HeartbeatResponse.Unavailable
-
-    /** The view still names a leader whose lease is over: workers sent to it would come back a second later. */
-    private fun isLeaderGone(): Boolean {
-        val role = election.role()
-        return role is LeadershipRole.Follower &&
-            role.leader == cache.leadership?.leader &&
-            cache.knowsMembers &&
-            !cache.hasMember(Keys.member(role.leader))
-    }
-
-    /** Sent on to a leader that is out of reach, a worker would lose a third of its lease for nothing. */
-    private fun mayBeDelegated(answer: HeartbeatResponse) =
-        answer is HeartbeatResponse.Redirect && delegate.isLosingTouch()
-
-    private fun answerWaiting() {
-        repeat(waitingHeartbeats.size) { waitingHeartbeats.removeFirstOrNull()?.let(::answerOrWait) }
-    }
-
-    private fun onHeartbeat(report: WorkerHeartbeat): HeartbeatResponse {
-        val role = election.role()
-        val leadership = cache.leadership
-        if (leadership != null && report.token > leadership.token) election.observeEpoch(report.token.value, null)
-        if (role is LeadershipRole.Follower && role.leader == leadership?.leader) {
-            delegate.renew(report)?.let { return renewals.renew(report, it) }
-            delegate.named(report)?.let { return HeartbeatResponse.Redirect(it.label) }
-        }
-        val owner = owner(report.machine, role) ?: return HeartbeatResponse.Unavailable
-        // An earlier life of ours led: until the next election nobody does.
-        if (owner != self && owner.label == self.label) return HeartbeatResponse.Unavailable
-        if (owner != self) return HeartbeatResponse.Redirect(owner.label)
-        val leading = leading() ?: return answerEarly(report, role)
-        val mayMissCancellations = role is LeadershipRole.RenewalOnly && !freshness.mayRenewLeases()
-        if (report.token > leading.leadership.token || mayMissCancellations) return HeartbeatResponse.Unavailable
-        val commands = leading.onHeartbeat(report) ?: return HeartbeatResponse.Redirect(null)
-        return renewals.renew(report, leading.leadership.token, commands)
+    private fun onPeerHeartbeat(heartbeat: PeerHeartbeat) {
+        peerHealth.onHeartbeat(heartbeat)
+        delegate.onHeartbeat(heartbeat)
+        terms.latest?.delegates?.onHeartbeat(heartbeat)
+        freshness.onHeartbeat(heartbeat)
+        election.observeEpoch(heartbeat.epoch, heartbeat.leader)
     }
 
-    /**
-     * Elected, but without the jobs' records yet: the lease is renewed and nothing commanded, so that the work runs on
-     * while they are read. After the end of all controllers there are a few seconds left for that, no more.
-     */
-    private fun answerEarly(
-        report: WorkerHeartbeat,
-        role: LeadershipRole,
-    ): HeartbeatResponse =
-        if (role is LeadershipRole.Leader && !cache.isSynced && report.token <= role.leadership.token) {
-            renewals.renew(report, role.leadership.token)
-        } else {
-            HeartbeatResponse.Unavailable
-        }
-
     private fun tick() {
         cache.tick()
         election.tick()
         val now = clock.steadyMs()
         load.ticked(now)
         logRoleChange()
-        answerWaiting()
-        if (!fetchingTypes && now >= nextTypesAt) fetchTypes()
+        heartbeats.answerWaiting()
+        catalog.tick(now)
         cancellations.tick()
         formatUpgrade.tick(cache.leadership?.takeIf { isLeading })
         val role = election.role()
-        val leading = leading()
-        if (leading == null ||
-            role !is LeadershipRole.Leader &&
-            role !is LeadershipRole.RenewalOnly
-        ) {
-            return cancellationEnforcer.tick()
+        val term = terms.current()
+        when {
+            term != null && role is LeadershipRole.Leader -> lead(term, now)
+            term != null && role is LeadershipRole.RenewalOnly -> term.endCancelledWork()
+            else -> cancellationEnforcer.tick()
         }
-        if (role is LeadershipRole.RenewalOnly) return leading.endCancelledWork()
-        leading.tick(types)
-        // Cut from the workers alone, a leader would send them all to itself until their leases are over.
-        if (leading.hasLostItsWorkers(now) && cache.memberCount() > 1) {
-            log.info("no worker reaches this leader any more")
+    }
+
+    private fun lead(
+        term: LeaderTerm,
+        now: Long,
+    ) {
+        term.tick(catalog.types)
+        // Cut from the workers alone, a leader would redirect them all to itself until their leases expire.
+        if (term.hasLostItsWorkers(now) && cache.memberCount() > 1) {
+            log.info("no worker reaches this leader: {}", decisions.describe())
             election.resign()
         }
     }
@@ -361,83 +227,58 @@
         val role = election.role()
         if (role == loggedRole) return
         loggedRole = role
-        log.info("now {}", decisions.describe())
+        log.info("role changed: {}", decisions.describe())
     }
 
-    /** The leader's model under the present view; made once the copy holds all that was committed before it. */
-    private fun leading(): LeaderTerm? {
-        val leadership = cache.leadership
-        val present = leader
-        val mayWrite = cache.writableFormat != WritableFormat.NONE
-        if (leadership == null ||
-            leadership.leader != self ||
-            election.role() is LeadershipRole.Follower ||
-            !mayWrite
-        ) {
-            leader = null
-            return null
-        }
-        if (present != null &&
-            present.leadership.version == leadership.version
-        ) {
-            return if (present.isDeposed) null else present
-        }
-        if (!cache.isSynced || cache.revision < leadership.version) return null
-        log.info("leading at epoch {}", leadership.epoch)
-        val next =
-            LeaderTerm(
-                leadership,
-                names,
-                settings,
-                state,
-                cloud,
-                workers,
-                clock,
-                timing,
-                cache,
-                invariants,
-                leaderWrites,
-                cloudBudget,
-                load,
-                rememberedImages,
-                ::mayFormerLeaderAnswer,
-            )
-        leader = next
-        return next
-    }
+    private fun beginTerm(leadership: LeadershipRecord) =
+        LeaderTerm(
+            leadership,
+            requestIds,
+            settings,
+            state,
+            cloud,
+            workers,
+            clock,
+            timing,
+            cache,
+            invariants,
+            limits.leaderWrites,
+            limits.cloudCalls,
+            load,
+            rememberedImages,
+            ::mayFormerLeaderAnswer,
+        )
 
-    /** One that has a later life has ended, and one that is heard hears of its successor as well. */
+    /** One that has a later incarnation has ended, and one that is alive hears of its successor as well. */
     private fun mayFormerLeaderAnswer(): Boolean {
         val former = cache.formerLeader ?: return false
-        val life = peerHealth.incarnationOf(former.label)
-        val isTerminationProven =
-            former.label == self.label ||
-                life != null &&
-                life != former ||
-                cache.members().any { it.label == former.label && it != former }
-        return !isTerminationProven && !peerHealth.isAlive(former.label)
+        val incarnation = peerHealth.incarnationOf(former.label)
+        val hasRestarted = incarnation != null && incarnation != former
+        val isSucceeded = cache.members().any { it.label == former.label && it != former }
+        val hasEnded = former.label == self.label || hasRestarted || isSucceeded
+        return !hasEnded && !peerHealth.isAlive(former.label)
     }
 
-    private fun fetchTypes() {
-        fetchingTypes = true
-        cloud.types { fetched ->
-            fetchingTypes = false
-            val now = clock.steadyMs()
-            if (fetched == null) {
-                nextTypesAt = now + timing.retryMs() * 2
-            } else {
-                types = fetched.associateBy { it.name }
-                // Only the leader needs the present spot prices.
-                nextTypesAt = now + timing.typesEveryMs * if (isLeading) 1 else 6
+    /** Whether all attempts of a job are proven gone by the leader here; null: not its affair, or not known. */
+    private fun isTerminationProven(id: JobId): Boolean? =
+        when (election.role()) {
+            is LeadershipRole.Leader, is LeadershipRole.RenewalOnly -> {
+                val job =
+                    terms.latest
+                        ?.cluster
+                        ?.jobs
+                        ?.get(id)
+                job?.live?.isEmpty()
             }
+            is LeadershipRole.Follower, LeadershipRole.Unknown -> null
         }
-    }
 
-    private inner class Listener : StateCacheListener {
+    private inner class CacheListener : StateCacheListener {
         override fun onMembersRead() = election.registerOrCampaign(clock.steadyMs())
 
         override fun onLeaderChanged(leadership: LeadershipRecord) {
-            log.info("epoch {} is led by {}", leadership.epoch, leadership.leader.label)
+            val (epoch, token, leader) = leadership
+            log.info("leader changed: epoch={} token={} leader={}", epoch, token.value, leader.label)
             leaderChanged = true
             peers.heartbeatChanged()
         }
@@ -447,35 +288,32 @@
             job: CachedJob,
             value: Map<String, Any?>,
         ) {
-            leader?.cluster?.applyJob(id, job, value)
+            terms.latest?.cluster?.applyJob(id, job, value)
             cancellations.onRecordChanged(id, job, value)
         }
 
         override fun onDependencyChanged(id: JobId) {
-            leader?.cluster?.dependencyChanged(id)
+            terms.latest?.cluster?.dependencyChanged(id)
         }
 
         override fun onWritableFormat(format: WritableFormat) {
-            log.info("the data format is now {}", format)
+            log.info("data format changed: format={}", format)
             if (format != WritableFormat.HEAD_AND_PARTS) return
             // From here on everything is built for both limits, so that the moment at which they change doesn't matter.
-            leaderWrites.limit(settings.state.lowest.writeRps * LEADER_SHARE)
-            ownWrites.limit(settings.state.lowest.writeRps * (1 - LEADER_SHARE))
-            leader?.divideLargeRecords()
+            limits.lowerWrites(settings.state.lowest.writeRps)
+            terms.latest?.divideLargeRecords()
         }
     }
 
     private companion object {
         /**
-         * Requests aren't pipelined, so each socket brings one command at a time; the rest is ticks, peers and timers.
-         * A full queue can't take the outcome of a call, and that ends the process.
+         * HTTP requests aren't pipelined, so each socket brings one event at a time; the rest is ticks, peers and
+         * timers. A full queue can't take the outcome of a call, and that ends the process.
          */
-        fun capacity(settings: Settings): Int = maxOf(LEAST_QUEUE, settings.limits.maxSockets * 2)
-
-        const val LEAST_QUEUE = 4096
+        fun queueCapacity(settings: Settings): Int = maxOf(MIN_QUEUE, settings.limits.maxSockets * 2)
 
-        /** Of the write rate; the rest is for accepting and cancelling. */
-        const val LEADER_SHARE = 0.5
-        val log = LoggerFactory.getLogger("core")
+        const val MIN_QUEUE = 4096
+        const val MS_PER_S = 1000
+        val log = LoggerFactory.getLogger("controller")
     }
 }
--- a/src/main/kotlin/oxbowlug/controller/ControllerEvent.kt
+++ b/src/main/kotlin/oxbowlug/controller/ControllerEvent.kt
@@ -10,7 +10,7 @@
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.WorkerHeartbeat
 
-/** What adapters put into the owner's queue. */
+/** What adapters put into the controller's queue; each [answer] is called once, on the event loop. */
 internal sealed interface ControllerEvent {
     class Submit(
         val spec: JobSpec,
@@ -35,7 +35,7 @@
     ) : ControllerEvent
 
     class Heartbeat(
-        val report: WorkerHeartbeat,
+        val heartbeat: WorkerHeartbeat,
         val answer: (HeartbeatResponse) -> Unit,
     ) : ControllerEvent
 
@@ -52,7 +52,7 @@
         val isFirst: Boolean,
     ) : ControllerEvent
 
-    /** The outcome of a call that the core made. */
+    /** The outcome of a call that the controller made. */
     class CallCompleted(
         val action: () -> Unit,
     ) : ControllerEvent
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/controller/ControllerStatus.kt
@@ -0,0 +1,42 @@
+package oxbowlug.controller
+
+import oxbowlug.cache.StateCache
+import oxbowlug.cancellation.CancellationTracker
+import oxbowlug.election.LeaderElection
+import oxbowlug.election.LeadershipRole
+import oxbowlug.port.Clock
+import oxbowlug.request.UserRequestHandler
+
+/** What operators see of a controller; read by the event loop's thread alone. */
+internal class ControllerStatus(
+    private val clock: Clock,
+    private val queue: EventQueue,
+    private val cache: StateCache,
+    private val election: LeaderElection,
+    private val terms: LeaderTerms,
+    private val limits: RateLimits,
+    private val requests: UserRequestHandler,
+    private val cancellations: CancellationTracker,
+) {
+    val queueDepth: Int get() = queue.depth
+    val submissionsInProgress: Int get() = requests.inProgress
+    val submissionLimit: Int get() = requests.limit
+    val commitBacklog: Int get() = terms.latest?.commitBacklog ?: 0
+    val waitingTasks: Int get() = terms.latest?.waitingTasks ?: 0
+    val machineCount: Int get() =
+        terms.latest
+            ?.cluster
+            ?.machines
+            ?.size ?: 0
+
+    /** Changes that the leader's bucket allows at once. */
+    val writesLeft: Double get() = limits.leaderWrites.available(clock.steadyMs())
+    val cloudCallsLeft: Double get() = limits.cloudCalls.available(clock.steadyMs())
+    val openCancellations: Int get() = cancellations.open.count { !it.isTerminationProven }
+    val epoch: Long get() = cache.leadership?.epoch ?: 0
+    val token: Long get() = cache.leadership?.token?.value ?: 0
+    val isLeading: Boolean get() = election.role() is LeadershipRole.Leader
+    val leaseRemainingMs: Long get() = election.leaseRemainingMs()
+    val stalenessMs: Long get() = cache.stalenessMs(clock.steadyMs())
+    val fullResyncs: Long get() = cache.fullResyncs
+}
