--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -69,6 +69,7 @@
     private val delegate = LeaseRenewalDelegate(self, settings.zone, settings.policy.regions, clock, timing, cache)
     private val peerHealth = PeerHealth(settings.peers.size, clock, timing)
     private val freshness = CancellationFreshness(self, settings, clock, timing, cache)
+    private val formerLeader = FormerLeader(self, cache, peerHealth)
     private val terms = LeaderTerms(self, election, cache, ::beginTerm)
     private val catalog = MachineTypeCatalog(cloud, clock, timing) { isLeading }
     private val cancellations =
@@ -246,19 +247,9 @@
             limits.cloudCalls,
             load,
             rememberedImages,
-            ::mayFormerLeaderAnswer,
+            formerLeader::mayAnswer,
         )
 
-    /** One that has a later incarnation has ended, and one that is alive hears of its successor as well. */
-    private fun mayFormerLeaderAnswer(): Boolean {
-        val former = cache.formerLeader ?: return false
-        val incarnation = peerHealth.incarnationOf(former.label)
-        val hasRestarted = incarnation != null && incarnation != former
-        val isSucceeded = cache.members().any { it.label == former.label && it != former }
-        val hasEnded = former.label == self.label || hasRestarted || isSucceeded
-        return !hasEnded && !peerHealth.isAlive(former.label)
-    }
-
     /** Whether all attempts of a job are proven gone by the leader here; null: not its affair, or not known. */
     private fun isTerminationProven(id: JobId): Boolean? =
         when (election.role()) {
--- a/src/main/kotlin/oxbowlug/plan/Planner.kt
+++ b/src/main/kotlin/oxbowlug/plan/Planner.kt
@@ -59,23 +59,6 @@
         return Plan(starts, stops, targets, rentals, reserved, unplaced, offers.priced + stopping.asked, move)
     }
 
-    /** How far the tasks of one job have been placed. */
-    private class JobPlacement(
-        val job: PlanJob,
-        val team: PlanTeam,
-    ) {
-        val need = job.spec.resources()
-        val zones = ZoneRule(job)
-        val starts = ArrayList<Start>()
-        var next = 0
-        var isStuck = false
-        val left: Int get() = job.pending.size - next
-
-        /** A gang needs its guarantee as a whole. */
-        fun mayBeGuaranteed(): Boolean =
-            team.guarantees(if (job.spec.kind == JobKind.GANG) need * job.pending.size.toDouble() else need)
-    }
-
     private fun placement(job: PlanJob): JobPlacement? = snapshot.teams[job.spec.team]?.let { JobPlacement(job, it) }
 
     private fun withholdPartOfGang(placement: JobPlacement) {
