--- a/src/main/kotlin/oxbowlug/cli/Main.kt
+++ b/src/main/kotlin/oxbowlug/cli/Main.kt
@@ -14,6 +14,7 @@
 private const val USAGE_ERROR = 2
 private const val VERSION = "0.1.0"
 
+/** Starts a controller, or answers an option and ends: 0 if that worked, 2 for wrong options or settings. */
 fun main(args: Array<String>) {
     val parser = OptionParser()
     val config = parser.accepts("config", "the platform's settings (TOML)").withRequiredArg().describedAs("FILE")
--- a/src/main/kotlin/oxbowlug/config/PolicyFile.kt
+++ b/src/main/kotlin/oxbowlug/config/PolicyFile.kt
@@ -25,6 +25,7 @@
 object PolicyFile {
     private const val MAX_INSTRUCTIONS = 1_000_000
 
+    /** Runs [script] and reads the table that it returns. Throws [InvalidSettings] with the key that is wrong. */
     fun parse(script: String): Policy {
         val result =
             try {
--- a/src/main/kotlin/oxbowlug/config/Settings.kt
+++ b/src/main/kotlin/oxbowlug/config/Settings.kt
@@ -16,7 +16,9 @@
 ) {
     override fun toString(): String = "$host:$port"
 
+    /** Reads addresses from settings and from messages. */
     companion object {
+        /** The address of `HOST:PORT`, or null if [text] is none. */
         fun parse(text: String): Address? {
             val colon = text.lastIndexOf(':')
             if (colon <= 0) return null
@@ -26,6 +28,7 @@
     }
 }
 
+/** Another controller of the deployment, with the address of its peer link. */
 data class Peer(
     val label: String,
     val zone: Zone,
@@ -43,23 +46,29 @@
 
 /** What the platform expects of a class's starts and ends. */
 sealed interface Objective {
+    /** The [share] of a class's tasks that is to start within [withinS] seconds. */
     data class Wait(
         val className: ClassName,
         val withinS: Double,
         val share: Double,
     ) : Objective
 
+    /** The [share] of a class's jobs that is to end by its deadline. */
     data class Deadline(
         val className: ClassName,
         val share: Double,
     ) : Objective
 
+    /** The [share] of the work within its team's guarantee that is to start within [withinS] seconds. */
     data class Guarantee(
         val withinS: Double,
         val share: Double,
     ) : Objective
 }
 
+/**
+ * How often workers send heartbeats, how long their leases last, and how soon cancelled work has to end; in seconds.
+ */
 data class WorkerSettings(
     val heartbeatS: Double,
     val leaseS: Double,
@@ -95,16 +104,19 @@
     val lowest: WriteLimits get() = next?.lowest(present) ?: present
 }
 
+/** Requests per second that the cloud takes, and by how many seconds its list of machines may lag. */
 data class CloudSettings(
     val rps: Double,
     val listLagS: Double,
 )
 
+/** Memory in MB and open sockets that a controller may use. */
 data class LimitSettings(
     val memoryMb: Double,
     val maxSockets: Int,
 )
 
+/** Everything a controller is told at its start, checked. See the platform's settings file for each field. */
 data class Settings(
     val label: String,
     val zone: Zone,
--- a/src/main/kotlin/oxbowlug/config/SettingsFile.kt
+++ b/src/main/kotlin/oxbowlug/config/SettingsFile.kt
@@ -9,6 +9,7 @@
 
 /** Reads the platform's TOML file into checked [Settings]. Unknown fields are ignored. */
 object SettingsFile {
+    /** The settings of [text] under [policy]. Throws [InvalidSettings] with the path of the field that is wrong. */
     fun parse(
         text: String,
         policy: Policy = Policy(),
--- a/src/main/kotlin/oxbowlug/config/TomlTree.kt
+++ b/src/main/kotlin/oxbowlug/config/TomlTree.kt
@@ -15,6 +15,7 @@
 object TomlTree {
     private val nodes = JsonNodeFactory.instance
 
+    /** Reads [text] into a tree. Throws Jackson's exceptions where it isn't TOML. */
     fun read(text: String): JsonNode =
         TomlFactory().createParser(text).use { parser ->
             if (parser.nextToken() == JsonToken.START_OBJECT) table(parser) else nodes.objectNode()
--- a/src/main/kotlin/oxbowlug/region/Regions.kt
+++ b/src/main/kotlin/oxbowlug/region/Regions.kt
@@ -18,6 +18,7 @@
     private val regionOf: Map<Zone, String> =
         zonesByRegion.flatMap { (region, zones) -> zones.map { it to region } }.toMap()
 
+    /** Whether these zones are the same or in the same region. */
     fun areTogether(
         one: Zone,
         other: Zone,
--- a/src/main/kotlin/oxbowlug/wire/Cbor.kt
+++ b/src/main/kotlin/oxbowlug/wire/Cbor.kt
@@ -21,12 +21,14 @@
     private const val MAX_DEPTH = 32
     private val factory = CBORFactory()
 
+    /** [value] holds maps, lists, texts, numbers, booleans and null only. */
     fun encode(value: Map<String, Any?>): ByteArray {
         val out = ByteArrayOutputStream(256)
         factory.createGenerator(out).use { write(it, value) }
         return out.toByteArray()
     }
 
+    /** The map that [bytes] hold. Throws [MalformedBody] for anything else. */
     fun decode(bytes: ByteArray): Map<String, Any?> {
         try {
             factory.createParser(bytes).use { parser ->
--- a/src/main/kotlin/oxbowlug/wire/Cloud.kt
+++ b/src/main/kotlin/oxbowlug/wire/Cloud.kt
@@ -16,9 +16,11 @@
     /** A slot is a GPU, or a core where there is no GPU. */
     val slots: Double get() = if (gpus > 0.0) gpus else cores
 
+    /** Rent per hour, of an ordinary or a spot machine. */
     fun price(spot: Boolean): Double = if (spot) spotPrice else price
 }
 
+/** What the cloud says of a machine; [wire] is the protocol's word. */
 enum class MachineState(
     val wire: String,
 ) {
@@ -27,6 +29,7 @@
     FAILED("failed"),
 }
 
+/** A machine in the cloud's list, [ageS] seconds after it was ordered. */
 data class ListedMachine(
     val id: MachineId,
     val endpoint: String,
@@ -37,6 +40,7 @@
     val ageS: Double,
 )
 
+/** An order of [count] machines; repeated under the same [name] it orders nothing more. */
 data class RentalRequest(
     val name: String,
     val type: TypeName,
@@ -45,11 +49,13 @@
     val count: Int,
 )
 
+/** Requests to the cloud and its answers. */
 object CloudCodec {
     const val MAX_RENTED = 50
     const val MAX_RETURNED = 100
     const val MAX_LISTED = 500
 
+    /** The catalogue. Throws [InvalidField], as all of these decoders do. */
     fun decodeTypes(map: Map<String, Any?>): List<MachineType> =
         map.fields().maps("breeds").map { type ->
             MachineType(
@@ -66,6 +72,7 @@
             )
         }
 
+    /** The body of an order. */
     fun encodeRental(request: RentalRequest): Map<String, Any?> =
         mapOf(
             "hire" to request.name,
@@ -75,10 +82,13 @@
             "count" to request.count,
         )
 
+    /** The machines that an order brought; fewer than asked for where there was no more capacity. */
     fun decodeRented(map: Map<String, Any?>): List<MachineId> = map.fields().texts("herd", MAX_LISTED).map(::MachineId)
 
+    /** The body of a release. */
     fun encodeReturn(machines: List<MachineId>): Map<String, Any?> = mapOf("herd" to machines.map { it.value })
 
+    /** A page of the list, and whether more follow. */
     fun decodeList(map: Map<String, Any?>): Pair<List<ListedMachine>, Boolean> {
         val fields = map.fields()
         val machines =
--- a/src/main/kotlin/oxbowlug/wire/Fields.kt
+++ b/src/main/kotlin/oxbowlug/wire/Fields.kt
@@ -11,8 +11,10 @@
 value class Fields(
     private val map: Map<String, Any?>,
 ) {
+    /** Whether the field is there and not null. */
     fun has(name: String): Boolean = map[name] != null
 
+    /** A text of 1 to [maxLength] characters. Throws [InvalidField], as all of these do. */
     fun text(
         name: String,
         maxLength: Int = MAX_TEXT,
@@ -23,11 +25,13 @@
         return value
     }
 
+    /** The same, or null where the field is missing. */
     fun textOrNull(
         name: String,
         maxLength: Int = MAX_TEXT,
     ): String? = if (has(name)) text(name, maxLength) else null
 
+    /** A boolean. */
     fun flag(name: String): Boolean =
         when (val value = map[name]) {
             null -> throw InvalidField(name, "is missing")
@@ -35,11 +39,13 @@
             else -> throw InvalidField(name, "must be true or false")
         }
 
+    /** A boolean, or [default] where the field is missing. */
     fun flagOr(
         name: String,
         default: Boolean,
     ): Boolean = if (has(name)) flag(name) else default
 
+    /** An integer from [min] to [max]. */
     fun count(
         name: String,
         min: Long = 0,
@@ -51,11 +57,13 @@
         return value
     }
 
+    /** A non-negative integer, or [default] where the field is missing. */
     fun countOr(
         name: String,
         default: Long,
     ): Long = if (has(name)) count(name) else default
 
+    /** A number from 0 to [max]. */
     fun amount(
         name: String,
         max: Double = MAX_AMOUNT,
@@ -72,13 +80,16 @@
         return number
     }
 
+    /** A number from 0 on, or null where the field is missing. */
     fun amountOrNull(name: String): Double? = if (has(name)) amount(name) else null
 
+    /** A number from 0 on, or [default] where the field is missing. */
     fun amountOr(
         name: String,
         default: Double,
     ): Double = if (has(name)) amount(name) else default
 
+    /** A list of at most [maxItems] texts. */
     fun texts(
         name: String,
         maxItems: Int,
@@ -89,12 +100,14 @@
         return value.map { it as? String ?: throw InvalidField(name, "must hold texts only") }
     }
 
+    /** A list of maps. */
     fun maps(name: String): List<Fields> {
         val value = map[name] ?: throw InvalidField(name, "is missing")
         if (value !is List<*>) throw InvalidField(name, "must be a list")
         return value.map { Fields(asMap(it, name)) }
     }
 
+    /** A map. */
     fun map(name: String): Map<String, Any?> = asMap(map[name] ?: throw InvalidField(name, "is missing"), name)
 
     private fun asMap(
@@ -107,10 +120,12 @@
         return result
     }
 
+    /** Bounds of fields that have none of their own. */
     companion object {
         const val MAX_TEXT = 200
         const val MAX_AMOUNT = 1e12
     }
 }
 
+/** Checked access to the fields of this map. */
 fun Map<String, Any?>.fields(): Fields = Fields(this)
--- a/src/main/kotlin/oxbowlug/wire/Ids.kt
+++ b/src/main/kotlin/oxbowlug/wire/Ids.kt
@@ -7,6 +7,7 @@
 ) {
     override fun toString(): String = value
 
+    /** Checks and reads what comes from outside. */
     companion object {
         private const val MAX_LENGTH = 100
 
@@ -36,6 +37,7 @@
     override fun toString(): String = value
 }
 
+/** A zone of the cloud. */
 @JvmInline
 value class Zone(
     val value: String,
@@ -43,6 +45,7 @@
     override fun toString(): String = value
 }
 
+/** A team of the platform's settings. */
 @JvmInline
 value class TeamName(
     val value: String,
@@ -50,6 +53,7 @@
     override fun toString(): String = value
 }
 
+/** A container image. */
 @JvmInline
 value class ImageName(
     val value: String,
@@ -57,6 +61,7 @@
     override fun toString(): String = value
 }
 
+/** A job's class, for objectives and weights. */
 @JvmInline
 value class ClassName(
     val value: String,
@@ -81,7 +86,9 @@
 ) {
     override fun toString(): String = "$job/$index"
 
+    /** Checks and reads what comes from outside. */
     companion object {
+        /** The task of `JOB/INDEX`, or null if [text] is none. */
         fun parse(text: String): TaskId? {
             val slash = text.lastIndexOf('/')
             if (slash <= 0) return null
--- a/src/main/kotlin/oxbowlug/wire/JobSpec.kt
+++ b/src/main/kotlin/oxbowlug/wire/JobSpec.kt
@@ -1,5 +1,6 @@
 package oxbowlug.wire
 
+/** How the tasks of a job belong together; [wire] is the protocol's word. */
 enum class JobKind(
     val wire: String,
 ) {
@@ -54,6 +55,7 @@
     val savesWork: Boolean get() = checkpointS > 0.0
 }
 
+/** Submissions, and job specifications as they are stored. */
 object JobSpecCodec {
     const val MAX_TASKS = 100_000L
     const val DEPENDS_ON = "waits_on"
@@ -65,6 +67,7 @@
     private const val MAX_NAME = 80
     private const val MAX_SECONDS = 1e9
 
+    /** Throws [InvalidField] with the published name of a field that is missing or wrong. */
     fun decode(map: Map<String, Any?>): JobSpec {
         val fields = map.fields()
         val id = fields.text("id")
@@ -94,6 +97,7 @@
         )
     }
 
+    /** The same fields that [decode] reads; those without a value are left out. */
     fun encode(spec: JobSpec): Map<String, Any?> {
         val map = LinkedHashMap<String, Any?>()
         map["id"] = spec.id.value
@@ -120,8 +124,10 @@
         return map
     }
 
+    /** The kind alone, for whoever doesn't need the whole specification. */
     fun kindOf(fields: Fields): JobKind = choice(fields.text("gait"), "gait", JobKind.entries) { it.wire }
 
+    /** The jobs that this one depends on, each once; empty where the field is missing. */
     fun predecessorsOf(fields: Fields): List<JobId> {
         if (!fields.has(DEPENDS_ON)) return emptyList()
         val names = fields.texts(DEPENDS_ON, MAX_PREDECESSORS)
--- a/src/main/kotlin/oxbowlug/wire/Store.kt
+++ b/src/main/kotlin/oxbowlug/wire/Store.kt
@@ -7,25 +7,30 @@
     val version: Long,
 )
 
+/** A key that has to be at [version] for a transaction to apply; 0: that doesn't exist. */
 data class Condition(
     val key: String,
     val version: Long,
 )
 
+/** One write of a transaction. */
 sealed interface Change {
     val key: String
 
+    /** Sets a value, which goes with [lease] if there is one. */
     data class Put(
         override val key: String,
         val value: Map<String, Any?>,
         val lease: Long? = null,
     ) : Change
 
+    /** Removes a key. */
     data class Delete(
         override val key: String,
     ) : Change
 }
 
+/** A compare-and-swap: all [changes] apply if all [conditions] hold, and otherwise none. */
 data class Transaction(
     val conditions: List<Condition>,
     val changes: List<Change>,
@@ -38,20 +43,24 @@
     val version: Long,
 )
 
+/** A page of entries by key, as of [revision]; [more] says whether others follow. */
 data class ReadPage(
     val entries: List<Entry>,
     val more: Boolean,
     val revision: Long,
 )
 
+/** All that happened up to [revision], in order. */
 data class Changes(
     val events: List<Event>,
     val revision: Long,
 )
 
+/** Requests to the state service and its answers. */
 object StoreCodec {
     const val MAX_PAGE = 1000
 
+    /** The body of a commit. */
     fun encode(transaction: Transaction): Map<String, Any?> {
         val map = LinkedHashMap<String, Any?>()
         map["if"] = transaction.conditions.map { mapOf("key" to it.key, "mark" to it.version) }
@@ -71,12 +80,14 @@
         return map
     }
 
+    /** A page of a read. Throws [InvalidField], as all of these decoders do. */
     fun decodePage(map: Map<String, Any?>): ReadPage {
         val fields = map.fields()
         val entries = fields.maps("entries").map { Entry(it.text("key"), it.map("value"), it.count("mark")) }
         return ReadPage(entries, fields.flag("more"), fields.count("ledger"))
     }
 
+    /** The answer to a read or a watch of changes. */
     fun decodeChanges(map: Map<String, Any?>): Changes {
         val fields = map.fields()
         val events =
@@ -90,12 +101,15 @@
         return Changes(events, fields.count("ledger"))
     }
 
+    /** The revision at which a transaction was applied. */
     fun decodeRevision(map: Map<String, Any?>): Long = map.fields().count("ledger")
 
+    /** The keys whose conditions failed. */
     fun decodeFailed(map: Map<String, Any?>): List<String> = map.fields().texts("failed", MAX_PAGE)
 
     /** Whether a transaction was refused for its lease, rather than for its size or form. */
     fun isLeaseOver(body: Map<String, Any?>?): Boolean = body?.get("error") == "no such lease"
 
+    /** The lease that was granted. */
     fun decodeLease(map: Map<String, Any?>): Long = map.fields().count("tether")
 }
--- a/src/main/kotlin/oxbowlug/wire/Worker.kt
+++ b/src/main/kotlin/oxbowlug/wire/Worker.kt
@@ -1,5 +1,6 @@
 package oxbowlug.wire
 
+/** What a worker says of a task; [wire] is the protocol's word. */
 enum class TaskState(
     val wire: String,
 ) {
@@ -10,6 +11,7 @@
     EXITED("exited"),
 }
 
+/** Why a task has exited; [wire] is the protocol's word. */
 enum class ExitCause(
     val wire: String,
 ) {
@@ -26,6 +28,7 @@
     OTHER(""),
 }
 
+/** One task of a heartbeat; [cause] is there once it has exited, [saved] whether its work was saved. */
 data class TaskStatus(
     val attempt: AttemptId,
     val state: TaskState,
@@ -46,32 +49,39 @@
     val noticeS: Double?,
     val tasks: List<TaskStatus>,
 ) {
+    /** Whether this is newer than the message of that incarnation and sequence. */
     fun isNewerThan(
         otherSession: Long,
         otherSequence: Long,
     ): Boolean = incarnation > otherSession || (incarnation == otherSession && sequence > otherSequence)
 }
 
+/** What a worker is told about one attempt. */
 sealed interface WorkerCommand {
     val attempt: AttemptId
 
+    /** Run it; no effect if it is known there already. */
     data class Start(
         override val attempt: AttemptId,
     ) : WorkerCommand
 
+    /** Stop it, with [graceS] seconds to save its work. */
     data class Stop(
         override val attempt: AttemptId,
         val graceS: Double,
     ) : WorkerCommand
 
+    /** Drop what is known of an attempt that has exited. */
     data class Forget(
         override val attempt: AttemptId,
     ) : WorkerCommand
 }
 
+/** Heartbeats from workers and commands to them. */
 object WorkerCodec {
     private const val MAX_REPORTED = 4096
 
+    /** Throws [InvalidField] where a field is missing or wrong. */
     fun decodeHeartbeat(map: Map<String, Any?>): WorkerHeartbeat {
         val fields = map.fields()
         val tasks = fields.maps("furrows")
@@ -102,11 +112,13 @@
         )
     }
 
+    /** The answer to a heartbeat, which renews the worker's lease. */
     fun encodeAnswer(
         token: FencingToken,
         commands: List<WorkerCommand>,
     ): Map<String, Any?> = mapOf("brand" to token.value, "calls" to commands.map(::encodeCommand))
 
+    /** Commands sent straight to a worker, valid for [incarnation] of it under [token]. */
     fun encodeDirect(
         token: FencingToken,
         incarnation: Long,
