--- a/src/main/kotlin/oxbowlug/cache/StateCacheListener.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCacheListener.kt
@@ -6,7 +6,7 @@
 
 internal interface StateCacheListener {
     /** The view and the members have been read whole; the jobs are asked for right after this. */
-    fun onMembersRead()
+    fun onMembershipRead()
 
     fun onLeaderChanged(leadership: LeadershipRecord)
 
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -284,7 +284,7 @@
         val role = election.role()
         return role is LeadershipRole.Follower &&
             role.leader == cache.leadership?.leader &&
-            cache.knowsMembers &&
+            cache.isMembershipKnown &&
             !cache.hasMember(Keys.member(role.leader))
     }
 
@@ -434,7 +434,7 @@
     }
 
     private inner class Listener : StateCacheListener {
-        override fun onMembersRead() = election.registerOrCampaign(clock.steadyMs())
+        override fun onMembershipRead() = election.registerOrCampaign(clock.steadyMs())
 
         override fun onLeaderChanged(leadership: LeadershipRecord) {
             log.info("epoch {} is led by {}", leadership.epoch, leadership.leader.label)
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -83,7 +83,7 @@
         when {
             registered -> if (mayCampaign) campaign(now, joining = null)
             // Registered before the view is known, this life would have to stand in a transaction of its own.
-            registering || electing || !cache.knowsMembers || now < nextRegistrationAt -> Unit
+            registering || electing || !cache.isMembershipKnown || now < nextRegistrationAt -> Unit
             // After the end of all controllers the workers' leases have little time left: one call less counts.
             mayCampaign && changesPerTransaction > 1 -> campaign(now, joining = held)
             else -> register(held)
@@ -91,7 +91,7 @@
     }
 
     private fun isLeaderMissing(): Boolean {
-        if (!cache.knowsMembers) return false
+        if (!cache.isMembershipKnown) return false
         val leader = cache.leadership?.leader ?: return true
         return leader != self && !cache.hasMember(Keys.member(leader))
     }
--- a/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
@@ -102,7 +102,7 @@
         val calls: Int get() = port.calls
 
         private inner class Listener : StateCacheListener {
-            override fun onMembersRead() = election.registerOrCampaign(clock.steadyMs())
+            override fun onMembershipRead() = election.registerOrCampaign(clock.steadyMs())
 
             override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
 
--- a/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -84,7 +84,7 @@
     }
 
     private inner class Listener : StateCacheListener {
-        override fun onMembersRead() = Unit
+        override fun onMembershipRead() = Unit
 
         override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
 
--- a/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
@@ -20,7 +20,7 @@
 
 /** Whoever tests a copy of the store without anything that depends on it. */
 internal object IgnoringListener : StateCacheListener {
-    override fun onMembersRead() = Unit
+    override fun onMembershipRead() = Unit
 
     override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
 
