--- a/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
@@ -113,7 +113,7 @@
                 event.key.startsWith(Keys.MEMBERS) -> applyMember(event)
             }
         } catch (e: InvalidField) {
-            log.error("entry {} can't be read: {}", event.key, e.message)
+            log.error("entry unreadable: key={} revision={} reason=\"{}\"", event.key, event.version, e.message)
         }
     }
 
@@ -138,17 +138,19 @@
 
     private fun applyFormatMarker(event: Event) {
         if (event.value == null && writableFormat == WritableFormat.HEAD_AND_PARTS) {
-            log.error("the format marker is gone; it stays in force here")
+            log.error("format marker removed, stays in force: revision={} format={}", event.version, writableFormat)
             return
         }
         val next = WritableFormat.ofMarker(event.value)
         if (next == writableFormat) return
-        if (next == WritableFormat.NONE) log.error("the format marker is of no version known here: nothing is written")
+        if (next == WritableFormat.NONE) {
+            log.error("format marker unknown, nothing is written: revision={} format={}", event.version, next)
+        }
         writableFormat = next
         listener.onWritableFormat(next)
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("replica")
+        val log = LoggerFactory.getLogger("state-cache")
     }
 }
--- a/src/main/kotlin/oxbowlug/cache/CachedJobs.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJobs.kt
@@ -74,7 +74,7 @@
         } catch (e: InvalidField) {
             // It must not look like a job that isn't there, nor like one that is done. Where it is only torn, the
             // change that explains it comes with the replay.
-            log.warn("the record of {} at revision {} can't be read: {}", id, version, e.message)
+            log.warn("job record unreadable: job={} revision={} reason=\"{}\"", id, version, e.message)
             if (present?.phase?.isFinal != true) jobs[id.value] = CachedJob.unreadable(version)
         }
     }
@@ -120,6 +120,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("replica")
+        val log = LoggerFactory.getLogger("state-cache")
     }
 }
--- a/src/main/kotlin/oxbowlug/cache/FullResync.kt
+++ b/src/main/kotlin/oxbowlug/cache/FullResync.kt
@@ -36,7 +36,7 @@
     private var nextAttemptAt = 0L
 
     /** Why the next one is due. */
-    private var reason = "this controller started"
+    private var reason = "controller started"
 
     /** How many were begun, the first one included. */
     var count = 0L
@@ -50,7 +50,7 @@
     /** Notes why the next one is due. */
     fun require(newReason: String) {
         reason = newReason
-        log.info("reading everything again: {}", reason)
+        log.info("full resync required: reason=\"{}\"", reason)
     }
 
     /**
@@ -67,7 +67,13 @@
                 isReading = false
                 target.onRead(entries, first)
                 val elapsedMs = clock.steadyMs() - beganAt
-                log.info("read {} entries from revision {} on in {} ms, since {}", entries.size, first, elapsedMs, reason)
+                log.info(
+                    "full resync complete: entries={} revision={} elapsedMs={} reason=\"{}\"",
+                    entries.size,
+                    first,
+                    elapsedMs,
+                    reason,
+                )
             }
         }
     }
@@ -85,7 +91,7 @@
                 isReading = false
                 nextAttemptAt = clock.steadyMs() + timing.retryMs()
                 // With many pages this may go on for long. In an outage the first one fails again and again.
-                if (after != null) log.info("the page after {} failed, {} entries given up", after, entries.size)
+                if (after != null) log.info("full resync page failed: after={} entries={}", after, entries.size)
             } else {
                 target.contacted(sentAt)
                 // Pages are of different moments: changes since the first one are replayed over them.
@@ -103,6 +109,6 @@
     private companion object {
         /** No page has been answered yet; revisions aren't negative. */
         const val NO_REVISION = -1L
-        val log = LoggerFactory.getLogger("replica")
+        val log = LoggerFactory.getLogger("state-cache")
     }
 }
--- a/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
@@ -37,7 +37,7 @@
         if ((cache.formatOf(settings.label) ?: 0) < DataFormat.NEWEST) {
             write(now, emptyList(), Change.Put(Keys.format(settings.label), DataFormat.encode(DataFormat.NEWEST)))
         } else if (leadership != null && cache.writableFormat == WritableFormat.SINGLE_VALUE && allRead()) {
-            log.info("all {} controllers read data format {}, switching it on", labels.size, DataFormat.NEWEST)
+            log.info("data format enabled: format={} controllers={}", DataFormat.NEWEST, labels.size)
             val conditions = listOf(Condition(Keys.LEADERSHIP, leadership.version), Condition(Keys.FORMAT, 0))
             write(now, conditions, Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))
         }
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -160,7 +160,7 @@
         now: Long,
     ) {
         val takenBack = cluster.withdrawUncommitted(job)
-        log.error("the record of {} is larger than the state service takes, {} placements back", job.id, takenBack)
+        log.error("job record too large: job={} withdrawnAttempts={}", job.id, takenBack)
         job.writeNotBefore = now + timing.workerLeaseRawMs
     }
 
@@ -192,7 +192,7 @@
         val now = clock.steadyMs()
         when (outcome) {
             is CommitOutcome.Applied -> {
-                log.info("stored at {}: {}; {}", outcome.revision, summary(group), decisions.describe())
+                log.info("job records committed: committedRevision={} jobs=[{}] {}", outcome.revision, summary(group), decisions.describe())
                 for (prepared in group) {
                     // The watch may have brought the write before its answer did.
                     prepared.job.written(prepared.record, outcome.revision)
@@ -201,7 +201,7 @@
             }
             is CommitOutcome.Conflict -> {
                 if (Keys.LEADERSHIP in outcome.failed) {
-                    log.info("the view has changed, this leader is deposed")
+                    log.info("leader deposed: epoch={} token={}", leadership.epoch, leadership.token.value)
                     isDeposed = true
                 }
                 writeAgain(group, now)
@@ -223,9 +223,9 @@
         group.joinToString { prepared ->
             val record = prepared.record
             val needs = if (record.placements.isEmpty()) emptyList() else prepared.job.spec.dependsOn
-            val known = needs.joinToString { "$it@${cache.job(it)?.version}" }
-            val after = if (needs.isEmpty()) "" else " after $known"
-            "${prepared.job.id} ${record.phase.wire}, ${record.placements.size} placed$after"
+            val predecessors = needs.joinToString(",") { "$it@${cache.job(it)?.version}" }
+            val after = if (needs.isEmpty()) "" else " after=$predecessors"
+            "job=${prepared.job.id} phase=${record.phase.wire} attempts=${record.placements.size}$after"
         }
 
     private fun pushAfterWrite(job: Job) {
@@ -251,7 +251,7 @@
         val isOutdated = cache.writableFormat == WritableFormat.HEAD_AND_PARTS && group.none { it.isDivided }
         if (isOutdated) return
         if (group.size > 1) {
-            log.error("the state service refused a transaction of {} records for its size", group.size)
+            log.error("transaction too large: jobs={}", group.size)
             for (prepared in group) prepared.job.isWrittenAlone = true
         } else {
             for (prepared in group) makeSmaller(prepared.job, now)
