--- a/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
@@ -15,9 +15,9 @@
 import oxbowlug.wire.Transaction
 
 /**
- * Switches the newest layout of stored data on, once every controller of the settings has come up with a version that
+ * Enables the newest layout of stored data once every controller of the settings has come up with a version that
  * reads it. Each notes that in a key of its own, which outlives its lease: an upgraded controller never comes back old,
- * but one that isn't there now may. The marker is written under the leader's view and is never taken back.
+ * but one that isn't there now may. The marker is written under the leader's leadership record and is never withdrawn.
  */
 internal class FormatUpgrade(
     private val settings: Settings,
@@ -27,23 +27,23 @@
     private val cache: StateCache,
 ) {
     private var isWriting = false
-    private var notBefore = 0L
+    private var nextWriteAt = 0L
     private val labels = settings.peers.map { it.label } + settings.label
 
-    /** [leadership] is the view under which this controller leads, or null. */
+    /** [leadership] is the record under which this controller leads, or null if it doesn't. */
     fun tick(leadership: LeadershipRecord?) {
         val now = clock.steadyMs()
-        if (!cache.isSynced || isWriting || now < notBefore) return
+        if (!cache.isSynced || isWriting || now < nextWriteAt) return
         if ((cache.formatOf(settings.label) ?: 0) < DataFormat.NEWEST) {
             write(now, emptyList(), Change.Put(Keys.format(settings.label), DataFormat.encode(DataFormat.NEWEST)))
-        } else if (leadership != null && cache.writableFormat == WritableFormat.SINGLE_VALUE && allRead()) {
+        } else if (leadership != null && cache.writableFormat == WritableFormat.SINGLE_VALUE && areAllReaders()) {
             log.info("data format enabled: format={} controllers={}", DataFormat.NEWEST, labels.size)
             val conditions = listOf(Condition(Keys.LEADERSHIP, leadership.version), Condition(Keys.FORMAT, 0))
             write(now, conditions, Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))
         }
     }
 
-    private fun allRead(): Boolean = labels.all { (cache.formatOf(it) ?: 0) >= DataFormat.NEWEST }
+    private fun areAllReaders(): Boolean = labels.all { (cache.formatOf(it) ?: 0) >= DataFormat.NEWEST }
 
     private fun write(
         now: Long,
@@ -51,13 +51,13 @@
         change: Change,
     ) {
         isWriting = true
-        // The copy brings what was written; until then it would be written again.
-        notBefore = now + timing.workerLeaseRawMs / PAUSES_A_LEASE
+        // The state cache brings what was written; until then it would be written again.
+        nextWriteAt = now + timing.workerLeaseRawMs / PAUSES_PER_LEASE
         state.commit(Transaction(conditions, listOf(change))) { isWriting = false }
     }
 
     private companion object {
-        const val PAUSES_A_LEASE = 10
+        const val PAUSES_PER_LEASE = 10
         val log = LoggerFactory.getLogger("upgrade")
     }
 }
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -26,8 +26,9 @@
 import oxbowlug.wire.sizeAsJson
 
 /**
- * Writes changed job records, the urgent ones first, in transactions that also compare the view: a late one of an
- * earlier leader can't apply. Lesser changes wait a little, so that several ends of one job become one write.
+ * Writes changed job records for the leader, the urgent ones first, in transactions that also compare the revision of
+ * the leadership record: a late one of an earlier leader can't apply. Changes that aren't urgent are deferred a little,
+ * so that several ends of tasks of one job become one write.
  */
 internal class JobRecordWriter(
     private val leadership: LeadershipRecord,
@@ -42,34 +43,36 @@
     private val decisions: DecisionContext,
 ) {
     private var inFlight = 0
-    private var notBefore = 0L
+    private var nextWriteAt = 0L
 
-    /** The view changed under us: someone else leads. */
+    /** The leadership record was changed by another controller: someone else leads. */
     var isDeposed = false
         private set
 
     val backlog: Int get() = cluster.dirty.size
 
+    /** Sends what is due, as far as the write rate and the limit of transactions in flight allow. */
     fun flush() {
         val now = clock.steadyMs()
-        while (!isDeposed && inFlight < MAX_IN_FLIGHT && now >= notBefore) {
-            val group = nextGroup(now)
-            if (group.isEmpty()) return
-            send(group, now)
+        while (!isDeposed && inFlight < MAX_IN_FLIGHT && now >= nextWriteAt) {
+            val batch = nextBatch(now)
+            if (batch.isEmpty()) return
+            send(batch, now)
         }
     }
 
-    private class Prepared(
+    /** One job's changes for a transaction, and the record that they store. */
+    private class PreparedWrite(
         val job: Job,
         val record: JobRecord,
         val form: StoredForm,
         val changes: List<Change>,
-        val isDivided: Boolean,
+        val isSplit: Boolean,
     ) {
         val bytes: Int = changes.sumOf { if (it is Change.Put) it.value.sizeAsJson() else 0 }
     }
 
-    private fun nextGroup(now: Long): List<Prepared> {
+    private fun nextBatch(now: Long): List<PreparedWrite> {
         if (cluster.dirty.isEmpty() || cache.writableFormat == WritableFormat.NONE) return emptyList()
         val limits = writeLimits()
         val tokens = budget.available(now)
@@ -77,33 +80,33 @@
         val spare = budget.spare(now)
         val due =
             cluster.dirty.filter { job ->
-                !job.isWriting && now >= job.writeNotBefore && (job.isUrgent || isLesserDue(job, spare, now))
+                !job.isWriting && now >= job.writeNotBefore && (job.isUrgent || isDeferredDue(job, spare, now))
             }
-        val group = ArrayList<Prepared>()
+        val batch = ArrayList<PreparedWrite>()
         var changes = 0
         var bytes = 0
         for (job in due.sortedWith(compareBy<Job> { !it.isUrgent }.thenBy { it.priority })) {
-            if (group.isNotEmpty() && job.isWrittenAlone) continue
+            if (batch.isNotEmpty() && job.isWrittenAlone) continue
             val next = prepare(job, limits, now) ?: continue
             // One job's changes belong together; with fewer tokens than it needs, it waits for more.
             val allowed = if (job.isUrgent || isOverdue(job, now)) tokens else spare
             val affordable = if (budget.isFull(now)) maxOf(allowed.toInt(), next.changes.size) else allowed.toInt()
             val room = minOf(affordable, limits.txnOps)
-            if (changes + next.changes.size > room || group.isNotEmpty() && bytes + next.bytes > MAX_BYTES) break
-            group.add(next)
+            if (changes + next.changes.size > room || batch.isNotEmpty() && bytes + next.bytes > MAX_BATCH_BYTES) break
+            batch.add(next)
             changes += next.changes.size
             bytes += next.bytes
             if (changes == room || job.isWrittenAlone) break
         }
-        return group
+        return batch
     }
 
     /**
      * Found on the bench: some twenty arrays whose tasks ended one by one took every token as it came, and each
-     * placement waited for the next. So lesser changes leave half of a second's writes alone, for as long as a worker's
-     * lease.
+     * placement waited for the next. So deferred changes leave half of a second's writes alone, for as long as a
+     * worker's lease.
      */
-    private fun isLesserDue(
+    private fun isDeferredDue(
         job: Job,
         spare: Double,
         now: Long,
@@ -119,25 +122,25 @@
         now: Long,
     ): Long = now - (job.dirtySince ?: now)
 
-    /** What values and transactions are built for now. */
+    /** The limits by which values and transactions are built in the format in force. */
     private fun writeLimits(): WriteLimits =
         if (cache.writableFormat == WritableFormat.HEAD_AND_PARTS) settings.state.lowest else settings.state.present
 
-    /** Null: it has to shrink first. */
+    /** Null if the record is too large: attempts that it holds are withdrawn then, so that it fits later. */
     private fun prepare(
         job: Job,
         limits: WriteLimits,
         now: Long,
-    ): Prepared? {
-        val isDivided = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
-        val record = job.record(requestIds.next(), isBrief = isDivided)
+    ): PreparedWrite? {
+        val isSplit = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
+        val record = job.record(requestIds.next(), isBrief = isSplit)
         val whole = record.encode()
-        val form = if (isDivided) RecordLayout(limits).split(whole) else StoredForm(whole, emptyList())
+        val form = if (isSplit) RecordLayout(limits).split(whole) else StoredForm(whole, emptyList())
         if (form == null) {
-            makeSmaller(job, now)
+            withdrawUncommitted(job, now)
             return null
         }
-        return Prepared(job, record, form, changes(job, form), isDivided)
+        return PreparedWrite(job, record, form, changes(job, form), isSplit)
     }
 
     private fun changes(
@@ -154,26 +157,26 @@
         return changes
     }
 
-    /** Placements that aren't stored were never sent, so they can be taken back; without them the record is smaller. */
-    private fun makeSmaller(
+    /** Attempts that aren't committed were never sent, so they can be withdrawn; without them the record is smaller. */
+    private fun withdrawUncommitted(
         job: Job,
         now: Long,
     ) {
-        val takenBack = cluster.withdrawUncommitted(job)
-        log.error("job record too large: job={} withdrawnAttempts={}", job.id, takenBack)
+        val withdrawnAttempts = cluster.withdrawUncommitted(job)
+        log.error("job record too large: job={} withdrawnAttempts={}", job.id, withdrawnAttempts)
         job.writeNotBefore = now + timing.workerLeaseRawMs
     }
 
     private fun send(
-        group: List<Prepared>,
+        batch: List<PreparedWrite>,
         now: Long,
     ) {
         inFlight++
-        val changes = group.flatMap { it.changes }
+        val changes = batch.flatMap { it.changes }
         budget.take(changes.size.toDouble(), now)
-        val conditions = ArrayList<Condition>(group.size + 1)
+        val conditions = ArrayList<Condition>(batch.size + 1)
         conditions.add(Condition(Keys.LEADERSHIP, leadership.version))
-        for (prepared in group) {
+        for (prepared in batch) {
             val job = prepared.job
             conditions.add(Condition(Keys.job(job.id.value), job.version))
             job.beginWrite(prepared.record, prepared.form.parts)
@@ -181,22 +184,22 @@
         }
         state.commit(Transaction(conditions, changes)) { outcome ->
             inFlight--
-            take(outcome, group)
+            accept(outcome, batch)
         }
     }
 
-    private fun take(
+    private fun accept(
         outcome: CommitOutcome,
-        group: List<Prepared>,
+        batch: List<PreparedWrite>,
     ) {
         val now = clock.steadyMs()
         when (outcome) {
             is CommitOutcome.Applied -> {
-                log.info("job records committed: committedRevision={} jobs=[{}] {}", outcome.revision, summary(group), decisions.describe())
-                for (prepared in group) {
+                log.info("job records committed: committedRevision={} jobs=[{}] {}", outcome.revision, summary(batch), decisions.describe())
+                for (prepared in batch) {
                     // The watch may have brought the write before its answer did.
                     prepared.job.written(prepared.record, outcome.revision)
-                    pushAfterWrite(prepared.job)
+                    queuePushes(prepared.job)
                 }
             }
             is CommitOutcome.Conflict -> {
@@ -204,23 +207,23 @@
                     log.info("leader deposed: epoch={} token={}", leadership.epoch, leadership.token.value)
                     isDeposed = true
                 }
-                writeAgain(group, now)
-                notBefore = now + timing.catchUpGapMs
+                requeue(batch, now)
+                nextWriteAt = now + timing.catchUpGapMs
                 cache.catchUp {}
             }
             CommitOutcome.Refused -> {
-                writeAgain(group, now)
-                notBefore = now + timing.retryMs()
+                requeue(batch, now)
+                nextWriteAt = now + timing.retryMs()
             }
-            CommitOutcome.Invalid, CommitOutcome.LeaseOver -> refuseSize(group, now)
-            // It may have been applied, or may be later: read, then write again under the same versions.
-            CommitOutcome.Unanswered -> cache.catchUp { writeAgain(group, clock.steadyMs()) }
+            CommitOutcome.Invalid, CommitOutcome.LeaseOver -> handleTooLarge(batch, now)
+            // It may have been applied, or may be later: read, then write again with the same compare-and-swap versions.
+            CommitOutcome.Unanswered -> cache.catchUp { requeue(batch, clock.steadyMs()) }
         }
     }
 
-    /** What the records allow from now on: starts of what is placed, and why its jobs were ready. */
-    private fun summary(group: List<Prepared>): String =
-        group.joinToString { prepared ->
+    /** What the records allow from now on: starts of their attempts, and why the jobs were ready. */
+    private fun summary(batch: List<PreparedWrite>): String =
+        batch.joinToString { prepared ->
             val record = prepared.record
             val needs = if (record.placements.isEmpty()) emptyList() else prepared.job.spec.dependsOn
             val predecessors = needs.joinToString(",") { "$it@${cache.job(it)?.version}" }
@@ -228,39 +231,39 @@
             "job=${prepared.job.id} phase=${record.phase.wire} attempts=${record.placements.size}$after"
         }
 
-    private fun pushAfterWrite(job: Job) {
-        for (placed in job.live.values) {
-            if (placed.seen == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(placed.machine)
+    private fun queuePushes(job: Job) {
+        for (attempt in job.live.values) {
+            if (attempt.seen == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(attempt.machine)
         }
     }
 
-    private fun writeAgain(
-        group: List<Prepared>,
+    private fun requeue(
+        batch: List<PreparedWrite>,
         now: Long,
     ) {
-        for (prepared in group) prepared.job.notWritten(prepared.record, now)
+        for (prepared in batch) prepared.job.notWritten(prepared.record, now)
     }
 
-    /** Sent again unchanged it would be refused for ever: first each job alone, then with what can be taken back. */
-    private fun refuseSize(
-        group: List<Prepared>,
+    /** Sent again unchanged it would be refused for ever: first each job alone, then without the attempts that can be withdrawn. */
+    private fun handleTooLarge(
+        batch: List<PreparedWrite>,
         now: Long,
     ) {
-        writeAgain(group, now)
-        // Written whole just before the format was switched on, they are divided the next time.
-        val isOutdated = cache.writableFormat == WritableFormat.HEAD_AND_PARTS && group.none { it.isDivided }
-        if (isOutdated) return
-        if (group.size > 1) {
-            log.error("transaction too large: jobs={}", group.size)
-            for (prepared in group) prepared.job.isWrittenAlone = true
+        requeue(batch, now)
+        // Written whole just before the format was enabled, they are split the next time.
+        val isFormatOutdated = cache.writableFormat == WritableFormat.HEAD_AND_PARTS && batch.none { it.isSplit }
+        if (isFormatOutdated) return
+        if (batch.size > 1) {
+            log.error("transaction too large: jobs={}", batch.size)
+            for (prepared in batch) prepared.job.isWrittenAlone = true
         } else {
-            for (prepared in group) makeSmaller(prepared.job, now)
+            for (prepared in batch) withdrawUncommitted(prepared.job, now)
         }
     }
 
     private companion object {
         const val MAX_IN_FLIGHT = 3
-        const val MAX_BYTES = 48 * 1024
+        const val MAX_BATCH_BYTES = 48 * 1024
         val log = LoggerFactory.getLogger("commits")
     }
 }
--- a/src/main/kotlin/oxbowlug/record/DelegateAssignments.kt
+++ b/src/main/kotlin/oxbowlug/record/DelegateAssignments.kt
@@ -4,7 +4,7 @@
 import oxbowlug.wire.Zone
 import oxbowlug.wire.fields
 
-/** Whom the leader with [token] named for each zone, as the state service has it. */
+/** Which controller the leader with [token] assigned as lease renewal delegate of each zone, as it is stored. */
 internal data class DelegateAssignments(
     val token: FencingToken,
     val byZone: Map<Zone, Member>,
@@ -28,8 +28,8 @@
             val zones = fields.map("zones")
             val byZone =
                 zones.keys.associate { zone ->
-                    val named = zones.fields().map(zone).fields()
-                    Zone(zone) to Member(named.text("label"), named.text("incarnation"))
+                    val delegate = zones.fields().map(zone).fields()
+                    Zone(zone) to Member(delegate.text("label"), delegate.text("incarnation"))
                 }
             return DelegateAssignments(FencingToken(fields.count("token")), byZone, version)
         }
--- a/src/main/kotlin/oxbowlug/record/JobRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -8,6 +8,7 @@
 import oxbowlug.wire.fields
 import java.util.BitSet
 
+/** Where a task is placed, and the number of its attempt. */
 internal data class Placement(
     val machine: MachineId,
     val attempt: Long,
@@ -21,7 +22,7 @@
     val done: BitSet,
     val nextAttempt: Long,
     val placements: Map<Int, Placement>,
-    /** Names the write, so that its author knows its own change again when the answer was lost. */
+    /** The id of the write, so that its author recognizes its own change when the answer was lost. */
     val write: String,
     /** By the time of day, when its user was about to be told; a later leader counts the time allowed from there. */
     val cancelledMs: Long? = null,
--- a/src/main/kotlin/oxbowlug/record/Keys.kt
+++ b/src/main/kotlin/oxbowlug/record/Keys.kt
@@ -5,7 +5,7 @@
     const val ROOT = "ox/"
     const val JOBS = "ox/j/"
 
-    /** The view and the members, so that one read brings both. */
+    /** The leadership record and the members, so that one read brings both. */
     const val MEMBERSHIP = "ox/r/"
     const val LEADERSHIP = "ox/r/view"
     const val MEMBERS = "ox/r/m/"
@@ -29,6 +29,7 @@
 
     fun format(label: String): String = FORMATS + label
 
+    /** Null if [key] isn't that of a member. */
     fun memberOf(key: String): Member? {
         val dot = key.lastIndexOf('.')
         return if (dot <= MEMBERS.length) null else Member(key.substring(MEMBERS.length, dot), key.substring(dot + 1))
--- a/src/main/kotlin/oxbowlug/record/Phase.kt
+++ b/src/main/kotlin/oxbowlug/record/Phase.kt
@@ -1,5 +1,6 @@
 package oxbowlug.record
 
+/** A job's phase as it is stored; [wire] is its text. */
 internal enum class Phase(
     val wire: String,
 ) {
--- a/src/main/kotlin/oxbowlug/record/RecordLayout.kt
+++ b/src/main/kotlin/oxbowlug/record/RecordLayout.kt
@@ -13,9 +13,9 @@
 )
 
 /**
- * Divides a job's record into values of at most [limits]. A record that fits is stored whole, as the versions before
+ * Splits a job's record into values of at most [limits]. A record that fits is stored whole, as the versions before
  * did. Otherwise the head keeps the specification, the phase and the number of parts, so that a cancellation is one
- * small write; placements, ranges of done tasks, and where need be lists of the specification go to the parts. Head and
+ * small write; placements, ranges of done tasks, and where needed lists of the specification go to the parts. Head and
  * changed parts are always written in one transaction under the head's version, so no part can follow a cancellation.
  */
 internal class RecordLayout(
@@ -24,9 +24,9 @@
     private val valueBytes = (limits.valueKb * BYTES_PER_KB).toInt()
 
     /** The head takes one of a transaction's changes, and a part of the bytes that one may have. */
-    private val mostParts = minOf(limits.txnOps - 1, TRANSACTION_BYTES / valueBytes - 1).coerceIn(0, MOST_PARTS)
+    private val maxParts = minOf(limits.txnOps - 1, MAX_TRANSACTION_BYTES / valueBytes - 1).coerceIn(0, MAX_PARTS)
 
-    /** Null when the record is larger than one transaction of such values. */
+    /** Splits a whole [record]. Null when it is larger than one transaction of such values. */
     fun split(record: Map<String, Any?>): StoredForm? {
         val whole = LinkedHashMap(record)
         whole.remove(PARTS)
@@ -35,7 +35,7 @@
         val head = LinkedHashMap(whole)
         head.remove(RUN)
         head.remove(DONE)
-        if (head.sizeAsJson() + HEAD_RESERVE > valueBytes) moveLists(head, pieces)
+        if (head.sizeAsJson() + HEAD_RESERVE > valueBytes) moveSpecLists(head, pieces)
         if (head.sizeAsJson() + HEAD_RESERVE > valueBytes) return null
         addPlacements(whole, pieces)
         addDone(whole, pieces)
@@ -52,11 +52,11 @@
         val head = LinkedHashMap(record)
         head.remove(RUN)
         head.remove(DONE)
-        if (head.sizeAsJson() > valueBytes) moveLists(head, ArrayList())
+        if (head.sizeAsJson() > valueBytes) moveSpecLists(head, ArrayList())
         return head
     }
 
-    /** What bears on how many more of a job's tasks its record has room for. */
+    /** The figures of a job that decide how many more of its tasks its record has room for. */
     class Occupancy(
         val tasks: Int,
         val nextAttempt: Long,
@@ -75,23 +75,23 @@
         val taskBytes = present.tasks.toString().length
         val rangeBytes = 2 * taskBytes + RANGE_MARKS
         val machineBytes = present.nameBytes + present.nextAttempt.toString().length + MACHINE_MARKS
-        val aloneBytes = machineBytes + taskBytes + 1
+        val separateMachineBytes = machineBytes + taskBytes + 1
         val usedBytes =
-            present.doneRanges * rangeBytes + present.machines * aloneBytes +
+            present.doneRanges * rangeBytes + present.machines * separateMachineBytes +
                 (present.placed - present.machines) * rangeBytes
-        val largestPiece = machineBytes + RANGES_A_PIECE * rangeBytes
-        val capacity = mostParts * (valueBytes - PART_RESERVE - largestPiece)
-        return (capacity - usedBytes) / aloneBytes
+        val largestPiece = machineBytes + RANGES_PER_PIECE * rangeBytes
+        val capacity = maxParts * (valueBytes - PART_RESERVE - largestPiece)
+        return (capacity - usedBytes) / separateMachineBytes
     }
 
-    private fun moveLists(
+    private fun moveSpecLists(
         head: LinkedHashMap<String, Any?>,
         pieces: ArrayList<Piece>,
     ) {
         val spec = LinkedHashMap(head.fields().map(SPEC))
-        for (field in MOVABLE_LISTS) {
+        for (field in MOVABLE_SPEC_FIELDS) {
             val list = spec.remove(field) ?: continue
-            pieces.add(Piece.SpecList(field, list))
+            pieces.add(Piece.MovedSpecField(field, list))
         }
         head[SPEC] = spec
     }
@@ -106,7 +106,7 @@
             for (text in attempts.toString().split(';')) {
                 val number = text.substringBefore(':')
                 for (ranges in chunks(text.substringAfter(':'))) {
-                    pieces.add(Piece.Placement(prefix, machine.toString().substring(prefix.length), "$number:$ranges"))
+                    pieces.add(Piece.MachineAttempts(prefix, machine.toString().substring(prefix.length), "$number:$ranges"))
                 }
             }
         }
@@ -117,7 +117,7 @@
         pieces: ArrayList<Piece>,
     ) {
         val done = whole[DONE] as? String ?: return
-        for (ranges in chunks(done)) pieces.add(Piece.Done(ranges))
+        for (ranges in chunks(done)) pieces.add(Piece.DoneRanges(ranges))
     }
 
     private fun pack(pieces: List<Piece>): List<Map<String, Any?>>? {
@@ -127,34 +127,40 @@
             if (!parts.last().hasRoomFor(piece)) return null
             parts.last().add(piece)
         }
-        return if (parts.size <= mostParts) parts.map { it.build() } else null
+        return if (parts.size <= maxParts) parts.map { it.build() } else null
     }
 
+    /** What isn't divided further when a record is split into parts. */
     private sealed interface Piece {
+        /** An upper bound of what it adds to a part's JSON. */
         val bytes: Int
 
-        class SpecList(
+        /** A list of the specification that has no room in the head. */
+        class MovedSpecField(
             val field: String,
             val list: Any,
         ) : Piece {
             override val bytes get() = field.sizeAsJson() + list.sizeAsJson() + SEPARATORS
         }
 
-        class Placement(
+        /** Attempts on one machine, as `attempt:tasks`; the machine's name without the common [prefix]. */
+        class MachineAttempts(
             val prefix: String,
             val machine: String,
-            val tasks: String,
+            val attempts: String,
         ) : Piece {
-            override val bytes get() = machine.sizeAsJson() + tasks.sizeAsJson() + SEPARATORS
+            override val bytes get() = machine.sizeAsJson() + attempts.sizeAsJson() + SEPARATORS
         }
 
-        class Done(
+        /** Ranges of done tasks. */
+        class DoneRanges(
             val ranges: String,
         ) : Piece {
             override val bytes get() = ranges.length + 1
         }
     }
 
+    /** Collects pieces up to [limit] bytes of JSON. */
     private class PartBuilder(
         private val limit: Int,
     ) {
@@ -169,12 +175,12 @@
         fun add(piece: Piece) {
             bytes += piece.bytes
             when (piece) {
-                is Piece.SpecList -> spec[piece.field] = piece.list
-                is Piece.Placement -> {
+                is Piece.MovedSpecField -> spec[piece.field] = piece.list
+                is Piece.MachineAttempts -> {
                     prefix = piece.prefix
-                    run.merge(piece.machine, piece.tasks) { one, other -> "$one;$other" }
+                    run.merge(piece.machine, piece.attempts) { one, other -> "$one;$other" }
                 }
-                is Piece.Done -> {
+                is Piece.DoneRanges -> {
                     if (done.isNotEmpty()) done.append(',')
                     done.append(piece.ranges)
                 }
@@ -200,14 +206,14 @@
         private const val RUN = "run"
         private const val DONE = "done"
         private const val PREFIX = "prefix"
-        private val MOVABLE_LISTS = listOf(JobSpecCodec.DEPENDS_ON, JobSpecCodec.TYPES)
+        private val MOVABLE_SPEC_FIELDS = listOf(JobSpecCodec.DEPENDS_ON, JobSpecCodec.TYPES)
         private const val BYTES_PER_KB = 1024
 
         /** A transaction may have 64 KiB; what stands around its values is left room. */
-        private const val TRANSACTION_BYTES = 48 * 1024
+        private const val MAX_TRANSACTION_BYTES = 48 * 1024
 
         /** More would be written at once too rarely to be worth a longer transaction. */
-        private const val MOST_PARTS = 8
+        private const val MAX_PARTS = 8
         private const val SEPARATORS = 4
 
         /** The phase, its time and the number of parts may still be added to a head. */
@@ -215,7 +221,7 @@
 
         /** Field names and brackets of a part, with the machines' common prefix. */
         private const val PART_RESERVE = 96
-        private const val RANGES_A_PIECE = 8
+        private const val RANGES_PER_PIECE = 8
 
         /** A dash and a comma. */
         private const val RANGE_MARKS = 2
@@ -269,6 +275,6 @@
 
         /** At most so many ranges each, so that one machine with many tasks can be divided between parts. */
         private fun chunks(ranges: String): List<String> =
-            ranges.split(',').chunked(RANGES_A_PIECE).map { it.joinToString(",") }
+            ranges.split(',').chunked(RANGES_PER_PIECE).map { it.joinToString(",") }
     }
 }
--- a/src/main/kotlin/oxbowlug/record/TaskRanges.kt
+++ b/src/main/kotlin/oxbowlug/record/TaskRanges.kt
@@ -4,6 +4,7 @@
 
 /** Sets of task numbers as text: `0-3,7`. */
 internal object TaskRanges {
+    /** The longest text of one range, with its comma. */
     const val RANGE_BOUND = 14
 
     fun encode(set: BitSet): String =
@@ -32,8 +33,10 @@
         return set
     }
 
+    /** An upper bound of the length of [encode]. */
     fun sizeBound(set: BitSet): Int = count(set) * RANGE_BOUND
 
+    /** How many ranges [encode] writes. */
     fun count(set: BitSet): Int {
         var ranges = 0
         var from = set.nextSetBit(0)
