--- a/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Applies a leadership record that is surely in the store, read there or just written. */
+    /** Applies a leadership record that is surely in the state service, read there or just written. */
     fun adopt(next: LeadershipRecord) {
         val present = leadership
         if (present == null || next.epoch > present.epoch) {
--- a/src/main/kotlin/oxbowlug/cache/CachedJob.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJob.kt
@@ -11,7 +11,10 @@
 import oxbowlug.wire.JobStatus
 import oxbowlug.wire.fields
 
-/** A job as the state service has it. [value] is kept only while the job isn't final. */
+/**
+ * A job as the state service has it. [done] counts its finished tasks, [placed] those with a committed placement.
+ * [value], the whole record, is kept only while the job isn't final or still has placements.
+ */
 internal class CachedJob(
     val phase: Phase,
     val version: Long,
@@ -24,9 +27,10 @@
     val dependsOn: List<JobId> = emptyList(),
     /** Cancelled because a predecessor is, while its own record doesn't say so yet. */
     val isCancelledByPredecessor: Boolean = false,
-    /** Its record can't be read: it is known, and nothing else is said of it. */
+    /** Its record can't be read: the job is known, and nothing else about it. */
     val isUnreadable: Boolean = false,
 ) {
+    /** What users are told of it. */
     fun status(id: JobId): JobStatus =
         when (phase) {
             Phase.DONE -> JobStatus(id, JobState.DONE, tasks, 0)
@@ -34,6 +38,7 @@
             Phase.ACTIVE -> JobStatus(id, if (placed > 0) JobState.RUNNING else JobState.QUEUED, done, placed)
         }
 
+    /** This job, cancelled because a predecessor is; its record doesn't say so yet. */
     fun cancelledByPredecessor() =
         CachedJob(
             Phase.CANCELLED,
@@ -71,20 +76,19 @@
             val run = if (fields.has("run")) fields.map("run") else emptyMap()
             val placed =
                 run.values.sumOf { text ->
-                    (text as String)
-                        .split(
-                            ';',
-                        ).sumOf { TaskRanges.decode(it.substring(it.indexOf(':') + 1)).cardinality() }
+                    (text as String).split(';').sumOf { attempt ->
+                        TaskRanges.decode(attempt.substring(attempt.indexOf(':') + 1)).cardinality()
+                    }
                 }
             val spec = fields.map("spec").fields()
-            val keep = !phase.isFinal || placed > 0
+            val isValueKept = !phase.isFinal || placed > 0
             return CachedJob(
                 phase = phase,
                 version = version,
                 tasks = spec.count("furrows").toInt(),
                 done = done,
                 placed = placed,
-                value = if (keep) value else null,
+                value = if (isValueKept) value else null,
                 kind = JobSpecCodec.kindOf(spec),
                 dependsOn = if (phase.isFinal) emptyList() else JobSpecCodec.predecessorsOf(spec),
             )
--- a/src/main/kotlin/oxbowlug/cache/CachedParts.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedParts.kt
@@ -8,8 +8,8 @@
 
 /**
  * The parts of jobs' records, with the revision at which each was written. A head and what changed of its parts are
- * always written in one transaction, so a part that is newer than a head belongs to a later head. Pages of a whole
- * read are of different moments, and the changes replayed over them begin before the last of them: there, heads meet
+ * always written in one transaction, so a part that is newer than a head belongs to a later head. Pages of a full
+ * resync are of different moments, and the changes replayed over them begin before the last of them: there, heads meet
  * such parts, and joined they would be a record that was never stored.
  */
 internal class CachedParts {
@@ -22,7 +22,7 @@
 
     fun clear() = byJob.clear()
 
-    /** Takes up a part that was written or removed. Throws [InvalidField] if its key isn't that of a part. */
+    /** Applies a part that was written or removed. Throws [InvalidField] if its key isn't that of a part. */
     fun apply(event: Event) {
         val name = event.key.substring(Keys.PARTS.length)
         val slash = name.lastIndexOf('/')
--- a/src/main/kotlin/oxbowlug/cache/CancelledWork.kt
+++ b/src/main/kotlin/oxbowlug/cache/CancelledWork.kt
@@ -5,7 +5,7 @@
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
 
-/** What has to be stopped whoever leads: tasks of jobs that are cancelled for good. */
+/** Stop commands for the running tasks of cancelled jobs in [report]; they hold whoever leads. */
 internal fun StateCache.cancelledWork(report: WorkerHeartbeat): List<WorkerCommand.Stop> =
     report.tasks
         .filter { it.state != TaskState.EXITED && job(it.attempt.task.job)?.phase == Phase.CANCELLED }
--- a/src/main/kotlin/oxbowlug/cache/DependencyState.kt
+++ b/src/main/kotlin/oxbowlug/cache/DependencyState.kt
@@ -3,12 +3,12 @@
 import oxbowlug.record.Phase
 import oxbowlug.wire.JobId
 
-/** What the jobs that a job names as its predecessors mean for it. It only ever moves forward. */
+/** What the predecessors of a job mean for it. It only ever moves forward. */
 internal enum class DependencyState {
     /** Some predecessor isn't done yet. */
     WAITING,
 
-    /** All are done, as committed: its tasks may start. */
+    /** All are committed as done: its tasks may start. */
     READY,
 
     /** One of them is cancelled, so this job is as well, though its own record may not say so yet. */
--- a/src/main/kotlin/oxbowlug/cache/Dependents.kt
+++ b/src/main/kotlin/oxbowlug/cache/Dependents.kt
@@ -2,7 +2,7 @@
 
 import oxbowlug.wire.JobId
 
-/** Which unfinished jobs wait for a job: a change of it touches these only, however many jobs there are. */
+/** Index from a predecessor to the jobs that aren't final and depend on it: its change touches only these. */
 internal class Dependents {
     private val byPredecessor = HashMap<String, LinkedHashSet<String>>()
 
@@ -24,6 +24,7 @@
         }
     }
 
+    /** In the order in which they were added. */
     fun of(id: JobId): List<JobId> = byPredecessor[id.value]?.map(::JobId).orEmpty()
 
     fun clear() = byPredecessor.clear()
--- a/src/main/kotlin/oxbowlug/cache/StateCache.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCache.kt
@@ -91,7 +91,7 @@
         value: Map<String, Any?>,
     ) = entries.jobs.applyIfNewer(id, version) { value }
 
-    /** Applies a leadership record that is surely in the store, read there or just written. */
+    /** Applies a leadership record that is surely in the state service, read there or just written. */
     fun adopt(next: LeadershipRecord) = entries.adopt(next)
 
     fun tick() {
--- a/src/main/kotlin/oxbowlug/resource/Resources.kt
+++ b/src/main/kotlin/oxbowlug/resource/Resources.kt
@@ -15,6 +15,7 @@
 
     operator fun times(factor: Double) = Resources(cores * factor, gpus * factor, memoryGb * factor)
 
+    /** Whether [room] has as much of each, but for rounding. */
     fun fitsIn(room: Resources): Boolean =
         cores <= room.cores + SLACK && gpus <= room.gpus + SLACK && memoryGb <= room.memoryGb + SLACK
 
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -15,7 +15,10 @@
 import oxbowlug.wire.StoreCodec
 import oxbowlug.wire.Transaction
 
-/** The state service over HTTP. [settle] brings outcomes back to the core's queue. */
+/**
+ * The state service over HTTP. [settle] brings outcomes back to the controller's event queue. A malformed answer counts
+ * as none. Times are in milliseconds; a read of changes may be answered later than [timeoutMs] by its own wait.
+ */
 internal class StateClient(
     private val address: Address,
     private val http: HttpCaller,
@@ -37,10 +40,10 @@
     private fun commitOutcome(result: CallResult.Answered): CommitOutcome {
         val body = result.body
         return when (result.status) {
-            200 -> body?.let { CommitOutcome.Applied(StoreCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
-            409 -> CommitOutcome.Conflict(body?.let(StoreCodec::decodeFailed).orEmpty())
-            400 -> if (StoreCodec.isLeaseOver(body)) CommitOutcome.LeaseOver else CommitOutcome.Invalid
-            429, 503 -> CommitOutcome.Refused
+            OK -> body?.let { CommitOutcome.Applied(StoreCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
+            CONFLICT -> CommitOutcome.Conflict(body?.let(StoreCodec::decodeFailed).orEmpty())
+            BAD_REQUEST -> if (StoreCodec.isLeaseOver(body)) CommitOutcome.LeaseOver else CommitOutcome.Invalid
+            TOO_MANY_REQUESTS, UNAVAILABLE -> CommitOutcome.Refused
             else -> CommitOutcome.Unanswered
         }
     }
@@ -51,8 +54,8 @@
         done: (ReadPage?) -> Unit,
     ) {
         val from = if (after == null) "" else "&from=$after"
-        call(HttpMethod.GET, "/store?prefix=$prefix$from&limit=$PAGE", null, timeoutMs, done) { result ->
-            result.bodyOf(200)?.let(StoreCodec::decodePage)
+        call(HttpMethod.GET, "/store?prefix=$prefix$from&limit=$PAGE_ENTRIES", null, timeoutMs, done) { result ->
+            result.bodyOf(OK)?.let(StoreCodec::decodePage)
         }
     }
 
@@ -64,10 +67,10 @@
     ) {
         val path = "/changes?prefix=$prefix&from=$from&block_ms=$waitMs"
         call(HttpMethod.GET, path, null, timeoutMs + waitMs, done) { result ->
-            val body = result.bodyOf(200)
+            val body = result.bodyOf(OK)
             when {
                 body != null -> ChangesOutcome.Read(StoreCodec.decodeChanges(body))
-                result is CallResult.Answered && result.status == 410 -> ChangesOutcome.TooOld
+                result is CallResult.Answered && result.status == GONE -> ChangesOutcome.TooOld
                 else -> ChangesOutcome.Failed
             }
         }
@@ -77,7 +80,7 @@
         lifeMs: Long,
         done: (Long?) -> Unit,
     ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to lifeMs), timeoutMs, done) { result ->
-        result.bodyOf(200)?.let(StoreCodec::decodeLease)
+        result.bodyOf(OK)?.let(StoreCodec::decodeLease)
     }
 
     override fun touch(
@@ -85,8 +88,8 @@
         done: (TouchOutcome) -> Unit,
     ) = call(HttpMethod.POST, "/holds/$lease/touch", emptyMap(), timeoutMs, done) { result ->
         when {
-            result is CallResult.Answered && result.status == 200 -> TouchOutcome.RENEWED
-            result is CallResult.Answered && result.status == 404 -> TouchOutcome.OVER
+            result is CallResult.Answered && result.status == OK -> TouchOutcome.RENEWED
+            result is CallResult.Answered && result.status == NOT_FOUND -> TouchOutcome.OVER
             else -> TouchOutcome.FAILED
         }
     }
@@ -118,6 +121,14 @@
         if (this is CallResult.Answered && this.status == status) body else null
 
     private companion object {
-        const val PAGE = 250
+        /** How many entries of a page are asked for. */
+        const val PAGE_ENTRIES = 250
+        const val OK = 200
+        const val BAD_REQUEST = 400
+        const val NOT_FOUND = 404
+        const val CONFLICT = 409
+        const val GONE = 410
+        const val TOO_MANY_REQUESTS = 429
+        const val UNAVAILABLE = 503
     }
 }
