--- a/src/main/kotlin/oxbowlug/cache/ChangeReads.kt
+++ b/src/main/kotlin/oxbowlug/cache/ChangeReads.kt
@@ -77,5 +77,5 @@
         }
     }
 
-    private fun watchGapMs(): Long = if (isLeading()) timing.watchGapMs else timing.followGapMs
+    private fun watchGapMs(): Long = if (isLeading()) timing.watchGapMs else timing.followerWatchGapMs
 }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -95,7 +95,7 @@
         for ((machine, attempts) in attemptsByMachine(due)) look(machine, attempts, now)
         val toRelease =
             due
-                .filter { now - it.confirmedAt > timing.enforceByReturnMs + rank * callMs }
+                .filter { now - it.confirmedAt > timing.enforceByReleaseLatestMs + rank * callMs }
                 .flatMapTo(LinkedHashSet()) { pending -> pending.attempts.filter { !isClear(it, now) }.keys }
         if (toRelease.isNotEmpty()) returnMachines(toRelease.take(CloudCodec.MAX_RETURNED), now)
     }
@@ -105,7 +105,7 @@
         now: Long,
         rank: Int,
     ): Boolean {
-        val fromMs = if (isHandledByLeader(pending)) timing.enforceByReturnMs * 3 / 4 else timing.enforceAfterMs
+        val fromMs = if (isHandledByLeader(pending)) timing.enforceByReleaseLatestMs * 3 / 4 else timing.enforceAfterMs
         return now - pending.confirmedAt >= fromMs + rank * timing.enforceStepMs
     }
 
@@ -135,7 +135,7 @@
         watch.isAsking = true
         workers.status(endpoint) { report ->
             val answeredAt = clock.steadyMs()
-            watch.nextAt = answeredAt + timing.quietMs
+            watch.nextAt = answeredAt + timing.missedHeartbeatsMs
             if (report == null || report.machine != machine) {
                 watch.isAsking = false
                 return@status
@@ -168,7 +168,7 @@
             watch.nextAt = clock.steadyMs()
             if (outcome is DirectOutcome.Answered && shown(outcome.report, attempts).isEmpty()) {
                 watch.saidClearOf(attempts, clock.steadyMs())
-                watch.nextAt = clock.steadyMs() + timing.quietMs
+                watch.nextAt = clock.steadyMs() + timing.missedHeartbeatsMs
             }
         }
     }
@@ -178,7 +178,7 @@
         isListing = true
         cloud.list { machines ->
             isListing = false
-            nextListAt = clock.steadyMs() + timing.listEveryMs
+            nextListAt = clock.steadyMs() + timing.machineListIntervalMs
             if (machines == null) return@list
             endpoints =
                 machines
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -32,12 +32,12 @@
             val lastContactAt = host.lastContactAt
             if (lastContactAt == null && host.listed != MachineState.RUNNING) continue
             count.expected++
-            if (lastContactAt != null && now - lastContactAt <= timing.quietMs) count.heard++
+            if (lastContactAt != null && now - lastContactAt <= timing.missedHeartbeatsMs) count.heard++
             if (host.isReleasing) continue
             count.known++
             // A leader elected during a cut has never heard the machines behind it.
             val since = lastContactAt ?: maxOf(startedAt, host.firstSeenAt)
-            if (now - since > timing.cutSignMs) count.silent++
+            if (now - since > timing.zonePartitionSilenceMs) count.silent++
             if (lastContactAt != null && now - lastContactAt > timing.suspectMs) suspects.add(host)
         }
     }
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -110,12 +110,12 @@
         job: Job,
         spare: Double,
         now: Long,
-    ): Boolean = isOverdue(job, now) || spare >= 1.0 && ageMs(job, now) >= timing.lazyWriteMs
+    ): Boolean = isOverdue(job, now) || spare >= 1.0 && ageMs(job, now) >= timing.deferredWriteMs
 
     private fun isOverdue(
         job: Job,
         now: Long,
-    ): Boolean = ageMs(job, now) >= timing.lazyWriteLatestMs
+    ): Boolean = ageMs(job, now) >= timing.deferredWriteMaxMs
 
     private fun ageMs(
         job: Job,
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -175,7 +175,7 @@
 
     private fun isOurView(): Boolean = cache.leadership?.leader == self
 
-    private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateAwayMs * 2
+    private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateUnreachableMs * 2
 
     fun heartbeat(): PeerHeartbeat =
         PeerHeartbeat(
@@ -186,7 +186,7 @@
             clock.steadyMs(),
             delegate.echo(),
             hasUnacknowledged = cancellations.hasUnacknowledged(),
-            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.confirmsMs,
+            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmMs,
         )
 
     /** Whether all attempts of a job are proven gone, as far as this controller has it in its account. */
@@ -428,7 +428,7 @@
             } else {
                 types = fetched.associateBy { it.name }
                 // Only the leader needs the present spot prices.
-                nextTypesAt = now + timing.typesEveryMs * if (isLeading) 1 else 6
+                nextTypesAt = now + timing.machineTypesIntervalMs * if (isLeading) 1 else 6
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -67,7 +67,7 @@
             leadership.token,
             clock,
             timing,
-            DemandForecast(settings, timing.arrivalsMs),
+            DemandForecast(settings, timing.arrivalWindowMs),
             rememberedImages,
             settings.teams,
             cache::dependencyState,
@@ -294,7 +294,7 @@
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
         val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(host.zone, host.lease.countsFromMs ?: now)
         if (mayBeOver) cluster.expire(host, now)
-        val patienceMs = if (heartbeats.isCut(host.zone)) timing.cancelPatienceCutMs else timing.cancelPatienceMs
+        val patienceMs = if (heartbeats.isCut(host.zone)) timing.partitionedCancelPatienceMs else timing.cancelPatienceMs
         for (placed in host.live.values) {
             val cancelledAt = placed.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
@@ -354,7 +354,7 @@
         val endpoint = host.endpoint ?: return true
         val lastContactAt = host.lastContactAt ?: return true
         if (!host.isSettled(cluster.token) ||
-            now - lastContactAt > timing.quietMs ||
+            now - lastContactAt > timing.missedHeartbeatsMs ||
             now < host.directNotBefore
         ) {
             return true
@@ -372,7 +372,7 @@
             host.directInFlight = emptyList()
             when (outcome) {
                 is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.report, isHeartbeat = false)
-                DirectOutcome.NotSent -> host.directNotBefore = clock.steadyMs() + timing.quietMs
+                DirectOutcome.NotSent -> host.directNotBefore = clock.steadyMs() + timing.missedHeartbeatsMs
                 DirectOutcome.Unanswered -> {
                     // It may be executed minutes later; from here on the answers to reports carry the commands.
                     host.unresolved.addAll(starts)
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -111,7 +111,7 @@
             clearFrom = clock.steadyMs()
         }
         // It got that word of ours at that time or later, and doesn't begin until long after.
-        clearTo = maxOf(clearTo, echo.atMs + timing.delegateClearMs)
+        clearTo = maxOf(clearTo, echo.atMs + timing.delegateNotStartedMs)
     }
 
     /** Whether a lease that we last renewed at [answeredAt] is over, whatever the zone's deputy did. */
--- a/src/main/kotlin/oxbowlug/request/UserRequestHandler.kt
+++ b/src/main/kotlin/oxbowlug/request/UserRequestHandler.kt
@@ -318,7 +318,7 @@
         return UserResponse.Known(stored.status(id))
     }
 
-    private fun stateReachable(now: Long): Boolean = now - cache.lastContactMs < timing.stateAwayMs
+    private fun stateReachable(now: Long): Boolean = now - cache.lastContactMs < timing.stateUnreachableMs
 
     private fun unavailable(why: String): UserResponse {
         log.debug("refused: {}", why)
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -175,7 +175,7 @@
         listing = true
         cloud.list { machines ->
             listing = false
-            nextListAt = clock.steadyMs() + if (machines == null) timing.retryMs() * 2 else timing.listEveryMs
+            nextListAt = clock.steadyMs() + if (machines == null) timing.retryMs() * 2 else timing.machineListIntervalMs
             if (machines != null) {
                 if (!hasInventory) cluster.planWanted = true
                 hasInventory = true
@@ -213,7 +213,7 @@
         }
         for (machine in cluster.machines.values.toList()) {
             // Lists lag and can go backwards: only one asked for long after the machine was known proves its absence.
-            if (machine.id !in present && machine.firstSeenAt < askedAt - timing.listAgeMs) {
+            if (machine.id !in present && machine.firstSeenAt < askedAt - timing.machineListAgeMs) {
                 cluster.removeMachine(machine.id, "no longer listed")
             }
         }
--- a/src/main/kotlin/oxbowlug/timing/TokenBucket.kt
+++ b/src/main/kotlin/oxbowlug/timing/TokenBucket.kt
@@ -14,18 +14,19 @@
         return tokens
     }
 
-    /** Nothing more is gained by waiting. */
+    /** Whether nothing more is gained by waiting. */
     fun isFull(now: Long): Boolean = available(now) >= burst - ROUNDING
 
-    /** What may be taken for what can wait, so that it doesn't keep what can't from going out at once. */
+    /** What deferrable work may take, so that it doesn't keep urgent work from going out at once. */
     fun spare(now: Long): Double = available(now) - burst * RESERVED_SHARE
 
-    /** From now on no more than this. */
+    /** Lowers the rate to [next] per second; it is never raised. */
     fun limit(next: Double) {
         perSecond = minOf(perSecond, next)
         tokens = minOf(tokens, perSecond)
     }
 
+    /** Takes [amount] even if there is less: the balance may become negative. */
     fun take(
         amount: Double,
         now: Long,
@@ -34,6 +35,7 @@
         tokens -= amount
     }
 
+    /** Takes [amount] unless there is less; false then. */
     fun tryTake(
         amount: Double,
         now: Long,
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -186,7 +186,7 @@
     ) {
         running.addAll(there.map(::attempt))
         cancelled(first)
-        pass(timing.quietMs)
+        pass(timing.missedHeartbeatsMs)
         cancelled(second)
         pass(forMs)
     }
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -392,7 +392,7 @@
             cluster.applyHeartbeat(report(1).copy(machine = MachineId(name)), isHeartbeat = true)
         }
         assertTrue(planning.hasRoomFor(listOf(silent), types))
-        clock.now += timing.quietMs + 1
+        clock.now += timing.missedHeartbeatsMs + 1
         assertFalse(planning.hasRoomFor(listOf(silent), types), "the others are silent too")
     }
 
@@ -420,7 +420,7 @@
             listOf(
                 Case("all heard", listOf(0, 500, 900, 100, 0, 0), false, 0),
                 Case("a few hang", listOf(silent, silent, 0, 0, 0, 0), false, 2),
-                Case("the first of a cut", listOf(silent) + List(5) { timing.cutSignMs + 1 }, true, 1),
+                Case("the first of a cut", listOf(silent) + List(5) { timing.zonePartitionSilenceMs + 1 }, true, 1),
                 Case("behind a cut since before this leader", List(6) { null }, true, 0),
                 Case("one alone", listOf(silent), false, 1),
             )
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -182,8 +182,8 @@
         val arrays = List(12) { record("array-$it", 40, placed = 1) }
         lead(isSwitchedOn = true, *arrays.toTypedArray(), record("service", 2), rate = 8.0)
         for (array in arrays) cluster.jobs.getValue(array.spec.id).drop(0, clock.steadyMs())
-        world.after(timing.lazyWriteMs) {}
-        world.runUntil(world.nowMs + timing.lazyWriteMs)
+        world.after(timing.deferredWriteMs) {}
+        world.runUntil(world.nowMs + timing.deferredWriteMs)
         commits.flush()
         val lesser = sent.sumOf { it.changes.size }
         place("service", 0..1)
