--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -5,25 +5,19 @@
 import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.Job
 import oxbowlug.config.Settings
-import oxbowlug.config.WriteLimits
 import oxbowlug.invariant.DecisionContext
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Phase
-import oxbowlug.record.RecordLayout
 import oxbowlug.record.RequestIds
-import oxbowlug.record.StoredForm
 import oxbowlug.record.WritableFormat
 import oxbowlug.timing.Timing
 import oxbowlug.timing.TokenBucket
-import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.Transaction
-import oxbowlug.wire.sizeAsJson
 
 /**
  * Writes changed job records for the leader, the urgent ones first, in transactions that also compare the revision of
@@ -32,8 +26,8 @@
  */
 internal class JobRecordWriter(
     private val leadership: LeadershipRecord,
-    private val requestIds: RequestIds,
-    private val settings: Settings,
+    requestIds: RequestIds,
+    settings: Settings,
     private val state: StatePort,
     private val clock: Clock,
     private val timing: Timing,
@@ -42,6 +36,7 @@
     private val cluster: ClusterState,
     private val decisions: DecisionContext,
 ) {
+    private val preparer = WritePreparer(requestIds, settings, cache)
     private var inFlight = 0
     private var nextWriteAt = 0L
 
@@ -61,46 +56,44 @@
         }
     }
 
-    /** One job's changes for a transaction, and the record that they store. */
-    private class PreparedWrite(
-        val job: Job,
-        val record: JobRecord,
-        val form: StoredForm,
-        val changes: List<Change>,
-        val isSplit: Boolean,
-    ) {
-        val bytes: Int = changes.sumOf { if (it is Change.Put) it.value.sizeAsJson() else 0 }
-    }
-
     private fun nextBatch(now: Long): List<PreparedWrite> {
         if (cluster.dirty.isEmpty() || cache.writableFormat == WritableFormat.NONE) return emptyList()
-        val limits = writeLimits()
+        val limits = preparer.limits()
         val tokens = budget.available(now)
         if (tokens < 1.0) return emptyList()
         val spare = budget.spare(now)
-        val due =
-            cluster.dirty.filter { job ->
-                !job.isWriting && now >= job.writeNotBefore && (job.isUrgent || isDeferredDue(job, spare, now))
+        val batch = WriteBatch(limits.txnOps)
+        for (job in dueJobs(spare, now)) {
+            if (!batch.isEmpty && job.isWrittenAlone) continue
+            val next = preparer.prepare(job, limits)
+            if (next == null) {
+                withdrawUncommitted(job, now)
+                continue
             }
-        val batch = ArrayList<PreparedWrite>()
-        var changes = 0
-        var bytes = 0
-        for (job in due.sortedWith(compareBy<Job> { !it.isUrgent }.thenBy { it.priority })) {
-            if (batch.isNotEmpty() && job.isWrittenAlone) continue
-            val next = prepare(job, limits, now) ?: continue
-            // One job's changes belong together; with fewer tokens than it needs, it waits for more.
             val allowed = if (job.isUrgent || isOverdue(job, now)) tokens else spare
-            val affordable = if (budget.isFull(now)) maxOf(allowed.toInt(), next.changes.size) else allowed.toInt()
-            val room = minOf(affordable, limits.txnOps)
-            if (changes + next.changes.size > room || batch.isNotEmpty() && bytes + next.bytes > MAX_BATCH_BYTES) break
-            batch.add(next)
-            changes += next.changes.size
-            bytes += next.bytes
-            if (changes == room || job.isWrittenAlone) break
+            if (!batch.add(next, affordableChanges(next, allowed, now))) break
+            if (batch.isFull || job.isWrittenAlone) break
         }
-        return batch
+        return batch.writes
     }
 
+    /** Urgent ones first, then by priority. */
+    private fun dueJobs(
+        spare: Double,
+        now: Long,
+    ): List<Job> =
+        cluster.dirty
+            .filter { job ->
+                !job.isWriting && now >= job.writeNotBefore && (job.isUrgent || isDeferredDue(job, spare, now))
+            }.sortedWith(compareBy<Job> { !it.isUrgent }.thenBy { it.priority })
+
+    /** One job's changes belong together; with fewer tokens than it needs, it waits for more. */
+    private fun affordableChanges(
+        next: PreparedWrite,
+        allowed: Double,
+        now: Long,
+    ): Int = if (budget.isFull(now)) maxOf(allowed.toInt(), next.changes.size) else allowed.toInt()
+
     /**
      * Found on the bench: some twenty arrays whose tasks ended one by one took every token as it came, and each
      * placement waited for the next. So deferred changes leave half of a second's writes alone, for as long as a
@@ -122,41 +115,6 @@
         now: Long,
     ): Long = now - (job.dirtySince ?: now)
 
-    /** The limits by which values and transactions are built in the format in force. */
-    private fun writeLimits(): WriteLimits =
-        if (cache.writableFormat == WritableFormat.HEAD_AND_PARTS) settings.state.lowest else settings.state.present
-
-    /** Null if the record is too large: attempts that it holds are withdrawn then, so that it fits later. */
-    private fun prepare(
-        job: Job,
-        limits: WriteLimits,
-        now: Long,
-    ): PreparedWrite? {
-        val isSplit = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
-        val record = job.record(requestIds.next(), isBrief = isSplit)
-        val whole = record.encode()
-        val form = if (isSplit) RecordLayout(limits).split(whole) else StoredForm(whole, emptyList())
-        if (form == null) {
-            withdrawUncommitted(job, now)
-            return null
-        }
-        return PreparedWrite(job, record, form, changes(job, form), isSplit)
-    }
-
-    private fun changes(
-        job: Job,
-        form: StoredForm,
-    ): List<Change> {
-        val id = job.id.value
-        val changes = ArrayList<Change>()
-        changes.add(Change.Put(Keys.job(id), form.head))
-        for ((index, part) in form.parts.withIndex()) {
-            if (job.storedParts.getOrNull(index) != part) changes.add(Change.Put(Keys.part(id, index), part))
-        }
-        for (index in form.parts.size until job.storedParts.size) changes.add(Change.Delete(Keys.part(id, index)))
-        return changes
-    }
-
     /** Attempts that aren't committed were never sent, so they can be withdrawn; without them the record is smaller. */
     private fun withdrawUncommitted(
         job: Job,
@@ -195,7 +153,12 @@
         val now = clock.steadyMs()
         when (outcome) {
             is CommitOutcome.Applied -> {
-                log.info("job records committed: committedRevision={} jobs=[{}] {}", outcome.revision, summary(batch), decisions.describe())
+                log.info(
+                    "job records committed: committedRevision={} jobs=[{}] {}",
+                    outcome.revision,
+                    summary(batch),
+                    decisions.describe(),
+                )
                 for (prepared in batch) {
                     // The watch may have brought the write before its answer did.
                     prepared.job.written(prepared.record, outcome.revision)
@@ -263,7 +226,6 @@
 
     private companion object {
         const val MAX_IN_FLIGHT = 3
-        const val MAX_BATCH_BYTES = 48 * 1024
         val log = LoggerFactory.getLogger("commits")
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -294,7 +294,15 @@
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
         val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(host.zone, host.lease.countsFromMs ?: now)
         if (mayBeOver) cluster.expire(host, now)
-        val patienceMs = if (heartbeats.isCut(host.zone)) timing.partitionedCancelPatienceMs else timing.cancelPatienceMs
+        val patienceMs =
+            if (heartbeats.isCut(
+                    host.zone,
+                )
+            ) {
+                timing.partitionedCancelPatienceMs
+            } else {
+                timing.cancelPatienceMs
+            }
         for (placed in host.live.values) {
             val cancelledAt = placed.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
--- a/src/main/kotlin/oxbowlug/record/RecordLayout.kt
+++ b/src/main/kotlin/oxbowlug/record/RecordLayout.kt
@@ -106,7 +106,9 @@
             for (text in attempts.toString().split(';')) {
                 val number = text.substringBefore(':')
                 for (ranges in chunks(text.substringAfter(':'))) {
-                    pieces.add(Piece.MachineAttempts(prefix, machine.toString().substring(prefix.length), "$number:$ranges"))
+                    pieces.add(
+                        Piece.MachineAttempts(prefix, machine.toString().substring(prefix.length), "$number:$ranges"),
+                    )
                 }
             }
         }
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -325,7 +325,8 @@
         val now = clock.steadyMs()
         for (host in cluster.machines.values) {
             val type = types[host.type] ?: continue
-            val isReady = !host.isReleasing && host.lastContactAt?.let { now - it <= timing.missedHeartbeatsMs } ?: false
+            val isReady =
+                !host.isReleasing && host.lastContactAt?.let { now - it <= timing.missedHeartbeatsMs } ?: false
             if (isReady && !host.spot) free += host.free(type, unmanagedUsage(host))
         }
         return (need * SPARE).fitsIn(free)
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -95,7 +95,8 @@
 
     /** A list is surely newer than an event if it was asked for this much later. */
     val machineListAgeMs: Long = (settings.cloud.listLagS * 2000.0 * 1.1).toLong() + 1000
-    val machineListIntervalMs: Long = maxOf((settings.cloud.listLagS * 500.0).toLong(), (4000.0 / settings.cloud.rps).toLong())
+    val machineListIntervalMs: Long =
+        maxOf((settings.cloud.listLagS * 500.0).toLong(), (4000.0 / settings.cloud.rps).toLong())
 
     /**
      * A machine on which a job failed is avoided by it this long; a job that fails everywhere pauses, doubling. Both
@@ -159,7 +160,14 @@
      * Until the next machine may be emptied after one with replicas of [jobs] jobs. Each job is written twice for it,
      * and moves may use a quarter of the write rate: so a large fleet shrinks as fast as its rates allow.
      */
-    fun movePauseMs(jobs: Int): Long = if (jobs == 0) noDrainPauseMs else (jobs * 2 / (writeRps * 0.25) * 1000.0).toLong()
+    fun movePauseMs(jobs: Int): Long =
+        if (jobs ==
+            0
+        ) {
+            noDrainPauseMs
+        } else {
+            (jobs * 2 / (writeRps * 0.25) * 1000.0).toLong()
+        }
 
     fun jitter(maxMs: Long): Long = if (maxMs <= 0) 0 else random.nextLong(maxMs + 1)
 
