--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -141,7 +141,7 @@
 
     private fun isElected(): Boolean = cache.leadership?.leader == self
 
-    private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateAwayMs * 2
+    private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateUnreachableMs * 2
 
     /** What the other controllers are told of this one. */
     fun heartbeat(): PeerHeartbeat =
@@ -153,7 +153,7 @@
             clock.steadyMs(),
             delegate.echo(),
             hasUnacknowledged = cancellations.hasUnacknowledged(),
-            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.confirmsMs,
+            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmMs,
         )
 
     /**
@@ -265,7 +265,7 @@
         }
 
     private inner class CacheListener : StateCacheListener {
-        override fun onMembersRead() = election.registerOrCampaign(clock.steadyMs())
+        override fun onMembershipRead() = election.registerOrCampaign(clock.steadyMs())
 
         override fun onLeaderChanged(leadership: LeadershipRecord) {
             val (epoch, token, leader) = leadership
--- a/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
@@ -64,7 +64,7 @@
         val role = election.role()
         return role is LeadershipRole.Follower &&
             role.leader == cache.leadership?.leader &&
-            cache.knowsMembers &&
+            cache.isMembershipKnown &&
             !cache.hasMember(Keys.member(role.leader))
     }
 
--- a/src/main/kotlin/oxbowlug/controller/MachineTypeCatalog.kt
+++ b/src/main/kotlin/oxbowlug/controller/MachineTypeCatalog.kt
@@ -34,7 +34,7 @@
         } else {
             types = fetched.associateBy { it.name }
             // Only the leader needs the present spot prices.
-            nextFetchAt = now + timing.typesEveryMs * if (isLeading()) 1 else FOLLOWER_INTERVALS
+            nextFetchAt = now + timing.machineTypesIntervalMs * if (isLeading()) 1 else FOLLOWER_INTERVALS
         }
     }
 
