--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -20,8 +20,8 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /**
- * What a controller that doesn't lead does about cancelled work that nobody entitled sees to: it asks the machine,
- * stops exactly the cancelled attempts there, and returns the machine where that can't be had in time. Late copies of
+ * What a controller that doesn't lead does about cancelled work that no leader enforces: it asks the worker,
+ * stops exactly the cancelled attempts there, and releases the machine where that fails in time. Late duplicates of
  * such stops harm nothing, since cancelled is final under every epoch.
  */
 internal class CancellationEnforcer(
@@ -36,38 +36,38 @@
     private val workers: WorkerPort,
     private val budget: TokenBucket,
 ) {
-    private class Watched {
-        var isAsking = false
-        var nextAt = 0L
-        private var clearOf: Set<AttemptId> = emptySet()
-        private var clearAt = 0L
-
-        /** At [atMs] it said that none of [attempts] is there. */
-        fun saidClearOf(
+    private class MachineProbe {
+        var isInFlight = false
+        var nextProbeAt = 0L
+        private var absentAttempts: Set<AttemptId> = emptySet()
+        private var absentAtMs = 0L
+
+        /** At [atMs] the worker reported that none of [attempts] is there. */
+        fun recordAbsence(
             attempts: Set<AttemptId>,
             atMs: Long,
         ) {
-            clearOf = attempts
-            clearAt = atMs
+            absentAttempts = attempts
+            absentAtMs = atMs
         }
 
         /**
-         * What it said of one job's attempts says nothing of another's: taken for that, cancelled tasks on a shared
-         * machine ran on, and the machine was kept.
+         * What it reported of one job's attempts says nothing of another's: mistaken for it, cancelled tasks on a
+         * shared machine ran on, and the machine was kept.
          */
-        fun isClearOf(
+        fun areAbsent(
             attempts: Set<AttemptId>,
             sinceMs: Long,
-        ): Boolean = clearAt > sinceMs && clearOf.containsAll(attempts)
+        ): Boolean = absentAtMs > sinceMs && absentAttempts.containsAll(attempts)
     }
 
-    private val watched = HashMap<MachineId, Watched>()
-    private val returned = HashSet<MachineId>()
+    private val probes = HashMap<MachineId, MachineProbe>()
+    private val released = HashSet<MachineId>()
     private var endpoints: Map<MachineId, Address> = emptyMap()
     private var isListing = false
     private var nextListAt = 0L
-    private var isReturning = false
-    private var nextReturnAt = 0L
+    private var isReleasing = false
+    private var nextReleaseAt = 0L
     private val callMs = (1000.0 / settings.cloud.rps * 2).toLong()
 
     /** Among those that don't lead, so that they act one after the other. */
@@ -76,7 +76,7 @@
         return (settings.peers.map { it.label } + self.label).filter { it != leader }.sorted().indexOf(self.label)
     }
 
-    /** The leader knows of it and is heard: it has until the last moment. */
+    /** The leader knows of it and is alive: it has until the last moment. */
     private fun isHandledByLeader(pending: CancellationTracker.PendingCancellation): Boolean {
         val leader = cache.leadership?.leader ?: return false
         val isAlive = peerHealth.incarnationOf(leader.label) == leader && peerHealth.isAlive(leader.label)
@@ -84,20 +84,22 @@
     }
 
     fun tick() {
-        if (cancellations.open.isEmpty()) {
-            if (watched.isNotEmpty()) watched.clear()
-            returned.clear()
+        if (cancellations.allPending.isEmpty()) {
+            if (probes.isNotEmpty()) probes.clear()
+            released.clear()
             return
         }
         val now = clock.steadyMs()
         val rank = rank().coerceAtLeast(0)
-        val due = cancellations.open.filter { !it.isTerminationProven && isDue(it, now, rank) }
-        for ((machine, attempts) in attemptsByMachine(due)) look(machine, attempts, now)
+        val due = cancellations.allPending.filter { !it.isTerminationProven && isDue(it, now, rank) }
+        for ((machine, attempts) in attemptsByMachine(due)) probe(machine, attempts, now)
         val toRelease =
             due
                 .filter { now - it.confirmedAt > timing.enforceByReturnMs + rank * callMs }
-                .flatMapTo(LinkedHashSet()) { pending -> pending.attempts.filter { !isClear(it, now) }.keys }
-        if (toRelease.isNotEmpty()) returnMachines(toRelease.take(CloudCodec.MAX_RETURNED), now)
+                .flatMapTo(LinkedHashSet()) { pending ->
+                    pending.attempts.filter { (machine, attempts) -> !areProvenAbsent(machine, attempts, now) }.keys
+                }
+        if (toRelease.isNotEmpty()) releaseMachines(toRelease.take(CloudCodec.MAX_RETURNED), now)
     }
 
     private fun isDue(
@@ -118,62 +120,63 @@
         return result
     }
 
-    private fun isClear(
-        placed: Map.Entry<MachineId, Set<AttemptId>>,
+    private fun areProvenAbsent(
+        machine: MachineId,
+        attempts: Set<AttemptId>,
         now: Long,
-    ): Boolean = placed.key in returned || watched[placed.key]?.isClearOf(placed.value, now - timing.suspectMs) ?: false
+    ): Boolean = machine in released || probes[machine]?.areAbsent(attempts, now - timing.suspectMs) ?: false
 
-    private fun look(
+    private fun probe(
         machine: MachineId,
         attempts: Set<AttemptId>,
         now: Long,
     ) {
-        if (machine in returned) return
-        val watch = watched.getOrPut(machine, ::Watched)
-        if (watch.isAsking || now < watch.nextAt) return
-        val endpoint = endpoints[machine] ?: return list(now)
-        watch.isAsking = true
-        workers.status(endpoint) { report ->
+        if (machine in released) return
+        val probe = probes.getOrPut(machine, ::MachineProbe)
+        if (probe.isInFlight || now < probe.nextProbeAt) return
+        val endpoint = endpoints[machine] ?: return refreshEndpoints(now)
+        probe.isInFlight = true
+        workers.status(endpoint) { heartbeat ->
             val answeredAt = clock.steadyMs()
-            watch.nextAt = answeredAt + timing.quietMs
-            if (report == null || report.machine != machine) {
-                watch.isAsking = false
+            probe.nextProbeAt = answeredAt + timing.quietMs
+            if (heartbeat == null || heartbeat.machine != machine) {
+                probe.isInFlight = false
                 return@status
             }
-            val left = shown(report, attempts)
-            watch.saidClearOf(attempts - left.toSet(), answeredAt)
-            if (left.isEmpty()) watch.isAsking = false else stop(endpoint, report, watch, attempts, left)
+            val remaining = presentAttempts(heartbeat, attempts)
+            probe.recordAbsence(attempts - remaining.toSet(), answeredAt)
+            if (remaining.isEmpty()) probe.isInFlight = false else stop(endpoint, heartbeat, probe, attempts, remaining)
         }
     }
 
     /** Those of the attempts that are there, or that a start is about to bring there. */
-    private fun shown(
-        report: WorkerHeartbeat,
+    private fun presentAttempts(
+        heartbeat: WorkerHeartbeat,
         attempts: Set<AttemptId>,
     ): List<AttemptId> =
-        report.tasks.filter { it.attempt in attempts && it.state != TaskState.EXITED }.map { it.attempt }
+        heartbeat.tasks.filter { it.attempt in attempts && it.state != TaskState.EXITED }.map { it.attempt }
 
     private fun stop(
         endpoint: Address,
-        report: WorkerHeartbeat,
-        watch: Watched,
+        heartbeat: WorkerHeartbeat,
+        probe: MachineProbe,
         attempts: Set<AttemptId>,
-        left: List<AttemptId>,
+        remaining: List<AttemptId>,
     ) {
-        log.info("stopping {} on {}, since nobody else does", left, report.machine)
-        // With the token that it knows already, so that nobody's authority is touched.
-        val commands = left.map { WorkerCommand.Stop(it, 0.0) }
-        workers.command(endpoint, report.token, report.incarnation, commands) { outcome ->
-            watch.isAsking = false
-            watch.nextAt = clock.steadyMs()
-            if (outcome is DirectOutcome.Answered && shown(outcome.report, attempts).isEmpty()) {
-                watch.saidClearOf(attempts, clock.steadyMs())
-                watch.nextAt = clock.steadyMs() + timing.quietMs
+        log.info("stopping {} on {}, since nobody else does", remaining, heartbeat.machine)
+        // With the token that it knows already, so that no leader's token is superseded.
+        val commands = remaining.map { WorkerCommand.Stop(it, 0.0) }
+        workers.command(endpoint, heartbeat.token, heartbeat.incarnation, commands) { outcome ->
+            probe.isInFlight = false
+            probe.nextProbeAt = clock.steadyMs()
+            if (outcome is DirectOutcome.Answered && presentAttempts(outcome.report, attempts).isEmpty()) {
+                probe.recordAbsence(attempts, clock.steadyMs())
+                probe.nextProbeAt = clock.steadyMs() + timing.quietMs
             }
         }
     }
 
-    private fun list(now: Long) {
+    private fun refreshEndpoints(now: Long) {
         if (isListing || now < nextListAt || !budget.tryTake(1.0, now)) return
         isListing = true
         cloud.list { machines ->
@@ -188,17 +191,17 @@
         }
     }
 
-    private fun returnMachines(
+    private fun releaseMachines(
         machines: List<MachineId>,
         now: Long,
     ) {
-        if (isReturning || now < nextReturnAt || !budget.tryTake(1.0, now)) return
-        isReturning = true
+        if (isReleasing || now < nextReleaseAt || !budget.tryTake(1.0, now)) return
+        isReleasing = true
         log.info("returning {}: they may hold cancelled work, and nobody else sees to it", machines)
         cloud.returnMachines(machines) { ok ->
-            isReturning = false
-            nextReturnAt = clock.steadyMs() + timing.retryMs()
-            if (ok) returned.addAll(machines)
+            isReleasing = false
+            nextReleaseAt = clock.steadyMs() + timing.retryMs()
+            if (ok) released.addAll(machines)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -9,12 +9,13 @@
 
 /**
  * Up to when this controller surely knows every cancellation that was confirmed anywhere. One that keeps leases alive
- * without the state service must, or cancelled work would run on at its hands.
+ * without the state service must, or cancelled work would run on under the leases that it renews.
  *
- * What was confirmed is told here before its user hears of it, so a controller's word covers all that it confirmed
- * before. One that is silent may have confirmed something and ended: then this one may renew only as long as the leases
- * are over in time. The others beyond a cut between zones are trusted to act themselves ([CancellationEnforcer]), since
- * somebody there is alive; ending all work of a zone that is cut off for it would cost much and cure nothing.
+ * A confirmed cancellation is sent here before its user is answered, so a controller's heartbeat covers all that it
+ * confirmed before. One that is silent may have confirmed something and ended: then this one may renew only as long as
+ * the leases expire in time. The others beyond a cut between zones are trusted to act themselves
+ * ([CancellationEnforcer]), since somebody there is alive; ending all work of a zone that is cut off for it would cost
+ * much and cure nothing.
  */
 internal class CancellationFreshness(
     private val self: Member,
@@ -24,7 +25,7 @@
     private val cache: StateCache,
 ) {
     private class PeerConfirmations(
-        val life: Member,
+        val incarnation: Member,
     ) {
         /** All that it confirmed up to then is known here. */
         var knownUpToMs = Long.MIN_VALUE / 2
@@ -35,28 +36,32 @@
 
     private val confirmationsByPeer = HashMap<String, PeerConfirmations>()
 
-    /** Ended after a silence in which they may have confirmed something; the latest moment of doubt by label. */
-    private val doubts = HashMap<String, Long>()
+    /**
+     * Peers that restarted after a silence in which they may have confirmed something: the time of the restart by
+     * label.
+     */
+    private val uncertainAtByLabel = HashMap<String, Long>()
 
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val now = clock.steadyMs()
         val label = heartbeat.sender.label
         val present = confirmationsByPeer[label]
-        if (present != null && present.life == heartbeat.sender && heartbeat.atMs < present.senderMs) return
+        if (present != null && present.incarnation == heartbeat.sender && heartbeat.atMs < present.senderMs) return
         val confirmations =
-            if (present?.life ==
+            if (present?.incarnation ==
                 heartbeat.sender
             ) {
                 present
             } else {
                 PeerConfirmations(heartbeat.sender).also { confirmationsByPeer[label] = it }
             }
-        if (present != null && confirmations !== present) ended(label, present, now)
+        if (present != null && confirmations !== present) onRestarted(label, present, now)
         confirmations.lastContactAt = now
         confirmations.senderMs = heartbeat.atMs
         confirmations.mayConfirm = heartbeat.mayConfirm
         val echo = heartbeat.echo
-        // It wrote this after it had our word of that time, and had confirmed nothing by then that we don't know.
+        // It wrote this after it had received our heartbeat of that time, and had confirmed nothing by then that we
+        // don't know.
         if (!heartbeat.hasUnacknowledged &&
             echo != null &&
             echo.of == self
@@ -65,29 +70,35 @@
         }
     }
 
-    /** Heard until shortly before it was back, it told what it confirmed: its words came over one connection. */
-    private fun ended(
+    /**
+     * A peer that was heard until shortly before it was back has sent what it confirmed: its messages came over one
+     * connection.
+     */
+    private fun onRestarted(
         label: String,
         former: PeerConfirmations,
         now: Long,
     ) {
         val wasCutOff = now - former.lastContactAt > timing.workerLeaseRawMs
-        if (former.mayConfirm && wasCutOff) doubts[label] = now
+        if (former.mayConfirm && wasCutOff) uncertainAtByLabel[label] = now
     }
 
     /** Whether leases may be renewed here although the state service is out of reach. */
     fun mayRenewLeases(): Boolean {
-        val limit = clock.steadyMs() - timing.blindRenewalMs
-        val readUpTo = cache.freshAsOfMs
-        if (readUpTo >= limit) return true
-        doubts.values.removeIf { it <= readUpTo }
-        if (doubts.isNotEmpty()) return false
-        val there = cache.members().mapTo(HashSet()) { it.label }
-        val expected = settings.peers.filter { it.label in confirmationsByPeer || it.label in there }
+        val requiredFreshnessMs = clock.steadyMs() - timing.blindRenewalMs
+        val readUpToMs = cache.freshAsOfMs
+        if (readUpToMs >= requiredFreshnessMs) return true
+        uncertainAtByLabel.values.removeIf { it <= readUpToMs }
+        if (uncertainAtByLabel.isNotEmpty()) return false
+        val memberLabels = cache.members().mapTo(HashSet()) { it.label }
+        val expected = settings.peers.filter { it.label in confirmationsByPeer || it.label in memberLabels }
         if (expected.isEmpty()) return true
-        val (heard, silent) = expected.partition { (confirmationsByPeer[it.label]?.knownUpToMs ?: limit) >= limit }
-        if (heard.isEmpty()) return false
-        val near = heard.mapTo(hashSetOf(settings.zone)) { it.zone }
-        return silent.none { it.zone in near }
+        val (fresh, stale) =
+            expected.partition {
+                (confirmationsByPeer[it.label]?.knownUpToMs ?: requiredFreshnessMs) >= requiredFreshnessMs
+            }
+        if (fresh.isEmpty()) return false
+        val reachableZones = fresh.mapTo(hashSetOf(settings.zone)) { it.zone }
+        return stale.none { it.zone in reachableZones }
     }
 }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -23,8 +23,8 @@
 /**
  * Cancelled jobs whose attempts aren't proven gone. A cancellation that is committed may be unknown to the controller
  * that keeps the workers' leases alive: the state service refused that one alone, and is then down for all. So whoever
- * confirms one tells the others before the user, until each has said that it knows; whoever learns of one passes it on
- * to those that may have missed it; and what nobody entitled takes over ends by [CancellationEnforcer].
+ * confirms one notifies the others before the user, until each has acknowledged it; whoever learns of one passes it on
+ * to those that may have missed it; and what no leader takes over is ended by [CancellationEnforcer].
  */
 internal class CancellationTracker(
     private val self: Member,
@@ -63,11 +63,11 @@
             return result
         }
 
-        /** Somebody entitled has proven it. */
+        /** The leader has proven it. */
         var isTerminationProven = false
             private set
 
-        /** From here on nobody looks for it or gives machines back for it, so the log says by whose word. */
+        /** From here on nobody probes workers or releases machines for it, so the log says who proved it. */
         fun markTerminated(by: Member) {
             if (!isTerminationProven) {
                 log.info(
@@ -84,7 +84,7 @@
     private val pendingById = LinkedHashMap<JobId, PendingCancellation>()
     private var nextNoticeAt = 0L
 
-    val open: Collection<PendingCancellation> get() = pendingById.values
+    val allPending: Collection<PendingCancellation> get() = pendingById.values
 
     /** Whether the leader doesn't yet know of one that was confirmed here. */
     fun hasUnacknowledged(): Boolean {
@@ -93,17 +93,17 @@
             pendingById.values.any { it.isConfirmedHere && !it.isTerminationProven && leader !in it.acknowledged }
     }
 
-    /** Committed here, and about to be told to its user: an end of this process right after must not lose it. */
+    /** Committed here, and about to be answered to its user: a crash of this process right after must not lose it. */
     fun confirmed(
         id: JobId,
         version: Long,
         value: Map<String, Any?>,
     ) {
-        take(Cancellation(id, version, value), isConfirmedHere = true)
+        track(Cancellation(id, version, value), isConfirmedHere = true)
         cache.applyRecord(id, version, value)
     }
 
-    /** The copy has a newer record of a job, by whatever road it came. */
+    /** The state cache has a newer record of a job, from whatever source. */
     fun onRecordChanged(
         id: JobId,
         stored: CachedJob,
@@ -111,13 +111,13 @@
     ) {
         if (!stored.phase.isFinal) return
         if (stored.phase == Phase.CANCELLED && stored.placed > 0) {
-            take(Cancellation(id, stored.version, value), isConfirmedHere = false)
+            track(Cancellation(id, stored.version, value), isConfirmedHere = false)
         } else {
             pendingById.remove(id)
         }
     }
 
-    private fun take(
+    private fun track(
         cancellation: Cancellation,
         isConfirmedHere: Boolean,
     ) {
@@ -125,7 +125,7 @@
         if (present != null) {
             if (cancellation.version > present.cancellation.version) present.cancellation = cancellation
             // The watch may have brought our own write before its answer came.
-            if (isConfirmedHere) announce(present)
+            if (isConfirmedHere) confirmHere(present)
             return
         }
         val record = JobRecord.decode(cancellation.value)
@@ -137,12 +137,12 @@
         if (isConfirmedHere) sendToAll(pending)
     }
 
-    /** A user is about to be told of it from what was read here, which confirms it just as well. */
+    /** A user is about to be answered that it is cancelled from what was read here, which confirms it just as well. */
     fun onUserInformed(id: JobId) {
-        pendingById[id]?.let(::announce)
+        pendingById[id]?.let(::confirmHere)
     }
 
-    private fun announce(pending: PendingCancellation) {
+    private fun confirmHere(pending: PendingCancellation) {
         val leader = cache.leadership?.leader
         if (pending.isConfirmedHere || pending.isTerminationProven || leader in pending.acknowledged) return
         pending.isConfirmedHere = true
@@ -176,7 +176,8 @@
                     // The leader is asked again whether it has ended: only then need nobody else see to it.
                     knows -> isLeader && now - pending.observedAt > timing.enforceAfterMs
                     pending.isConfirmedHere -> true
-                    // By the watch all learn of it in time; one that lost the state service, or was started since, doesn't.
+                    // By the watch all learn of it in time; one that lost the state service, or was started since,
+                    // doesn't.
                     else -> now - pending.observedAt > timing.enforceAfterMs || peerHealth.isWithoutState(peer.label)
                 }
             if (due) peers.send(peer.label, CancellationNotice.Cancelled(self, pending.cancellation))
@@ -199,18 +200,19 @@
     }
 
     private fun onCancelled(notice: CancellationNotice.Cancelled) {
-        val said = notice.cancellation
-        val present = cache.job(said.id)
-        val isFinal = JobRecord.phaseOf(said.value.fields()) == Phase.CANCELLED
+        val cancellation = notice.cancellation
+        val present = cache.job(cancellation.id)
+        val isFinal = JobRecord.phaseOf(cancellation.value.fields()) == Phase.CANCELLED
         if (!isFinal || present?.phase == Phase.DONE) {
-            log.error("refused a cancellation of {} by {}", said.id, notice.sender.label)
+            log.error("refused a cancellation of {} by {}", cancellation.id, notice.sender.label)
             return
         }
-        cache.applyRecord(said.id, said.version, said.value)
-        val isTerminationProven = cache.job(said.id)?.placed == 0 || isTerminationProvenHere(said.id) == true
+        cache.applyRecord(cancellation.id, cancellation.version, cancellation.value)
+        val isTerminationProven =
+            cache.job(cancellation.id)?.placed == 0 || isTerminationProvenHere(cancellation.id) == true
         peers.send(
             notice.sender.label,
-            CancellationNotice.Acknowledged(self, listOf(Acknowledgement(said.id, isTerminationProven))),
+            CancellationNotice.Acknowledged(self, listOf(Acknowledgement(cancellation.id, isTerminationProven))),
         )
     }
 
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -133,7 +133,7 @@
     val machineCount: Int get() = leader?.cluster?.machines?.size ?: 0
     val writesLeft: Double get() = leaderWrites.available(clock.steadyMs())
     val cloudCallsLeft: Double get() = cloudBudget.available(clock.steadyMs())
-    val openCancellations: Int get() = cancellations.open.count { !it.isTerminationProven }
+    val openCancellations: Int get() = cancellations.allPending.count { !it.isTerminationProven }
     val epoch: Long get() = cache.leadership?.epoch ?: 0
     val isLeading: Boolean get() = election.role() is LeadershipRole.Leader
     val leaseRemainingMs: Long get() = election.leaseRemainingMs()
@@ -290,7 +290,7 @@
 
     /** Sent on to a leader that is out of reach, a worker would lose a third of its lease for nothing. */
     private fun mayBeDelegated(answer: HeartbeatResponse) =
-        answer is HeartbeatResponse.Redirect && delegate.isLosingTouch()
+        answer is HeartbeatResponse.Redirect && delegate.isNearingIsolation()
 
     private fun answerWaiting() {
         repeat(waitingHeartbeats.size) { waitingHeartbeats.removeFirstOrNull()?.let(::answerOrWait) }
@@ -302,7 +302,7 @@
         if (leadership != null && report.token > leadership.token) election.observeEpoch(report.token.value, null)
         if (role is LeadershipRole.Follower && role.leader == leadership?.leader) {
             delegate.renew(report)?.let { return renewals.renew(report, it) }
-            delegate.named(report)?.let { return HeartbeatResponse.Redirect(it.label) }
+            delegate.delegateFor(report)?.let { return HeartbeatResponse.Redirect(it.label) }
         }
         val owner = owner(report.machine, role) ?: return HeartbeatResponse.Unavailable
         // An earlier life of ours led: until the next election nobody does.
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -18,8 +18,8 @@
 import oxbowlug.wire.Transaction
 
 /**
- * This controller's lease, its member key, and the election. The view is changed by compare-and-set only, and only
- * while the former leader's member key is gone, which the same transaction checks.
+ * This controller's lease, its member key, and the election. The leadership record is changed by compare-and-swap only,
+ * and only while the former leader's member key is gone, which the same transaction checks.
  */
 internal class LeaderElection(
     private val self: Member,
@@ -31,11 +31,11 @@
 ) {
     private val memberKey = Keys.member(self)
     private var lease: Long? = null
-    private var registered = false
-    private var registering = false
-    private var renewing = false
-    private var electing = false
-    private var leaseValidUntilMs = Long.MIN_VALUE / 2
+    private var isRegistered = false
+    private var isRegistering = false
+    private var isRenewing = false
+    private var isCampaigning = false
+    private var leaseValidUntilMs = NEVER_MS
     private var nextRenewalAt = 0L
     private var nextElectionAt = 0L
     private var nextRegistrationAt = 0L
@@ -53,40 +53,43 @@
         return if (holdsLease()) LeadershipRole.Leader(leadership) else LeadershipRole.RenewalOnly(leadership)
     }
 
-    /** For how long this controller may still believe in its lease; 0: it may not. */
-    fun leaseRemainingMs(): Long = if (registered) (leaseValidUntilMs - clock.steadyMs()).coerceAtLeast(0) else 0
+    /** Milliseconds for which this controller may still rely on its lease; 0: it may not. */
+    fun leaseRemainingMs(): Long = if (isRegistered) (leaseValidUntilMs - clock.steadyMs()).coerceAtLeast(0) else 0
 
-    private fun holdsLease(): Boolean = registered && clock.steadyMs() < leaseValidUntilMs
+    private fun holdsLease(): Boolean = isRegistered && clock.steadyMs() < leaseValidUntilMs
 
-    /** A peer or a worker's token shows that [epoch] was reached; [leader] may be unknown. */
+    /** A peer's heartbeat or a worker's token shows that [epoch] was reached; [leader] may be unknown. */
     fun observeEpoch(
         epoch: Long,
         leader: Member?,
     ) {
-        val known = maxOf(highestEpoch, cache.leadership?.epoch ?: 0)
-        if (epoch < known || (epoch == known && leader == null)) return
+        val knownEpoch = maxOf(highestEpoch, cache.leadership?.epoch ?: 0)
+        if (epoch < knownEpoch || (epoch == knownEpoch && leader == null)) return
         highestEpoch = epoch
         if (leader != null) reportedLeader = leader
     }
 
     fun tick() {
         val now = clock.steadyMs()
-        if (!renewing && now >= nextRenewalAt) renew(now)
+        if (!isRenewing && now >= nextRenewalAt) renew(now)
         registerOrCampaign(now)
     }
 
-    /** Registers this life, stands for election, or both in one transaction, as soon as what is needed is known. */
+    /**
+     * Registers this incarnation, stands for election, or both in one transaction, as soon as what is needed is known.
+     */
     fun registerOrCampaign(now: Long) {
-        val held = lease ?: return
-        val mayWrite = cache.writableFormat != WritableFormat.NONE
-        val mayCampaign = !electing && mayWrite && now >= nextElectionAt && isLeaderMissing()
+        val heldLease = lease ?: return
+        val isWritable = cache.writableFormat != WritableFormat.NONE
+        val mayCampaign = !isCampaigning && isWritable && now >= nextElectionAt && isLeaderMissing()
         when {
-            registered -> if (mayCampaign) campaign(now, joining = null)
-            // Registered before the view is known, this life would have to stand in a transaction of its own.
-            registering || electing || !cache.knowsMembers || now < nextRegistrationAt -> Unit
-            // After the end of all controllers the workers' leases have little time left: one call less counts.
-            mayCampaign && changesPerTransaction > 1 -> campaign(now, joining = held)
-            else -> register(held)
+            isRegistered -> if (mayCampaign) campaign(now, registrationLease = null)
+            // Registered before the leadership record is known, this incarnation would have to stand in a transaction
+            // of its own.
+            isRegistering || isCampaigning || !cache.knowsMembers || now < nextRegistrationAt -> Unit
+            // After a crash of all controllers the workers' leases have little time left: one call less counts.
+            mayCampaign && changesPerTransaction > 1 -> campaign(now, registrationLease = heldLease)
+            else -> register(heldLease)
         }
     }
 
@@ -97,13 +100,13 @@
     }
 
     private fun renew(now: Long) {
-        renewing = true
-        val held = lease
-        if (held == null) {
+        isRenewing = true
+        val heldLease = lease
+        if (heldLease == null) {
             state.grant(timing.leadershipLeaseTtlMs) { granted ->
-                renewing = false
+                isRenewing = false
                 lease = granted
-                registered = false
+                isRegistered = false
                 if (granted != null) {
                     leaseValidUntilMs = now + timing.leadershipLeaseMs
                     nextRenewalAt = now + timing.leadershipRenewMs
@@ -114,10 +117,10 @@
             }
             return
         }
-        state.touch(held) { outcome ->
-            renewing = false
-            // Given back meanwhile: the answer is of a lease that isn't held any more.
-            if (lease != held) return@touch
+        state.touch(heldLease) { outcome ->
+            isRenewing = false
+            // Released meanwhile: the answer is of a lease that isn't held any more.
+            if (lease != heldLease) return@touch
             when (outcome) {
                 TouchOutcome.RENEWED -> {
                     // Counted from when the renewal was sent: the service may have done it at once.
@@ -126,10 +129,10 @@
                     nextRenewalAt = now + timing.leadershipRenewMs
                 }
                 TouchOutcome.OVER -> {
-                    log.info("lease {} is over", held)
+                    log.info("lease {} is over", heldLease)
                     lease = null
-                    registered = false
-                    leaseValidUntilMs = Long.MIN_VALUE / 2
+                    isRegistered = false
+                    leaseValidUntilMs = NEVER_MS
                     nextRenewalAt = clock.steadyMs()
                 }
                 TouchOutcome.FAILED -> nextRenewalAt = clock.steadyMs() + timing.retryMs()
@@ -137,17 +140,17 @@
         }
     }
 
-    private fun register(held: Long) {
-        registering = true
-        state.commit(Transaction(emptyList(), listOf(registration(held)))) { outcome ->
-            registering = false
+    private fun register(heldLease: Long) {
+        isRegistering = true
+        state.commit(Transaction(emptyList(), listOf(registration(heldLease)))) { outcome ->
+            isRegistering = false
             when (outcome) {
                 is CommitOutcome.Applied ->
-                    if (lease == held) {
-                        registered = true
+                    if (lease == heldLease) {
+                        isRegistered = true
                         registerOrCampaign(clock.steadyMs())
                     }
-                CommitOutcome.LeaseOver -> if (lease == held) lease = null
+                CommitOutcome.LeaseOver -> if (lease == heldLease) lease = null
                 // Refused for its size, it says nothing of the lease.
                 CommitOutcome.Invalid -> nextRegistrationAt = clock.steadyMs() + timing.leadershipLeaseTtlMs
                 is CommitOutcome.Conflict, CommitOutcome.Refused, CommitOutcome.Unanswered -> Unit
@@ -155,16 +158,19 @@
         }
     }
 
-    private fun registration(held: Long) =
-        Change.Put(memberKey, mapOf("label" to self.label) + DataFormat.encode(DataFormat.NEWEST), held)
+    private fun registration(heldLease: Long) =
+        Change.Put(memberKey, mapOf("label" to self.label) + DataFormat.encode(DataFormat.NEWEST), heldLease)
 
-    /** [joining] is the lease under which the same transaction registers this life, unless it is registered. */
+    /**
+     * [registrationLease] is the lease under which the same transaction registers this incarnation; null if it is
+     * registered already.
+     */
     private fun campaign(
         now: Long,
-        joining: Long?,
+        registrationLease: Long?,
     ) {
         val leadership = cache.leadership
-        electing = true
+        isCampaigning = true
         // The jitter lets one candidate win without the others' writes being spent on the same key.
         nextElectionAt = now + timing.retryMs()
         val epoch = maxOf(leadership?.epoch ?: 0L, highestEpoch) + 1
@@ -173,38 +179,42 @@
         conditions.add(Condition(Keys.LEADERSHIP, leadership?.version ?: 0))
         if (leadership != null) conditions.add(Condition(Keys.member(leadership.leader), 0))
         val changes = ArrayList<Change>()
-        if (joining != null) changes.add(registration(joining))
+        if (registrationLease != null) changes.add(registration(registrationLease))
         changes.add(Change.Put(Keys.LEADERSHIP, next.encode()))
         state.commit(Transaction(conditions, changes)) { outcome ->
-            electing = false
+            isCampaigning = false
             if (outcome is CommitOutcome.Applied) {
-                if (joining != null && lease == joining) registered = true
+                if (registrationLease != null && lease == registrationLease) isRegistered = true
                 log.info("elected at epoch {}", next.epoch)
                 cache.adopt(next.copy(version = outcome.revision))
             } else {
-                // Won or lost unseen: the watch tells, and a view that names us is taken up from there.
+                // Won or lost unseen: the watch reports it, and a leadership record that names us is adopted from
+                // there.
                 nextElectionAt = clock.steadyMs() + timing.retryMs()
-                if (outcome == CommitOutcome.LeaseOver && lease == joining) lease = null
+                if (outcome == CommitOutcome.LeaseOver && lease == registrationLease) lease = null
                 // Whoever lost is a member all the same.
-                lease?.let { if (!registered && !registering) register(it) }
+                lease?.let { if (!isRegistered && !isRegistering) register(it) }
             }
         }
     }
 
-    /** Gives leadership up, so that a controller with better connections can take it. */
+    /** Releases the lease and with it leadership, so that a controller with better connections can be elected. */
     fun resign() {
-        val held = lease ?: return
-        log.info("resigning: lease {} is given back", held)
+        val heldLease = lease ?: return
+        log.info("resigning: lease {} is given back", heldLease)
         lease = null
-        registered = false
-        leaseValidUntilMs = Long.MIN_VALUE / 2
+        isRegistered = false
+        leaseValidUntilMs = NEVER_MS
         val pause = timing.workerLeaseRawMs
         nextRenewalAt = clock.steadyMs() + pause
         nextElectionAt = clock.steadyMs() + pause
-        state.release(held)
+        state.release(heldLease)
     }
 
     private companion object {
+        /** Before every reading of the steady clock; halved so that a difference to it cannot overflow. */
+        const val NEVER_MS = Long.MIN_VALUE / 2
+
         val log = LoggerFactory.getLogger("authority")
     }
 }
--- a/src/main/kotlin/oxbowlug/election/LeadershipDecisionContext.kt
+++ b/src/main/kotlin/oxbowlug/election/LeadershipDecisionContext.kt
@@ -5,7 +5,7 @@
 import oxbowlug.port.Clock
 import oxbowlug.record.LeadershipRecord
 
-/** What this controller decides by now: its role, the rest of its lease, and how stale its cache is. */
+/** What this controller bases its decisions on now: its role, the rest of its lease, and how stale its cache is. */
 internal class LeadershipDecisionContext(
     private val clock: Clock,
     private val election: LeaderElection,
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -20,8 +20,9 @@
 import oxbowlug.wire.Zone
 
 /**
- * The leader's side of [LeaseRenewalDelegate]: names one controller a zone, and knows until when each of them has surely
- * renewed nothing. Only such a span proves that a silent worker's lease is over, since the deputy may have renewed it.
+ * The leader's side of [LeaseRenewalDelegate]: assigns one controller to each zone, and knows until when each of them
+ * has surely renewed nothing. Only such a span proves that a silent worker's lease is over, since the delegate may have
+ * renewed it.
  */
 internal class LeaseRenewalDelegates(
     private val leadership: LeadershipRecord,
@@ -31,57 +32,58 @@
     private val timing: Timing,
     private val cache: StateCache,
 ) {
-    private class Named(
+    private class Delegate(
         val member: Member,
     ) {
         var renewals: Long? = null
 
-        /** From [clearFrom] to [clearTo], by our clock, it has renewed nothing. */
-        var clearFrom = Long.MAX_VALUE
-        var clearTo = Long.MIN_VALUE
+        /** From [idleFromMs] to [idleUntilMs], by our clock, it has renewed nothing. */
+        var idleFromMs = Long.MAX_VALUE
+        var idleUntilMs = Long.MIN_VALUE
     }
 
     private val zoneOf: Map<String, Zone> =
         settings.peers.associate { it.label to it.zone } + (settings.label to settings.zone)
     private val choice = DelegateChoice(settings.policy.regions, zoneOf)
-    private val named = HashMap<Zone, Named>()
-    private var writing = false
+    private val delegateByZone = HashMap<Zone, Delegate>()
+    private var isWriting = false
     private var nextWriteAt = 0L
 
     fun tick(now: Long) {
-        if (writing || now < nextWriteAt) return
+        if (isWriting || now < nextWriteAt) return
         val members = cache.members()
-        for (zone in settings.zones) name(zone, members)
-        val wanted = named.mapValues { it.value.member }
+        for (zone in settings.zones) assign(zone, members)
+        val wanted = delegateByZone.mapValues { it.value.member }
         val stored = cache.delegates
         if (wanted.isEmpty() || stored != null && stored.token == leadership.token && stored.byZone == wanted) return
         write(wanted, stored)
     }
 
     /**
-     * One that is gone stays named: cut off, it may be renewing, and only a later life of the same controller shows
-     * that it has ended. It may hear of its name even if our write isn't answered, so it counts from here on.
+     * A delegate that is no longer a member stays assigned: cut off, it may be renewing, and only a later incarnation
+     * of the same controller shows that it has ended. It may read its assignment even if our write isn't answered, so
+     * it counts from here on.
      */
-    private fun name(
+    private fun assign(
         zone: Zone,
         members: List<Member>,
     ) {
-        val present = named[zone]?.member
+        val present = delegateByZone[zone]?.member
         if (present != null && members.none { it.label == present.label && it != present }) return
         val candidates =
             members
                 .filter { it != leadership.leader && it != present }
-                .map { member -> Candidate(member, member.label, named.values.count { it.member == member }) }
+                .map { member -> Candidate(member, member.label, delegateByZone.values.count { it.member == member }) }
         val next = choice.choose(zone, candidates) ?: return
         log.info("{} renews leases for {} if it is cut off", next.label, zone)
-        named[zone] = Named(next)
+        delegateByZone[zone] = Delegate(next)
     }
 
     private fun write(
         wanted: Map<Zone, Member>,
         stored: DelegateAssignments?,
     ) {
-        writing = true
+        isWriting = true
         val conditions =
             listOf(
                 Condition(Keys.LEADERSHIP, leadership.version),
@@ -90,9 +92,9 @@
                     stored?.version ?: 0,
                 ),
             )
-        val put = Change.Put(Keys.DELEGATES, DelegateAssignments(leadership.token, wanted, 0).encode())
-        state.commit(Transaction(conditions, listOf(put))) {
-            writing = false
+        val assignment = Change.Put(Keys.DELEGATES, DelegateAssignments(leadership.token, wanted, 0).encode())
+        state.commit(Transaction(conditions, listOf(assignment))) {
+            isWriting = false
             // The watch brings what is stored; until it does, the write is only tried again slowly.
             nextWriteAt = clock.steadyMs() + timing.retryMs() * 4
         }
@@ -101,28 +103,28 @@
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val echo = heartbeat.echo ?: return
         if (echo.of != leadership.leader) return
-        // Its count is of all zones that it is named for: a renewal in one of them takes the proof from each.
-        for (one in named.values) if (one.member == heartbeat.sender) one.onHeartbeat(echo)
+        // Its count is of all zones that it is assigned to: a renewal in one of them invalidates the proof for each.
+        for (delegate in delegateByZone.values) if (delegate.member == heartbeat.sender) delegate.onHeartbeat(echo)
     }
 
-    private fun Named.onHeartbeat(echo: HeartbeatEcho) {
+    private fun Delegate.onHeartbeat(echo: HeartbeatEcho) {
         if (renewals != echo.renewals) {
             renewals = echo.renewals
-            clearFrom = clock.steadyMs()
+            idleFromMs = clock.steadyMs()
         }
-        // It got that word of ours at that time or later, and doesn't begin until long after.
-        clearTo = maxOf(clearTo, echo.atMs + timing.delegateClearMs)
+        // It received that heartbeat of ours at that time or later, and doesn't begin until long after.
+        idleUntilMs = maxOf(idleUntilMs, echo.atMs + timing.delegateClearMs)
     }
 
-    /** Whether a lease that we last renewed at [answeredAt] is over, whatever the zone's deputy did. */
+    /** Whether a lease that we last renewed at [renewedAt] has expired, whatever the zone's delegate did. */
     fun isSurelyExpired(
         zone: Zone?,
-        answeredAt: Long,
+        renewedAt: Long,
     ): Boolean {
-        val one = named[zone] ?: return true
-        if (one.clearFrom == Long.MAX_VALUE) return false
-        val over = maxOf(answeredAt, one.clearFrom) + timing.workerExpiryMs
-        return one.clearTo >= over && clock.steadyMs() >= over
+        val delegate = delegateByZone[zone] ?: return true
+        if (delegate.idleFromMs == Long.MAX_VALUE) return false
+        val expiresAt = maxOf(renewedAt, delegate.idleFromMs) + timing.workerExpiryMs
+        return delegate.idleUntilMs >= expiresAt && clock.steadyMs() >= expiresAt
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
@@ -2,31 +2,34 @@
 
 /**
  * What a leader knows of one worker's lease under its own token. All times are milliseconds of the leader's steady
- * clock. A lease belongs to a incarnation: what was answered in one says nothing of the next, which begins with a full
+ * clock. A lease belongs to an incarnation: what was answered in one says nothing of the next, which begins with a full
  * lease of its own, without any answer.
  */
 internal class WorkerLease {
     private var incarnation = 0L
     private var endedIncarnation = 0L
 
-    /** From when the present incarnation's lease counts at the latest; null: the worker was never heard. */
+    /** From when the present incarnation's lease counts at the latest; null: no message of the worker was received. */
     var countsFromMs: Long? = null
         private set
 
     /**
-     * Some message, a direct command's answer too, shows [shown]. Counted on from an answer in the incarnation before, the
-     * new incarnation's tasks were given up and started elsewhere while they ran (docs/incidents/broke-at-size-2.md).
+     * Some message, a direct command's answer too, shows [observed]. Counted on from an answer in the incarnation
+     * before, the new incarnation's tasks were given up and started elsewhere while they ran
+     * (docs/incidents/broke-at-size-2.md).
      */
     fun onIncarnationObserved(
-        shown: Long,
+        observed: Long,
         now: Long,
     ) {
-        if (shown <= incarnation) return
-        incarnation = shown
+        if (observed <= incarnation) return
+        incarnation = observed
         countsFromMs = now
     }
 
-    /** A report is being answered so that it renews the lease; the worker counts from when it sent that report. */
+    /**
+     * A heartbeat is being answered so that it renews the lease; the worker counts from when it sent that heartbeat.
+     */
     fun renewed(now: Long) {
         countsFromMs = now
     }
@@ -37,11 +40,11 @@
         expiryMs: Long,
     ): Boolean = countsFromMs?.let { now >= it + expiryMs } ?: false
 
-    /** It has run out, and with it the incarnation that was shown last. */
+    /** It has run out, and with it the incarnation that was observed last. */
     fun end() {
         endedIncarnation = incarnation
     }
 
-    /** Whether [reported] has ended. Nothing that a message of it says counts, and nothing may renew it. */
-    fun hasEnded(reported: Long): Boolean = reported <= endedIncarnation
+    /** Whether [candidate] has ended. Nothing that a message of it says counts, and nothing may renew it. */
+    fun hasEnded(candidate: Long): Boolean = candidate <= endedIncarnation
 }
--- a/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
@@ -9,9 +9,9 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /**
- * The one place where a report is answered so that it renews the worker's lease: by a leader, by one that only renews,
- * by one that hasn't read the jobs yet, and by a renewal delegate. A path of its own for one of them renewed cancelled
- * work without stopping it, for ever.
+ * The one place where a heartbeat is answered so that it renews the worker's lease: by a leader, by one that only
+ * renews, by one that hasn't read the jobs yet, and by a renewal delegate. A path of its own for one of them renewed
+ * cancelled work without stopping it, for ever.
  */
 internal class WorkerLeaseRenewals(
     private val cache: StateCache,
@@ -19,26 +19,26 @@
 ) {
     /**
      * Adds the stops of cancelled work to [commands], which are a leader's own; whoever decides nothing has none. They
-     * are wanting where the report is older than a direct command's answer, and then they change nothing.
+     * are missing where the heartbeat is older than a direct command's answer, and then they change nothing.
      */
     fun renew(
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         token: FencingToken,
         commands: List<WorkerCommand> = emptyList(),
     ): HeartbeatResponse.Renewed {
-        val all = commands + cache.cancelledWork(report).notAmong(commands)
+        val allCommands = commands + cache.cancelledWork(heartbeat).notAmong(commands)
         if (log.isDebugEnabled) {
             log.debug(
                 "{} is renewed in incarnation {}, report {}, which showed token {}, with {} commands: {}",
-                report.machine,
-                report.incarnation,
-                report.sequence,
-                report.token.value,
-                all.size,
+                heartbeat.machine,
+                heartbeat.incarnation,
+                heartbeat.sequence,
+                heartbeat.token.value,
+                allCommands.size,
                 decisions.describe(),
             )
         }
-        return HeartbeatResponse.Renewed(token, all)
+        return HeartbeatResponse.Renewed(token, allCommands)
     }
 
     private companion object {
@@ -46,7 +46,7 @@
     }
 }
 
-/** Those whose attempts none of [commands] stops. */
+/** The stops whose attempts none of [commands] stops. */
 internal fun List<WorkerCommand.Stop>.notAmong(commands: List<WorkerCommand>): List<WorkerCommand.Stop> {
     val stopped = commands.mapNotNull { (it as? WorkerCommand.Stop)?.attempt }
     return filter { it.attempt !in stopped }
--- a/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
@@ -203,7 +203,7 @@
         clock.now += timing.delegateAfterMs
         assertEquals(FencingToken(3), here.renew(report(Zone("c"), 3)))
         assertNull(here.renew(report(Zone("d"), 3)), "another one is named")
-        assertEquals(leader, here.named(report(Zone("d"), 3)), "and the worker is sent there")
+        assertEquals(leader, here.delegateFor(report(Zone("d"), 3)), "and the worker is sent there")
         assertNull(here.renew(report(Zone("e"), 3)), "of no zone of its region, whatever the record says")
         assertNull(here.renew(report(Zone("c"), 4)), "it knows a newer token")
         assertEquals(1, here.echo()?.renewals)
