--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -7,6 +7,7 @@
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Acknowledgement
 import oxbowlug.port.Cancellation
+import oxbowlug.port.CancellationListener
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.Clock
 import oxbowlug.port.PeerPort
@@ -36,7 +37,7 @@
     private val peers: PeerPort,
     /** What the leader here, if there is one, knows of the job's attempts; null: not its affair, or not known. */
     private val isTerminationProvenHere: (JobId) -> Boolean?,
-) {
+) : CancellationListener {
     class PendingCancellation(
         var cancellation: Cancellation,
         var isConfirmedHere: Boolean,
@@ -94,13 +95,13 @@
     }
 
     /** Committed here, and about to be answered to its user: a crash of this process right after must not lose it. */
-    fun confirmed(
+    override fun onCancellationCommitted(
         id: JobId,
-        version: Long,
-        value: Map<String, Any?>,
+        revision: Long,
+        record: Map<String, Any?>,
     ) {
-        track(Cancellation(id, version, value), isConfirmedHere = true)
-        cache.applyRecord(id, version, value)
+        track(Cancellation(id, revision, record), isConfirmedHere = true)
+        cache.applyRecord(id, revision, record)
     }
 
     /** The state cache has a newer record of a job, from whatever source. */
@@ -138,7 +139,7 @@
     }
 
     /** A user is about to be answered that it is cancelled from what was read here, which confirms it just as well. */
-    fun onUserInformed(id: JobId) {
+    override fun onUserInformed(id: JobId) {
         pendingById[id]?.let(::confirmHere)
     }
 
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -112,8 +112,7 @@
             cache,
             ownWrites,
             meters,
-            cancellations::confirmed,
-            cancellations::onUserInformed,
+            cancellations,
             decisions,
         )
     private var types: Map<TypeName, MachineType> = emptyMap()
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/request/JobRecordChanges.kt
@@ -0,0 +1,43 @@
+package oxbowlug.request
+
+import oxbowlug.cache.StateCache
+import oxbowlug.record.Keys
+import oxbowlug.record.RecordLayout
+import oxbowlug.record.StoredForm
+import oxbowlug.record.WritableFormat
+import oxbowlug.wire.Change
+import oxbowlug.wire.JobId
+
+/** The writes that store a job's record: its head and, in the format that allows it, its parts. */
+internal class JobRecordChanges(
+    private val layout: RecordLayout,
+    private val cache: StateCache,
+) {
+    fun isStorable(record: Map<String, Any?>): Boolean = layout.split(record) != null
+
+    fun put(
+        id: JobId,
+        record: Map<String, Any?>,
+    ): List<Change> {
+        val whole = StoredForm(record, emptyList())
+        val isDivided = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
+        val form = if (isDivided) layout.split(record) ?: whole else whole
+        return listOf(Change.Put(Keys.job(id.value), form.head)) +
+            form.parts.mapIndexed { index, part -> Change.Put(Keys.part(id.value, index), part) }
+    }
+
+    /**
+     * Puts [record] in place of [stored], whose parts stay as they are; a record that was written whole by the version
+     * before is divided if need be.
+     */
+    fun replace(
+        id: JobId,
+        stored: Map<String, Any?>,
+        record: Map<String, Any?>,
+    ): List<Change> =
+        if (RecordLayout.partCount(stored) > 0) {
+            listOf(Change.Put(Keys.job(id.value), layout.headAlone(record)))
+        } else {
+            put(id, record)
+        }
+}
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/request/UserResponder.kt
@@ -0,0 +1,99 @@
+package oxbowlug.request
+
+import org.slf4j.LoggerFactory
+import oxbowlug.cache.CachedJob
+import oxbowlug.cache.StateCache
+import oxbowlug.port.CancellationListener
+import oxbowlug.port.Meters
+import oxbowlug.record.Phase
+import oxbowlug.timing.Timing
+import oxbowlug.wire.JobId
+
+/**
+ * Answers from the state cache, which first catches up with the store unless the job's record is final already: so
+ * every controller gives the same answers.
+ */
+internal class UserResponder(
+    private val cache: StateCache,
+    private val timing: Timing,
+    private val meters: Meters,
+    private val cancellations: CancellationListener,
+) {
+    /** The state of a job, or that it was never accepted. */
+    fun poll(
+        id: JobId,
+        answer: (UserResponse) -> Unit,
+    ) = answerOrElse(id, answer) { UserResponse.NotFound }
+
+    /** The state of a job that was accepted for sure; if it cannot be read now, the user has to ask again. */
+    fun answerAccepted(
+        id: JobId,
+        answer: (UserResponse) -> Unit,
+    ) = answerOrElse(id, answer) { stateUnavailable() }
+
+    private fun answerOrElse(
+        id: JobId,
+        answer: (UserResponse) -> Unit,
+        ifAbsent: () -> UserResponse,
+    ) {
+        val stored = cache.job(id)
+        if (stored != null && stored.phase.isFinal) return answer(current(id, stored))
+        afterCatchUp(id, answer) { answer(ifAbsent()) }
+    }
+
+    /**
+     * Catches up with the store, and only then does what [ifAbsent] says: a job that another controller accepted,
+     * perhaps under older machine types, must be answered with its state.
+     */
+    fun afterCatchUp(
+        id: JobId,
+        answer: (UserResponse) -> Unit,
+        ifAbsent: () -> Unit,
+    ) {
+        cache.catchUp { ok ->
+            when {
+                !ok -> answer(stateUnavailable())
+                cache.job(id) != null -> answer(current(id))
+                else -> ifAbsent()
+            }
+        }
+    }
+
+    /** The state of a job whose record is in the cache. */
+    fun current(id: JobId): UserResponse = current(id, cache.job(id) ?: error("$id was just there"))
+
+    fun current(
+        id: JobId,
+        stored: CachedJob,
+    ): UserResponse {
+        if (stored.isUnreadable) return unavailable("the job's record can't be read")
+        if (stored.phase == Phase.CANCELLED) cancellations.onUserInformed(id)
+        return UserResponse.Known(stored.status(id))
+    }
+
+    /** Whether the state service answered within the last moments. */
+    fun isStateReachable(now: Long): Boolean = now - cache.lastContactMs < timing.stateAwayMs
+
+    fun stateUnavailable(): UserResponse = unavailable("the state service is away")
+
+    /** [reason] is a metric's label too, so it must not contain ids. */
+    fun unavailable(reason: String): UserResponse {
+        log.debug("refused: {}", reason)
+        meters.refused(reason)
+        return UserResponse.Unavailable(RETRY_AFTER_S, reason)
+    }
+
+    fun overloaded(
+        inProgress: Int,
+        limit: Int,
+    ): UserResponse {
+        log.debug("too many submissions: {} in progress of {}", inProgress, limit)
+        meters.refused("overload")
+        return UserResponse.Overloaded(RETRY_AFTER_S)
+    }
+
+    private companion object {
+        val log = LoggerFactory.getLogger("requests")
+        const val RETRY_AFTER_S = 1
+    }
+}
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -5,6 +5,7 @@
 import oxbowlug.cache.StateCache
 import oxbowlug.config.SettingsFile
 import oxbowlug.config.WriteLimits
+import oxbowlug.port.CancellationListener
 import oxbowlug.port.CommitOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
@@ -76,6 +77,22 @@
     private val cache = StateCache(Port(), clock, timing, IgnoringListener)
     private val told = ArrayList<String>()
 
+    private inner class RecordingListener(
+        private val recordsAnswers: Boolean,
+    ) : CancellationListener {
+        override fun onCancellationCommitted(
+            id: JobId,
+            revision: Long,
+            record: Map<String, Any?>,
+        ) {
+            told.add("confirmed $id of ${machines(record)} machines")
+        }
+
+        override fun onUserInformed(id: JobId) {
+            if (recordsAnswers) told.add("told $id")
+        }
+    }
+
     private fun jobRequests(copy: StateCache) =
         UserRequestHandler(
             RequestIds(Member("n0", "x")),
@@ -86,9 +103,8 @@
             copy,
             TokenBucket(10.0),
             FailingMeters,
-            onCancelled = { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") },
-            onAnsweredCancelled = { told.add("told $it") },
-            decisions = permissiveContext,
+            RecordingListener(recordsAnswers = true),
+            permissiveContext,
         )
 
     private fun machines(value: Map<String, Any?>): Int = (value["run"] as? Map<*, *>)?.size ?: 0
@@ -270,8 +286,7 @@
                 copy,
                 TokenBucket(10.0),
                 FailingMeters,
-                { _, _, _ -> },
-                {},
+                RecordingListener(recordsAnswers = false),
                 permissiveContext,
             )
         val before = store.revision
@@ -308,8 +323,7 @@
                     copy,
                     TokenBucket(10.0),
                     FailingMeters,
-                    { id, _, value -> told.add("confirmed $id of ${machines(value)} machines") },
-                    {},
+                    RecordingListener(recordsAnswers = false),
                     permissiveContext,
                 )
             val answers = ArrayList<UserResponse>()
