--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -163,7 +163,7 @@
         attempts: Set<AttemptId>,
         remaining: List<AttemptId>,
     ) {
-        log.info("stopping {} on {}, since nobody else does", remaining, heartbeat.machine)
+        log.info("cancelled attempts stopped by a follower: attempts={} machine={}", remaining, heartbeat.machine)
         // With the token that it knows already, so that no leader's token is superseded.
         val commands = remaining.map { WorkerCommand.Stop(it, 0.0) }
         workers.command(endpoint, heartbeat.token, heartbeat.incarnation, commands) { outcome ->
@@ -197,7 +197,7 @@
     ) {
         if (isReleasing || now < nextReleaseAt || !budget.tryTake(1.0, now)) return
         isReleasing = true
-        log.info("returning {}: they may hold cancelled work, and nobody else sees to it", machines)
+        log.info("machines released by a follower: machines={} reason=cancelled-work-may-run", machines)
         cloud.returnMachines(machines) { ok ->
             isReleasing = false
             nextReleaseAt = clock.steadyMs() + timing.retryMs()
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -72,7 +72,7 @@
         fun markTerminated(by: Member) {
             if (!isTerminationProven) {
                 log.info(
-                    "{} at {} has ended, by {}",
+                    "cancelled attempts proven terminated: job={} revision={} peer={}",
                     cancellation.id,
                     cancellation.version,
                     by.label,
@@ -205,7 +205,7 @@
         val present = cache.job(cancellation.id)
         val isFinal = JobRecord.phaseOf(cancellation.value.fields()) == Phase.CANCELLED
         if (!isFinal || present?.phase == Phase.DONE) {
-            log.error("refused a cancellation of {} by {}", cancellation.id, notice.sender.label)
+            log.error("cancellation notice refused: job={} peer={}", cancellation.id, notice.sender.label)
             return
         }
         cache.applyRecord(cancellation.id, cancellation.version, cancellation.value)
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -129,7 +129,7 @@
                     nextRenewalAt = now + timing.leadershipRenewMs
                 }
                 TouchOutcome.OVER -> {
-                    log.info("lease {} is over", heldLease)
+                    log.info("controller lease expired: lease={}", heldLease)
                     lease = null
                     isRegistered = false
                     leaseValidUntilMs = NEVER_MS
@@ -185,7 +185,7 @@
             isCampaigning = false
             if (outcome is CommitOutcome.Applied) {
                 if (registrationLease != null && lease == registrationLease) isRegistered = true
-                log.info("elected at epoch {}", next.epoch)
+                log.info("leader elected: epoch={}", next.epoch)
                 cache.adopt(next.copy(version = outcome.revision))
             } else {
                 // Won or lost unseen: the watch reports it, and a leadership record that names us is adopted from
@@ -201,7 +201,7 @@
     /** Releases the lease and with it leadership, so that a controller with better connections can be elected. */
     fun resign() {
         val heldLease = lease ?: return
-        log.info("resigning: lease {} is given back", heldLease)
+        log.info("leadership resigned: lease={}", heldLease)
         lease = null
         isRegistered = false
         leaseValidUntilMs = NEVER_MS
--- a/src/main/kotlin/oxbowlug/invariant/Invariants.kt
+++ b/src/main/kotlin/oxbowlug/invariant/Invariants.kt
@@ -16,7 +16,7 @@
         invariant: Invariant,
         what: String,
     ) {
-        log.error("invariant {} is violated: {}; {}", invariant.label, what, decisions.describe())
+        log.error("invariant {} is violated: reason={} {}", invariant.label, what, decisions.describe())
         meters.violated(invariant)
     }
 
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -75,7 +75,7 @@
                 .filter { it != leadership.leader && it != present }
                 .map { member -> Candidate(member, member.label, delegateByZone.values.count { it.member == member }) }
         val next = choice.choose(zone, candidates) ?: return
-        log.info("{} renews leases for {} if it is cut off", next.label, zone)
+        log.info("renewal delegate assigned: peer={} zone={}", next.label, zone)
         delegateByZone[zone] = Delegate(next)
     }
 
--- a/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
@@ -29,7 +29,7 @@
         val allCommands = commands + cache.cancelledWork(heartbeat).notAmong(commands)
         if (log.isDebugEnabled) {
             log.debug(
-                "{} is renewed in incarnation {}, report {}, which showed token {}, with {} commands: {}",
+                "lease renewed: machine={} incarnation={} sequence={} token={} commands={} {}",
                 heartbeat.machine,
                 heartbeat.incarnation,
                 heartbeat.sequence,
--- a/src/main/kotlin/oxbowlug/peer/PeerLink.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerLink.kt
@@ -37,7 +37,7 @@
             .createNetServer(NetServerOptions().setHost(settings.peerListen.host).setPort(settings.peerListen.port))
             .connectHandler(::receive)
             .listen()
-            .onFailure { log.error("cannot listen for peers on {}: {}", settings.peerListen, it.message) }
+            .onFailure { log.error("peer listener failed: address={} reason={}", settings.peerListen, it.message) }
         vertx.setPeriodic(everyMs) {
             // Images change slowly, and their frame is the larger one.
             tellAll(if (round++ % IMAGES_EVERY == 0L) images() else emptyMap())
@@ -73,7 +73,7 @@
             try {
                 while (true) heard(PeerFrames.next(input) ?: break)
             } catch (e: MalformedFrame) {
-                log.info("refused a peer's message: {}", e.message)
+                log.info("peer frame refused: reason={}", e.message)
                 socket.close()
             }
         }
--- a/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
@@ -86,7 +86,7 @@
                     // The changes are known by their own revision, and so is the number of parts.
                     val parts = changes.size - 1
                     if (parts > 0) cancelled[RecordLayout.PARTS] = parts.toLong()
-                    log.info("{} is cancelled at {}: {}", id, outcome.revision, decisions.describe())
+                    log.info("job cancelled: job={} revision={} {}", id, outcome.revision, decisions.describe())
                     cancellations.onCancellationCommitted(id, outcome.revision, cancelled)
                     answer(UserResponse.Known(JobStatus(id, JobState.CANCELLED, stored.done, 0)))
                 }
--- a/src/main/kotlin/oxbowlug/request/UserResponder.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponder.kt
@@ -78,7 +78,7 @@
 
     /** [reason] is a metric's label too, so it must not contain ids. */
     fun unavailable(reason: String): UserResponse {
-        log.debug("refused: {}", reason)
+        log.debug("request unavailable: reason={}", reason)
         meters.refused(reason)
         return UserResponse.Unavailable(RETRY_AFTER_S, reason)
     }
@@ -87,7 +87,7 @@
         inProgress: Int,
         limit: Int,
     ): UserResponse {
-        log.debug("too many submissions: {} in progress of {}", inProgress, limit)
+        log.debug("submission refused for overload: inProgress={} limit={}", inProgress, limit)
         meters.refused("overload")
         return UserResponse.Overloaded(RETRY_AFTER_S)
     }
