--- a/src/main/kotlin/oxbowlug/api/ClientServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ClientServer.kt
@@ -110,7 +110,7 @@
             is UserResponse.Malformed -> reply(request, 400, AnswerCodec.problem(answer.problem))
             is UserResponse.Rejected -> reply(request, 422, AnswerCodec.problem(answer.problem))
             UserResponse.NotFound -> reply(request, 404, AnswerCodec.problem("no such job"))
-            is UserResponse.Unavailable -> later(request, 503, answer.retryAfterS, answer.why)
+            is UserResponse.Unavailable -> later(request, 503, answer.retryAfterS, answer.reason)
             is UserResponse.Overloaded -> later(request, 429, answer.retryAfterS, "more is asked than can be done")
         }
     }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -169,7 +169,7 @@
         workers.command(endpoint, heartbeat.token, heartbeat.incarnation, commands) { outcome ->
             probe.isInFlight = false
             probe.nextProbeAt = clock.steadyMs()
-            if (outcome is DirectOutcome.Answered && presentAttempts(outcome.report, attempts).isEmpty()) {
+            if (outcome is DirectOutcome.Answered && presentAttempts(outcome.heartbeat, attempts).isEmpty()) {
                 probe.recordAbsence(attempts, clock.steadyMs())
                 probe.nextProbeAt = clock.steadyMs() + timing.quietMs
             }
@@ -198,7 +198,7 @@
         if (isReleasing || now < nextReleaseAt || !budget.tryTake(1.0, now)) return
         isReleasing = true
         log.info("machines released by a follower: machines={} reason=cancelled-work-may-run", machines)
-        cloud.returnMachines(machines) { ok ->
+        cloud.releaseMachines(machines) { ok ->
             isReleasing = false
             nextReleaseAt = clock.steadyMs() + timing.retryMs()
             if (ok) released.addAll(machines)
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -64,7 +64,7 @@
         // don't know.
         if (!heartbeat.hasUnacknowledged &&
             echo != null &&
-            echo.of == self
+            echo.leader == self
         ) {
             confirmations.knownUpToMs = maxOf(confirmations.knownUpToMs, echo.atMs)
         }
--- a/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
+++ b/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
@@ -50,7 +50,7 @@
         }
     }
 
-    override fun returnMachines(
+    override fun releaseMachines(
         machines: List<MachineId>,
         done: (Boolean) -> Unit,
     ) = launch(done, false) {
@@ -61,21 +61,21 @@
 
     override fun list(done: (List<ListedMachine>?) -> Unit) =
         launch(done, null) {
-            val all = ArrayList<ListedMachine>()
-            var more = true
-            var complete = true
-            while (more && complete) {
-                val from = all.lastOrNull()?.let { "from=${it.id}&" }.orEmpty()
+            val listed = ArrayList<ListedMachine>()
+            var hasMorePages = true
+            var isComplete = true
+            while (hasMorePages && isComplete) {
+                val from = listed.lastOrNull()?.let { "from=${it.id}&" }.orEmpty()
                 val body = get("/rentals?${from}limit=${CloudCodec.MAX_LISTED}")
                 if (body == null) {
-                    complete = false
+                    isComplete = false
                 } else {
                     val (page, hasMore) = CloudCodec.decodeList(body)
-                    all.addAll(page)
-                    more = hasMore && page.isNotEmpty()
+                    listed.addAll(page)
+                    hasMorePages = hasMore && page.isNotEmpty()
                 }
             }
-            if (complete) all else null
+            if (isComplete) listed else null
         }
 
     private suspend fun get(path: String): Map<String, Any?>? {
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -170,7 +170,7 @@
 
     /** Whether users and workers can be served here, or at least no worse than elsewhere. */
     fun isHealthy(): Boolean =
-        cache.isSynced && types.isNotEmpty() && (seesState() || !peerHealth.someoneElseSeesState())
+        cache.isSynced && types.isNotEmpty() && (seesState() || !peerHealth.isStateVisibleToOthers())
 
     private fun isOurView(): Boolean = cache.leadership?.leader == self
 
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -371,7 +371,7 @@
             host.directBusy = false
             host.directInFlight = emptyList()
             when (outcome) {
-                is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.report, isHeartbeat = false)
+                is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
                 DirectOutcome.NotSent -> host.directNotBefore = clock.steadyMs() + timing.quietMs
                 DirectOutcome.Unanswered -> {
                     // It may be executed minutes later; from here on the answers to reports carry the commands.
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -102,7 +102,7 @@
 
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val echo = heartbeat.echo ?: return
-        if (echo.of != leadership.leader) return
+        if (echo.leader != leadership.leader) return
         // Its count is of all zones that it is assigned to: a renewal in one of them invalidates the proof for each.
         for (delegate in delegateByZone.values) if (delegate.member == heartbeat.sender) delegate.onHeartbeat(echo)
     }
--- a/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
@@ -6,41 +6,53 @@
 import oxbowlug.timing.Timing
 
 /**
- * How the other controllers fare. In an outage of the state service they are all without it, and if all then called
- * themselves unhealthy, users would reach nobody, not even to be told when to come back, and nobody for some seconds
- * after its end. One that alone is without it steps aside.
+ * The health of the other controllers, by their heartbeats. In an outage of the state service they are all without it,
+ * and if all then called themselves unhealthy, users would reach nobody, not even to be told when to come back, and
+ * nobody for some seconds after its end. One that alone is without it steps aside.
  */
 internal class PeerHealth(
-    private val peers: Int,
+    private val peerCount: Int,
     private val clock: Clock,
     private val timing: Timing,
 ) {
-    private class Heard(
+    private class LastHeartbeat(
         val sender: Member,
         val seesState: Boolean,
         val mayConfirm: Boolean,
-        val atMs: Long,
+        val receivedAtMs: Long,
     )
 
-    private val heard = HashMap<String, Heard>()
+    private val lastHeartbeats = HashMap<String, LastHeartbeat>()
 
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val sender = heartbeat.sender
-        heard[sender.label] = Heard(sender, heartbeat.seesState, heartbeat.mayConfirm, clock.steadyMs())
+        lastHeartbeats[sender.label] =
+            LastHeartbeat(sender, heartbeat.seesState, heartbeat.mayConfirm, clock.steadyMs())
     }
 
-    /** The newest life of a controller that was heard. */
-    fun incarnationOf(label: String): Member? = heard[label]?.sender
+    /** The newest incarnation of a controller that a heartbeat came from. */
+    fun incarnationOf(label: String): Member? = lastHeartbeats[label]?.sender
 
     fun isAlive(label: String): Boolean =
-        heard[label]?.let { clock.steadyMs() - it.atMs < timing.peerHeartbeatMs * 4 } ?: false
+        lastHeartbeats[label]?.let(::isRecent) ?: false
 
-    fun isWithoutState(label: String): Boolean = heard[label]?.mayConfirm == false
+    private fun isRecent(heartbeat: LastHeartbeat): Boolean =
+        clock.steadyMs() - heartbeat.receivedAtMs < timing.peerHeartbeatMs * ALIVE_HEARTBEATS
 
-    /** Also true while no other one is heard: then it is this one that is cut off. */
-    fun someoneElseSeesState(): Boolean {
-        if (peers == 0) return false
-        val recent = heard.values.filter { clock.steadyMs() - it.atMs < timing.peerHeartbeatMs * 4 }
+    fun isWithoutState(label: String): Boolean = lastHeartbeats[label]?.mayConfirm == false
+
+    /**
+     * Whether another controller reaches the state service. Also true while no other one is heard: then it is this one
+     * that is cut off.
+     */
+    fun isStateVisibleToOthers(): Boolean {
+        if (peerCount == 0) return false
+        val recent = lastHeartbeats.values.filter(::isRecent)
         return recent.isEmpty() || recent.any { it.seesState }
     }
+
+    private companion object {
+        /** A peer counts as alive for as many heartbeat intervals after its last heartbeat. */
+        const val ALIVE_HEARTBEATS = 4
+    }
 }
--- a/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
@@ -17,23 +17,23 @@
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MalformedBody
 
-/** A frame that isn't one of ours. */
+/** A frame that violates the protocol: the connection it came over is closed. */
 internal class MalformedFrame(
     message: String,
 ) : Exception(message)
 
-/** What controllers say to one another. */
+/** What controllers send to one another. */
 internal sealed interface PeerMessage {
     data class Heartbeat(
         val heartbeat: PeerHeartbeat,
     ) : PeerMessage
 
-    /** A cancellation, or that it is known. */
+    /** A cancellation, or its acknowledgement. */
     class Notice(
         val notice: CancellationNotice,
     ) : PeerMessage
 
-    /** A part of what the leader knows of its machines; the first part begins a new account. */
+    /** A part of the images that the leader knows on its machines; the first part replaces what was sent before. */
     data class Images(
         val images: Map<MachineId, List<ImageName>>,
         val isFirst: Boolean,
@@ -61,7 +61,7 @@
         payload.writeLong(heartbeat.atMs)
         payload.writeByte(if (heartbeat.echo == null) 0 else 1)
         heartbeat.echo?.let { echo ->
-            payload.member(echo.of)
+            payload.member(echo.leader)
             payload.writeLong(echo.atMs)
             payload.writeLong(echo.renewals)
         }
@@ -112,10 +112,10 @@
         payload.writeByte(IMAGES)
         payload.writeByte(if (isFirst) 1 else 0)
         payload.writeInt(part.size)
-        for ((machine, held) in part) {
+        for ((machine, cached) in part) {
             payload.text(machine.value)
-            payload.writeShort(held.size)
-            for (image in held) payload.text(image.value)
+            payload.writeShort(cached.size)
+            for (image in cached) payload.text(image.value)
         }
         return payload
     }
@@ -187,7 +187,7 @@
         return CancellationNotice.Cancelled(sender, Cancellation(id, version, value))
     }
 
-    /** Taken in as if it came from the state service, so it has to be a record in every part. */
+    /** Applied as if it came from the state service, so it has to be a record in every part. */
     private fun record(
         id: JobId,
         bytes: ByteArray,
--- a/src/main/kotlin/oxbowlug/peer/PeerLink.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerLink.kt
@@ -16,21 +16,21 @@
 import okio.Buffer as Frames
 
 /**
- * One connection to each other controller, over which this one tells its newest view. So a controller that lost
- * only the state service learns that it was succeeded, and sends its workers on.
+ * One connection to each other controller, over which this one sends its heartbeat. So a controller that lost
+ * only the state service learns that another one leads, and redirects its workers.
  */
 internal class PeerLink(
     private val vertx: Vertx,
     private val settings: Settings,
-    private val everyMs: Long,
+    private val intervalMs: Long,
     private val heartbeat: () -> PeerHeartbeat,
     private val images: () -> Map<MachineId, List<ImageName>>,
-    private val heard: (PeerMessage) -> Unit,
+    private val onMessage: (PeerMessage) -> Unit,
 ) : PeerPort {
-    private val client = vertx.createNetClient(NetClientOptions().setConnectTimeout((everyMs * 2).toInt()))
-    private val outgoing = arrayOfNulls<NetSocket>(settings.peers.size)
-    private var round = 0L
-    private val connecting = BooleanArray(settings.peers.size)
+    private val client = vertx.createNetClient(NetClientOptions().setConnectTimeout((intervalMs * 2).toInt()))
+    private val socketByPeer = arrayOfNulls<NetSocket>(settings.peers.size)
+    private var rounds = 0L
+    private val isConnecting = BooleanArray(settings.peers.size)
 
     fun start() {
         vertx
@@ -38,32 +38,32 @@
             .connectHandler(::receive)
             .listen()
             .onFailure { log.error("peer listener failed: address={} reason={}", settings.peerListen, it.message) }
-        vertx.setPeriodic(everyMs) {
+        vertx.setPeriodic(intervalMs) {
             // Images change slowly, and their frame is the larger one.
-            tellAll(if (round++ % IMAGES_EVERY == 0L) images() else emptyMap())
+            broadcast(if (rounds++ % ROUNDS_BETWEEN_IMAGES == 0L) images() else emptyMap())
         }
-        tellAll()
+        broadcast()
     }
 
-    /** Tells the newest view now. */
-    private fun tellAll() = tellAll(emptyMap())
+    /** Sends the heartbeat now. */
+    private fun broadcast() = broadcast(emptyMap())
 
-    override fun heartbeatChanged() = tellAll()
+    override fun heartbeatChanged() = broadcast()
 
-    /** Lost if there is no connection: whoever needs an acknowledgement says it again. */
+    /** Lost if there is no connection: whoever needs an acknowledgement sends it again. */
     override fun send(
         label: String,
         notice: CancellationNotice,
     ) {
         val index = settings.peers.indexOfFirst { it.label == label }
-        if (index >= 0) tell(index, PeerFrames.encode(notice).readByteArray())
+        if (index >= 0) write(index, PeerFrames.encode(notice).readByteArray())
     }
 
-    private fun tellAll(held: Map<MachineId, List<ImageName>>) {
+    private fun broadcast(imagesByMachine: Map<MachineId, List<ImageName>>) {
         val frames = PeerFrames.encode(heartbeat())
-        if (held.isNotEmpty()) frames.writeAll(PeerFrames.encode(held))
+        if (imagesByMachine.isNotEmpty()) frames.writeAll(PeerFrames.encode(imagesByMachine))
         val bytes = frames.readByteArray()
-        for (index in settings.peers.indices) tell(index, bytes)
+        for (index in settings.peers.indices) write(index, bytes)
     }
 
     private fun receive(socket: NetSocket) {
@@ -71,7 +71,7 @@
         socket.handler { bytes ->
             input.write(bytes.bytes)
             try {
-                while (true) heard(PeerFrames.next(input) ?: break)
+                while (true) onMessage(PeerFrames.next(input) ?: break)
             } catch (e: MalformedFrame) {
                 log.info("peer frame refused: reason={}", e.message)
                 socket.close()
@@ -80,11 +80,11 @@
         socket.exceptionHandler { }
     }
 
-    private fun tell(
+    private fun write(
         index: Int,
         bytes: ByteArray,
     ) {
-        val socket = outgoing[index]
+        val socket = socketByPeer[index]
         if (socket != null) {
             // A peer that reads nothing any more must not be written to for ever.
             if (socket.writeQueueFull()) {
@@ -94,15 +94,15 @@
             }
             return
         }
-        if (connecting[index]) return
-        connecting[index] = true
+        if (isConnecting[index]) return
+        isConnecting[index] = true
         val address: Address = settings.peers[index].address
         client.connect(address.port, address.host).onComplete { result ->
-            connecting[index] = false
+            isConnecting[index] = false
             if (result.succeeded()) {
                 val opened = result.result()
-                outgoing[index] = opened
-                opened.closeHandler { if (outgoing[index] === opened) outgoing[index] = null }
+                socketByPeer[index] = opened
+                opened.closeHandler { if (socketByPeer[index] === opened) socketByPeer[index] = null }
                 opened.exceptionHandler { }
                 opened.write(Buffer.buffer(PeerFrames.encode(heartbeat()).readByteArray()))
             }
@@ -110,7 +110,7 @@
     }
 
     private companion object {
-        const val IMAGES_EVERY = 10L
+        const val ROUNDS_BETWEEN_IMAGES = 10L
         val log = LoggerFactory.getLogger("peer")
     }
 }
--- a/src/main/kotlin/oxbowlug/port/CloudPort.kt
+++ b/src/main/kotlin/oxbowlug/port/CloudPort.kt
@@ -27,7 +27,7 @@
         done: (RentalOutcome) -> Unit,
     )
 
-    fun returnMachines(
+    fun releaseMachines(
         machines: List<MachineId>,
         done: (Boolean) -> Unit,
     )
--- a/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
@@ -22,7 +22,7 @@
 
 /** The newest word of the leader [of] that the sender had heard, by that one's clock, and its renewals as a deputy. */
 internal data class HeartbeatEcho(
-    val of: Member,
+    val leader: Member,
     val atMs: Long,
     val renewals: Long,
 )
--- a/src/main/kotlin/oxbowlug/port/WorkerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/WorkerPort.kt
@@ -8,7 +8,7 @@
 internal sealed interface DirectOutcome {
     /** Executed, or refused for its token or incarnation: either way the report is the worker's present account. */
     data class Answered(
-        val report: WorkerHeartbeat,
+        val heartbeat: WorkerHeartbeat,
         val executed: Boolean,
     ) : DirectOutcome
 
--- a/src/main/kotlin/oxbowlug/request/AdaptiveConcurrencyLimit.kt
+++ b/src/main/kotlin/oxbowlug/request/AdaptiveConcurrencyLimit.kt
@@ -11,7 +11,7 @@
     private val max: Int = 200,
 ) {
     private var estimate = START
-    private var baseMs = 0.0
+    private var bestMs = 0.0
     var inProgress = 0
         private set
     val limit: Int get() = estimate.toInt().coerceIn(min, max)
@@ -23,29 +23,29 @@
     }
 
     fun leave(
-        tookMs: Long,
+        elapsedMs: Long,
         applied: Boolean,
     ) {
-        val crowded = inProgress * 2 >= limit
+        val isHalfUsed = inProgress * 2 >= limit
         inProgress--
         if (!applied) {
             estimate = maxOf(min.toDouble(), estimate * BACK_OFF)
             return
         }
-        val took = tookMs.coerceAtLeast(1).toDouble()
-        // The best time seen, forgotten only slowly: an average would take a long slow spell for the usual thing.
-        baseMs = if (baseMs == 0.0 || took < baseMs) took else baseMs + (took - baseMs) * FORGETTING
-        val gradient = (TOLERANCE * baseMs / took).coerceIn(0.5, 1.0)
+        val elapsed = elapsedMs.coerceAtLeast(1).toDouble()
+        // The best time seen, which decays only slowly: an average would mistake a long slow spell for the usual thing.
+        bestMs = if (bestMs == 0.0 || elapsed < bestMs) elapsed else bestMs + (elapsed - bestMs) * BEST_DECAY
+        val gradient = (TOLERANCE * bestMs / elapsed).coerceIn(0.5, 1.0)
         val next = estimate * gradient + sqrt(estimate)
         // Idle samples say nothing about what a larger limit would do.
-        if (next < estimate || crowded) estimate += (next - estimate) * SMOOTHING
+        if (next < estimate || isHalfUsed) estimate += (next - estimate) * SMOOTHING
         estimate = estimate.coerceIn(min.toDouble(), max.toDouble())
     }
 
     private companion object {
         const val START = 40.0
         const val BACK_OFF = 0.9
-        const val FORGETTING = 0.0005
+        const val BEST_DECAY = 0.0005
 
         /** Commits are usually fast and now and then some hundred times slower; only a lasting change counts. */
         const val TOLERANCE = 4.0
--- a/src/main/kotlin/oxbowlug/request/Admission.kt
+++ b/src/main/kotlin/oxbowlug/request/Admission.kt
@@ -7,7 +7,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.TypeName
 
-/** What can never run, and so is refused for good. */
+/** Admission of jobs: what can never run on any machine type or within the team's quota is rejected for good. */
 internal object Admission {
     fun problem(
         spec: JobSpec,
@@ -15,19 +15,19 @@
         types: Map<TypeName, MachineType>,
     ): String? {
         val team = settings.teams[spec.team] ?: return "yoke: is not a known team"
-        val need = spec.resources()
+        val request = spec.resources()
         val fits =
             types.values.any { type ->
                 (spec.types == null || type.name in spec.types) &&
                     (spec.zone == null || spec.zone in type.zones) &&
-                    need.fitsIn(type.resources())
+                    request.fitsIn(type.resources())
             }
         if (!fits) return "a task fits no allowed machine type"
         if (spec.kind != JobKind.ARRAY && spec.oneZone && spec.zoneCap < spec.tasks) {
             return "its tasks have to be in one zone, and at most half of them may be"
         }
-        val atOnce = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
-        val overLimit = spec.cores * atOnce > team.maxCores || spec.gpus * atOnce > team.maxGpus
-        return if (overLimit) "needs more than the team's limit" else null
+        val concurrentTasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
+        val isOverQuota = spec.cores * concurrentTasks > team.maxCores || spec.gpus * concurrentTasks > team.maxGpus
+        return if (isOverQuota) "needs more than the team's limit" else null
     }
 }
--- a/src/main/kotlin/oxbowlug/request/UserResponse.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponse.kt
@@ -26,7 +26,7 @@
     /** Can't be decided now: come back after [retryAfterS]. */
     data class Unavailable(
         val retryAfterS: Int,
-        val why: String,
+        val reason: String,
     ) : UserResponse
 
     /** More is asked than can be done. */
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -157,7 +157,7 @@
         val batch = toRelease.take(CloudCodec.MAX_RETURNED)
         log.info("asking for the return of {}: {}", batch, decisions.describe())
         isReleasing = true
-        cloud.returnMachines(batch) { ok ->
+        cloud.releaseMachines(batch) { ok ->
             isReleasing = false
             if (ok) {
                 toRelease.removeAll(batch.toSet())
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -46,13 +46,13 @@
     ) {
         scope.launch {
             val result = http.call(endpoint, HttpMethod.GET, "/status", null, timeoutMs)
-            val report =
+            val heartbeat =
                 if (result is CallResult.Answered && result.status == 200) {
-                    (read(result) as? DirectOutcome.Answered)?.report
+                    (read(result) as? DirectOutcome.Answered)?.heartbeat
                 } else {
                     null
                 }
-            settle { done(report) }
+            settle { done(heartbeat) }
         }
     }
 
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -111,7 +111,7 @@
                 done: (RentalOutcome) -> Unit,
             ) = done(RentalOutcome.NoCapacity)
 
-            override fun returnMachines(
+            override fun releaseMachines(
                 machines: List<MachineId>,
                 done: (Boolean) -> Unit,
             ) {
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -460,7 +460,7 @@
             done: (RentalOutcome) -> Unit,
         ) = Unit
 
-        override fun returnMachines(
+        override fun releaseMachines(
             machines: List<MachineId>,
             done: (Boolean) -> Unit,
         ) = Unit
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -94,7 +94,7 @@
                 is UserResponse.Malformed -> 400 to AnswerCodec.problem(answer.problem)
                 is UserResponse.Rejected -> 422 to AnswerCodec.problem(answer.problem)
                 UserResponse.NotFound -> 404 to emptyMap()
-                is UserResponse.Unavailable -> 503 to AnswerCodec.problem(answer.why)
+                is UserResponse.Unavailable -> 503 to AnswerCodec.problem(answer.reason)
                 is UserResponse.Overloaded -> 429 to emptyMap()
             }
         note(atMs, "user", "$status", Cbor.encode(body))
@@ -184,12 +184,12 @@
         cloud.rent(request, done)
     }
 
-    override fun returnMachines(
+    override fun releaseMachines(
         machines: List<MachineId>,
         done: (Boolean) -> Unit,
     ) {
         note("return", Cbor.encode(CloudCodec.encodeReturn(machines)))
-        cloud.returnMachines(machines, done)
+        cloud.releaseMachines(machines, done)
     }
 
     override fun list(done: (List<ListedMachine>?) -> Unit) {
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -413,7 +413,7 @@
             done: (RentalOutcome) -> Unit,
         ) = call(::cloudUp, RentalOutcome.Refused, RentalOutcome.Unanswered, done) { cloud.rent(request) }
 
-        override fun returnMachines(
+        override fun releaseMachines(
             machines: List<MachineId>,
             done: (Boolean) -> Unit,
         ) = call(::cloudUp, false, false, done) {
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -190,7 +190,7 @@
                 { done -> state.touch(5) { done() } },
                 { done -> cloud.types { done() } },
                 { done -> cloud.rent(rental) { done() } },
-                { done -> cloud.returnMachines(listOf(MachineId("host-1"))) { done() } },
+                { done -> cloud.releaseMachines(listOf(MachineId("host-1"))) { done() } },
                 { done -> cloud.list { done() } },
                 { done -> workers.status(address) { done() } },
                 { done -> workers.command(address, FencingToken(9), 4, commands) { done() } },
