--- a/src/main/kotlin/oxbowlug/request/Submissions.kt
+++ b/src/main/kotlin/oxbowlug/request/Submissions.kt
@@ -56,8 +56,10 @@
         if (!records.isStorable(newRecord(spec, "").encode())) {
             return answer(UserResponse.Malformed("${largestList(spec)}: is larger than can be stored"))
         }
-        Admission.problem(spec, settings, types)?.let { problem ->
-            return responder.afterCatchUp(spec.id, answer) { answer(UserResponse.Rejected(problem)) }
+        when (val admission = Admission.check(spec, settings, types)) {
+            AdmissionResult.Admitted -> Unit
+            is AdmissionResult.Rejected ->
+                return responder.afterCatchUp(spec.id, answer) { answer(UserResponse.Rejected(admission.problem)) }
         }
         if (spec.dependsOn.isNotEmpty()) {
             // Controllers of the version before would drop what it waits for, and start it.
--- a/src/test/kotlin/oxbowlug/request/AdmissionTest.kt
+++ b/src/test/kotlin/oxbowlug/request/AdmissionTest.kt
@@ -55,6 +55,9 @@
                 ),
                 Case(null, fit.copy(kind = JobKind.SERVICE, oneZone = true, spread = true, tasks = 1)),
             )
-        for (case in cases) assertEquals(case.problem, Admission.problem(case.spec, settings, types), "${case.spec}")
+        for (case in cases) {
+            val expected = case.problem?.let(AdmissionResult::Rejected) ?: AdmissionResult.Admitted
+            assertEquals(expected, Admission.check(case.spec, settings, types), "${case.spec}")
+        }
     }
 }
