--- a/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
@@ -33,8 +33,7 @@
     /** The newest incarnation of a controller that a heartbeat came from. */
     fun incarnationOf(label: String): Member? = lastHeartbeats[label]?.sender
 
-    fun isAlive(label: String): Boolean =
-        lastHeartbeats[label]?.let(::isRecent) ?: false
+    fun isAlive(label: String): Boolean = lastHeartbeats[label]?.let(::isRecent) ?: false
 
     private fun isRecent(heartbeat: LastHeartbeat): Boolean =
         clock.steadyMs() - heartbeat.receivedAtMs < timing.peerHeartbeatMs * ALIVE_HEARTBEATS
--- a/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
@@ -14,7 +14,6 @@
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.WritableFormat
 import oxbowlug.timing.TokenBucket
-import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobState
