--- a/src/main/kotlin/oxbowlug/invariant/Invariants.kt
+++ b/src/main/kotlin/oxbowlug/invariant/Invariants.kt
@@ -5,8 +5,8 @@
 import oxbowlug.port.Meters
 
 /**
- * Asserted while the service runs. A violation is an error line with the basis of the decision, and a count in the
- * metrics; whoever finds it takes the safe side (no start, no renewal without a stop) and goes on.
+ * Reports violated invariants while the service runs: each is an error line with the decision context, and a count in
+ * the metrics; whoever finds it chooses the safe side (no start, no renewal without a stop) and goes on.
  */
 internal class Invariants(
     val decisions: DecisionContext,
@@ -16,6 +16,7 @@
         invariant: Invariant,
         what: String,
     ) {
+        // The soak run finds violations by the beginning of this line, "invariant LABEL".
         log.error("invariant {} is violated: reason={} {}", invariant.label, what, decisions.describe())
         meters.violated(invariant)
     }
--- a/src/main/kotlin/oxbowlug/port/CancellationNotice.kt
+++ b/src/main/kotlin/oxbowlug/port/CancellationNotice.kt
@@ -10,13 +10,13 @@
     val value: Map<String, Any?>,
 )
 
-/** That the sender knows the job to be cancelled; and, said by whoever leads, whether its attempts are proven gone. */
+/** The sender knows the job to be cancelled; and, if it leads, whether the job's attempts are proven terminated. */
 internal data class Acknowledgement(
     val id: JobId,
     val isTerminationProven: Boolean,
 )
 
-/** What controllers say to one another about cancellations. Facts of the state service, so of no epoch. */
+/** What controllers send to one another about cancellations. Facts of the state service, so valid in every epoch. */
 internal sealed interface CancellationNotice {
     val sender: Member
 
--- a/src/main/kotlin/oxbowlug/port/Clock.kt
+++ b/src/main/kotlin/oxbowlug/port/Clock.kt
@@ -1,16 +1,13 @@
 package oxbowlug.port
 
-/** Milliseconds of the steady clock, for every wait and proof, and of the day, only for what several nodes compare. */
+/** The clocks of this node. May be read from any thread. */
 internal interface Clock {
+    /** Milliseconds since some moment, never set back: for every wait and every proof that a lease has expired. */
     fun steadyMs(): Long
 
+    /** Milliseconds since the epoch of Unix, which may jump: only for what several nodes compare. */
     fun wallMs(): Long
 
     /** Nanoseconds since some moment, for how long this process's own work takes. */
     fun nanoTime(): Long
 }
-
-/*
- * The outside, as the core sees it. A call returns at once, and its outcome comes back as a command on the core's
- * queue, so the callbacks always run in the owner of the model.
- */
--- a/src/main/kotlin/oxbowlug/port/Invariant.kt
+++ b/src/main/kotlin/oxbowlug/port/Invariant.kt
@@ -1,6 +1,6 @@
 package oxbowlug.port
 
-/** What must hold whatever fails outside. */
+/** What must hold whatever fails outside. [label] is what logs and metrics call it. */
 internal enum class Invariant(
     val label: String,
 ) {
--- a/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
@@ -3,15 +3,15 @@
 import oxbowlug.record.Member
 
 /**
- * What controllers tell one another: who they are, the newest view that they know, and whether the state service
- * answers them.
+ * What controllers send to one another at an interval and on a change: who they are, the newest epoch and leader that
+ * they know, and whether the state service answers them.
  */
 internal data class PeerHeartbeat(
     val sender: Member,
     val epoch: Long,
     val leader: Member?,
     val seesState: Boolean,
-    /** The sender's steady clock. */
+    /** Milliseconds of the sender's steady clock, comparable only with other heartbeats of the same incarnation. */
     val atMs: Long = 0,
     val echo: HeartbeatEcho? = null,
     /** Confirmed a cancellation that the leader hasn't acknowledged. */
@@ -20,7 +20,10 @@
     val mayConfirm: Boolean = false,
 )
 
-/** The newest word of the leader [of] that the sender had heard, by that one's clock, and its renewals as a deputy. */
+/**
+ * The newest heartbeat of [leader] that the sender had received, by the leader's clock, and how many leases the sender
+ * has renewed as delegate in this incarnation.
+ */
 internal data class HeartbeatEcho(
     val leader: Member,
     val atMs: Long,
--- a/src/main/kotlin/oxbowlug/port/PeerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerPort.kt
@@ -1,12 +1,16 @@
 package oxbowlug.port
 
-/** The other controllers, by their labels. Words to one of them arrive in order, or not at all. */
+/**
+ * The other controllers, by their labels. Called on the owner's event loop; nothing is answered or awaited. Messages to
+ * one of them arrive in order, or not at all.
+ */
 internal interface PeerPort {
+    /** Sends [notice] once, without a guarantee: whoever needs an acknowledgement sends it again. */
     fun send(
         label: String,
         notice: CancellationNotice,
     )
 
-    /** What [Controller.heartbeat] says has changed, and they should hear of it at once. */
+    /** The heartbeat of this controller has changed, and has to be sent at once instead of after its interval. */
     fun heartbeatChanged()
 }
--- a/src/main/kotlin/oxbowlug/port/StatePort.kt
+++ b/src/main/kotlin/oxbowlug/port/StatePort.kt
@@ -4,19 +4,22 @@
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.Transaction
 
+/** What became of a transaction. */
 internal sealed interface CommitOutcome {
+    /** Executed; [revision] is that of all its changes. */
     data class Applied(
         val revision: Long,
     ) : CommitOutcome
 
+    /** Surely not executed: the conditions on the keys [failed] don't hold. */
     data class Conflict(
         val failed: List<String>,
     ) : CommitOutcome
 
-    /** Surely not executed: 429 or 503. */
+    /** Surely not executed: 429, 503, or no connection. */
     data object Refused : CommitOutcome
 
-    /** The lease named in it is over. Surely not executed. */
+    /** The lease named in it has expired. Surely not executed. */
     data object LeaseOver : CommitOutcome
 
     /** Malformed to the service, or larger than it takes. Surely not executed, and never if sent again unchanged. */
@@ -26,31 +29,55 @@
     data object Unanswered : CommitOutcome
 }
 
+/** What became of a watch. */
 internal sealed interface ChangesOutcome {
     data class Read(
         val changes: Changes,
     ) : ChangesOutcome
 
-    /** The revision asked for is too old: read everything again. */
+    /** The revision asked for is compacted: a full resync is needed. */
     data object TooOld : ChangesOutcome
 
+    /** No answer, or a refusal. The watch may be repeated from the same revision. */
     data object Failed : ChangesOutcome
 }
 
-internal enum class TouchOutcome { RENEWED, OVER, FAILED }
+/** What became of the renewal of a lease. */
+internal enum class TouchOutcome {
+    /** Renewed for its whole time to live, from some moment after the call was sent. */
+    RENEWED,
 
+    /** The lease has expired, and the keys bound to it are deleted. */
+    OVER,
+
+    /** No answer, or a refusal: renewed, or not. */
+    FAILED,
+}
+
+/**
+ * The strongly consistent store of all controllers. Callbacks run on the owner's event loop; durations are in
+ * milliseconds.
+ */
 internal interface StatePort {
+    /** Executes all changes in one transaction if all its conditions hold, which compare versions of keys. */
     fun commit(
         transaction: Transaction,
         done: (CommitOutcome) -> Unit,
     )
 
+    /**
+     * The page of entries whose keys begin with [prefix] and follow [after] (null: the first), or null if it failed.
+     */
     fun readPage(
         prefix: String,
         after: String?,
         done: (ReadPage?) -> Unit,
     )
 
+    /**
+     * Watches keys that begin with [prefix]: what changed after revision [from], as soon as there is any, or after
+     * [waitMs].
+     */
     fun changes(
         prefix: String,
         from: Long,
@@ -58,15 +85,23 @@
         done: (ChangesOutcome) -> Unit,
     )
 
+    /**
+     * A new lease that lives for [lifeMs] unless it is renewed; null if the call failed, and then one may exist unused.
+     */
     fun grant(
         lifeMs: Long,
         done: (Long?) -> Unit,
     )
 
+    /** Renews [lease]. */
     fun touch(
         lease: Long,
         done: (TouchOutcome) -> Unit,
     )
 
+    /**
+     * Ends [lease] at once and so deletes the keys bound to it. Its outcome isn't awaited: unreached, the lease
+     * expires.
+     */
     fun release(lease: Long)
 }
--- a/src/main/kotlin/oxbowlug/port/WorkerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/WorkerPort.kt
@@ -5,6 +5,7 @@
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
 
+/** What became of a direct command to a worker. */
 internal sealed interface DirectOutcome {
     /** Executed, or refused for its token or incarnation: either way the report is the worker's present account. */
     data class Answered(
@@ -19,13 +20,18 @@
     data object Unanswered : DirectOutcome
 }
 
+/** Calls straight to a worker, instead of in an answer to its heartbeat. Callbacks run on the owner's event loop. */
 internal interface WorkerPort {
-    /** What the worker says of itself, or null. */
+    /** The worker's own account, or null when it gave none in time. Renews no lease. */
     fun status(
         endpoint: Address,
         done: (WorkerHeartbeat?) -> Unit,
     )
 
+    /**
+     * Commands under [token], which the worker refuses when it knows a newer one or is in another [incarnation]. Renews
+     * no lease.
+     */
     fun command(
         endpoint: Address,
         token: FencingToken,
--- a/src/main/kotlin/oxbowlug/request/UserResponse.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponse.kt
@@ -2,11 +2,14 @@
 
 import oxbowlug.wire.JobStatus
 
+/** What a user is answered. */
 internal sealed interface UserResponse {
+    /** Submitted and stored just now. */
     data class Accepted(
         val status: JobStatus,
     ) : UserResponse
 
+    /** The present status of a job that was accepted before. */
     data class Known(
         val status: JobStatus,
     ) : UserResponse
@@ -21,15 +24,16 @@
         val problem: String,
     ) : UserResponse
 
+    /** No job of this id was ever accepted. */
     data object NotFound : UserResponse
 
-    /** Can't be decided now: come back after [retryAfterS]. */
+    /** Can't be decided now: to be repeated after [retryAfterS] seconds. */
     data class Unavailable(
         val retryAfterS: Int,
         val reason: String,
     ) : UserResponse
 
-    /** More is asked than can be done. */
+    /** Too many submissions are in progress: to be repeated after [retryAfterS] seconds. */
     data class Overloaded(
         val retryAfterS: Int,
     ) : UserResponse
