--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -36,31 +36,6 @@
     private val workers: WorkerPort,
     private val budget: TokenBucket,
 ) {
-    private class MachineProbe {
-        var isInFlight = false
-        var nextProbeAt = 0L
-        private var absentAttempts: Set<AttemptId> = emptySet()
-        private var absentAtMs = 0L
-
-        /** At [atMs] the worker reported that none of [attempts] is there. */
-        fun recordAbsence(
-            attempts: Set<AttemptId>,
-            atMs: Long,
-        ) {
-            absentAttempts = attempts
-            absentAtMs = atMs
-        }
-
-        /**
-         * What it reported of one job's attempts says nothing of another's: mistaken for it, cancelled tasks on a
-         * shared machine ran on, and the machine was kept.
-         */
-        fun areAbsent(
-            attempts: Set<AttemptId>,
-            sinceMs: Long,
-        ): Boolean = absentAtMs > sinceMs && absentAttempts.containsAll(attempts)
-    }
-
     private val probes = HashMap<MachineId, MachineProbe>()
     private val released = HashSet<MachineId>()
     private var endpoints: Map<MachineId, Address> = emptyMap()
@@ -77,7 +52,7 @@
     }
 
     /** The leader knows of it and is alive: it has until the last moment. */
-    private fun isHandledByLeader(pending: CancellationTracker.PendingCancellation): Boolean {
+    private fun isHandledByLeader(pending: PendingCancellation): Boolean {
         val leader = cache.leadership?.leader ?: return false
         val isAlive = peerHealth.incarnationOf(leader.label) == leader && peerHealth.isAlive(leader.label)
         return isAlive && leader in pending.acknowledged
@@ -103,7 +78,7 @@
     }
 
     private fun isDue(
-        pending: CancellationTracker.PendingCancellation,
+        pending: PendingCancellation,
         now: Long,
         rank: Int,
     ): Boolean {
@@ -112,7 +87,7 @@
     }
 
     /** All at once: asked about one job after the other, a machine that holds many would be asked about the first. */
-    private fun attemptsByMachine(due: List<CancellationTracker.PendingCancellation>): Map<MachineId, Set<AttemptId>> {
+    private fun attemptsByMachine(due: List<PendingCancellation>): Map<MachineId, Set<AttemptId>> {
         val result = LinkedHashMap<MachineId, HashSet<AttemptId>>()
         for (pending in due) {
             for ((machine, attempts) in pending.attempts) result.getOrPut(machine, ::HashSet).addAll(attempts)
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -15,10 +15,7 @@
 import oxbowlug.record.Member
 import oxbowlug.record.Phase
 import oxbowlug.timing.Timing
-import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobId
-import oxbowlug.wire.MachineId
-import oxbowlug.wire.TaskId
 import oxbowlug.wire.fields
 
 /**
@@ -38,50 +35,6 @@
     /** What the leader here, if there is one, knows of the job's attempts; null: not its affair, or not known. */
     private val isTerminationProvenHere: (JobId) -> Boolean?,
 ) : CancellationListener {
-    class PendingCancellation(
-        var cancellation: Cancellation,
-        var isConfirmedHere: Boolean,
-        val observedAt: Long,
-        val confirmedAt: Long,
-    ) {
-        val acknowledged = HashSet<Member>()
-
-        /** The record that was cancelled names every machine on which an attempt can be, or can still arrive. */
-        val attempts: Map<MachineId, Set<AttemptId>>
-            get() = decoded?.takeIf { decodedVersion == cancellation.version } ?: decode()
-        private var decoded: Map<MachineId, Set<AttemptId>>? = null
-        private var decodedVersion = 0L
-
-        private fun decode(): Map<MachineId, Set<AttemptId>> {
-            val result = HashMap<MachineId, HashSet<AttemptId>>()
-            for ((task, placement) in JobRecord.decode(cancellation.value).placements) {
-                result
-                    .getOrPut(placement.machine, ::HashSet)
-                    .add(AttemptId(TaskId(cancellation.id, task), placement.attempt))
-            }
-            decoded = result
-            decodedVersion = cancellation.version
-            return result
-        }
-
-        /** The leader has proven it. */
-        var isTerminationProven = false
-            private set
-
-        /** From here on nobody probes workers or releases machines for it, so the log says who proved it. */
-        fun markTerminated(by: Member) {
-            if (!isTerminationProven) {
-                log.info(
-                    "cancelled attempts proven terminated: job={} revision={} peer={}",
-                    cancellation.id,
-                    cancellation.version,
-                    by.label,
-                )
-            }
-            isTerminationProven = true
-        }
-    }
-
     private val pendingById = LinkedHashMap<JobId, PendingCancellation>()
     private var nextNoticeAt = 0L
 
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -102,21 +102,28 @@
     private fun renew(now: Long) {
         isRenewing = true
         val heldLease = lease
-        if (heldLease == null) {
-            state.grant(timing.leadershipLeaseTtlMs) { granted ->
-                isRenewing = false
-                lease = granted
-                isRegistered = false
-                if (granted != null) {
-                    leaseValidUntilMs = now + timing.leadershipLeaseMs
-                    nextRenewalAt = now + timing.leadershipRenewMs
-                    registerOrCampaign(clock.steadyMs())
-                } else {
-                    nextRenewalAt = clock.steadyMs() + timing.retryMs()
-                }
+        if (heldLease == null) requestLease(now) else renewLease(heldLease, now)
+    }
+
+    private fun requestLease(now: Long) {
+        state.grant(timing.leadershipLeaseTtlMs) { granted ->
+            isRenewing = false
+            lease = granted
+            isRegistered = false
+            if (granted != null) {
+                leaseValidUntilMs = now + timing.leadershipLeaseMs
+                nextRenewalAt = now + timing.leadershipRenewMs
+                registerOrCampaign(clock.steadyMs())
+            } else {
+                nextRenewalAt = clock.steadyMs() + timing.retryMs()
             }
-            return
         }
+    }
+
+    private fun renewLease(
+        heldLease: Long,
+        now: Long,
+    ) {
         state.touch(heldLease) { outcome ->
             isRenewing = false
             // Released meanwhile: the answer is of a lease that isn't held any more.
