--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -45,7 +45,7 @@
     private var nextReleaseAt = 0L
     private val callMs = (1000.0 / settings.cloud.rps * 2).toLong()
 
-    /** Among those that don't lead, so that they act one after the other. */
+    /** This controller's place among those that don't lead, so that they act one after the other. */
     private fun rank(): Int {
         val leader = cache.leadership?.leader?.label
         return (settings.peers.map { it.label } + self.label).filter { it != leader }.sorted().indexOf(self.label)
@@ -58,6 +58,7 @@
         return isAlive && leader in pending.acknowledged
     }
 
+    /** Probes workers, stops attempts and releases machines, as far as each is due. */
     fun tick() {
         if (cancellations.allPending.isEmpty()) {
             if (probes.isNotEmpty()) probes.clear()
@@ -151,6 +152,7 @@
         }
     }
 
+    /** The addresses of all machines, from the provider's list. */
     private fun refreshEndpoints(now: Long) {
         if (isListing || now < nextListAt || !budget.tryTake(1.0, now)) return
         isListing = true
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -12,8 +12,8 @@
  * without the state service must, or cancelled work would run on under the leases that it renews.
  *
  * A confirmed cancellation is sent here before its user is answered, so a controller's heartbeat covers all that it
- * confirmed before. One that is silent may have confirmed something and ended: then this one may renew only as long as
- * the leases expire in time. The others beyond a cut between zones are trusted to act themselves
+ * confirmed before. One that is silent may have confirmed something and crashed: then this one may renew only as long
+ * as the leases expire in time. The others beyond a cut between zones are trusted to act themselves
  * ([CancellationEnforcer]), since somebody there is alive; ending all work of a zone that is cut off for it would cost
  * much and cure nothing.
  */
@@ -42,6 +42,7 @@
      */
     private val uncertainAtByLabel = HashMap<String, Long>()
 
+    /** A peer's heartbeat: what it confirmed until it wrote the heartbeat may now be known here. */
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val now = clock.steadyMs()
         val label = heartbeat.sender.label
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -19,10 +19,10 @@
 import oxbowlug.wire.fields
 
 /**
- * Cancelled jobs whose attempts aren't proven gone. A cancellation that is committed may be unknown to the controller
- * that keeps the workers' leases alive: the state service refused that one alone, and is then down for all. So whoever
- * confirms one notifies the others before the user, until each has acknowledged it; whoever learns of one passes it on
- * to those that may have missed it; and what no leader takes over is ended by [CancellationEnforcer].
+ * Cancelled jobs whose attempts aren't proven terminated. A cancellation that is committed may be unknown to the
+ * controller that keeps the workers' leases alive: the state service refused that one alone, and is then down for all.
+ * So whoever confirms one notifies the others before the user, until each has acknowledged it; whoever learns of one
+ * passes it on to those that may have missed it; and what no leader takes over is ended by [CancellationEnforcer].
  */
 internal class CancellationTracker(
     private val self: Member,
@@ -38,6 +38,7 @@
     private val pendingById = LinkedHashMap<JobId, PendingCancellation>()
     private var nextNoticeAt = 0L
 
+    /** Those whose termination is proven too, until the state cache has their final record. */
     val allPending: Collection<PendingCancellation> get() = pendingById.values
 
     /** Whether the leader doesn't yet know of one that was confirmed here. */
@@ -107,6 +108,7 @@
         for (peer in settings.peers) peers.send(peer.label, CancellationNotice.Cancelled(self, pending.cancellation))
     }
 
+    /** Sends the notices that are due. */
     fun tick() {
         val now = clock.steadyMs()
         if (pendingById.isEmpty() || now < nextNoticeAt) return
@@ -138,6 +140,7 @@
         }
     }
 
+    /** A peer's notice; a cancellation is acknowledged to it, unless the record contradicts. */
     fun onNotice(notice: CancellationNotice) {
         when (notice) {
             is CancellationNotice.Cancelled -> onCancelled(notice)
--- a/src/main/kotlin/oxbowlug/cancellation/PendingCancellation.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/PendingCancellation.kt
@@ -17,7 +17,7 @@
     /** When it was committed at the earliest, so that all controllers count from the same moment. */
     val confirmedAt: Long,
 ) {
-    /** The controllers that are known to know it. */
+    /** The incarnations of controllers that have acknowledged it. */
     val acknowledged = HashSet<Member>()
 
     /** The record that was cancelled names every machine on which an attempt can be, or can still arrive. */
--- a/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
+++ b/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.RentalRequest
 
-/** The cloud over HTTP. [settle] brings outcomes back to the core's queue. */
+/** The cloud over HTTP. [settle] brings outcomes back to the owner's event loop. */
 internal class CloudClient(
     private val address: Address,
     private val http: HttpCaller,
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -42,6 +42,7 @@
     private var highestEpoch = 0L
     private var reportedLeader: Member? = null
 
+    /** Computed anew at each call: the lease may have expired since the last one. */
     fun role(): LeadershipRole {
         val leadership =
             cache.leadership ?: return reportedLeader?.let { LeadershipRole.Follower(it) } ?: LeadershipRole.Unknown
@@ -69,6 +70,7 @@
         if (leader != null) reportedLeader = leader
     }
 
+    /** Renews the lease, and registers or campaigns, as far as each is due. */
     fun tick() {
         val now = clock.steadyMs()
         if (!isRenewing && now >= nextRenewalAt) renew(now)
--- a/src/main/kotlin/oxbowlug/election/LeadershipRole.kt
+++ b/src/main/kotlin/oxbowlug/election/LeadershipRole.kt
@@ -23,5 +23,6 @@
         val leader: Member,
     ) : LeadershipRole
 
+    /** No leadership record was read, or a newer epoch was observed whose leader isn't known. */
     data object Unknown : LeadershipRole
 }
--- a/src/main/kotlin/oxbowlug/invariant/Invariants.kt
+++ b/src/main/kotlin/oxbowlug/invariant/Invariants.kt
@@ -12,6 +12,7 @@
     val decisions: DecisionContext,
     private val meters: Meters,
 ) {
+    /** Logs and counts it; [what] is the evidence, for the log. */
     fun violated(
         invariant: Invariant,
         what: String,
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
@@ -37,6 +37,7 @@
     /** Counted for this incarnation: an unchanged count shows the leader that nothing was renewed in between. */
     private var renewals = 0L
 
+    /** Any peer's heartbeat; only the leader's counts. */
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val latest = lastLeaderContact
         // Held packets come in order, but over several connections: an older heartbeat must not look like a new one.
@@ -52,6 +53,7 @@
     /** Sent to the leader: its newest heartbeat that arrived here, and the number of renewals so far. */
     fun echo(): HeartbeatEcho? = lastLeaderContact?.let { HeartbeatEcho(it.leader, it.leaderClockMs, renewals) }
 
+    /** Milliseconds since the leader or the state service was reached last. */
     private fun isolatedMs(): Long {
         val leader = cache.leadership?.leader
         val lastContactAt = lastLeaderContact?.takeIf { it.leader == leader }?.receivedAtMs ?: cache.lastContactMs
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -21,8 +21,8 @@
 
 /**
  * The leader's side of [LeaseRenewalDelegate]: assigns one controller to each zone, and knows until when each of them
- * has surely renewed nothing. Only such a span proves that a silent worker's lease is over, since the delegate may have
- * renewed it.
+ * has surely renewed nothing. Only such a span proves that a silent worker's lease has expired, since the delegate may
+ * have renewed it.
  */
 internal class LeaseRenewalDelegates(
     private val leadership: LeadershipRecord,
@@ -49,6 +49,7 @@
     private var isWriting = false
     private var nextWriteAt = 0L
 
+    /** Assigns delegates where they are missing, and stores the assignments when they differ from those stored. */
     fun tick(now: Long) {
         if (isWriting || now < nextWriteAt) return
         val members = cache.members()
@@ -100,6 +101,7 @@
         }
     }
 
+    /** A peer's echo of our heartbeat shows whether it renewed any lease since the one before. */
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val echo = heartbeat.echo ?: return
         if (echo.leader != leadership.leader) return
--- a/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
@@ -24,6 +24,7 @@
 
     private val lastHeartbeats = HashMap<String, LastHeartbeat>()
 
+    /** A peer's heartbeat; the newest one replaces the one before. */
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val sender = heartbeat.sender
         lastHeartbeats[sender.label] =
@@ -33,11 +34,13 @@
     /** The newest incarnation of a controller that a heartbeat came from. */
     fun incarnationOf(label: String): Member? = lastHeartbeats[label]?.sender
 
+    /** Whether a heartbeat of it came within the last few intervals. */
     fun isAlive(label: String): Boolean = lastHeartbeats[label]?.let(::isRecent) ?: false
 
     private fun isRecent(heartbeat: LastHeartbeat): Boolean =
         clock.steadyMs() - heartbeat.receivedAtMs < timing.peerHeartbeatMs * ALIVE_HEARTBEATS
 
+    /** Whether it said, in its last heartbeat, that the state service hasn't answered it lately. */
     fun isWithoutState(label: String): Boolean = lastHeartbeats[label]?.mayConfirm == false
 
     /**
--- a/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
@@ -50,6 +50,7 @@
     private const val MAX_TEXT = 200
     private const val MACHINES_A_FRAME = 200
 
+    /** One frame. */
     fun encode(heartbeat: PeerHeartbeat): Buffer {
         val payload = Buffer()
         payload.writeByte(HEARTBEAT)
--- a/src/main/kotlin/oxbowlug/peer/PeerLink.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerLink.kt
@@ -32,6 +32,7 @@
     private var rounds = 0L
     private val isConnecting = BooleanArray(settings.peers.size)
 
+    /** Listens for the other controllers, and sends heartbeats from now on. Called once, on the event loop. */
     fun start() {
         vertx
             .createNetServer(NetServerOptions().setHost(settings.peerListen.host).setPort(settings.peerListen.port))
--- a/src/main/kotlin/oxbowlug/port/Meters.kt
+++ b/src/main/kotlin/oxbowlug/port/Meters.kt
@@ -2,7 +2,9 @@
 
 /** What the controller measures; the adapter publishes it. Called on the owner's event loop. */
 internal interface Meters {
-    /** A scheduling round took [nanos] and priced [priced] machines, each counted once for a job and kind of room. */
+    /**
+     * A scheduling round took [nanos] and priced [priced] machines, each counted once for a job and kind of capacity.
+     */
     fun planned(
         nanos: Long,
         priced: Int,
--- a/src/main/kotlin/oxbowlug/port/WorkerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/WorkerPort.kt
@@ -7,7 +7,7 @@
 
 /** What became of a direct command to a worker. */
 internal sealed interface DirectOutcome {
-    /** Executed, or refused for its token or incarnation: either way the report is the worker's present account. */
+    /** Executed, or refused for its token or incarnation: either way the heartbeat is the worker's present account. */
     data class Answered(
         val heartbeat: WorkerHeartbeat,
         val executed: Boolean,
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
 
-/** Commands sent straight to a worker's address. */
+/** Calls straight to a worker's address over HTTP. [settle] brings outcomes back to the owner's event loop. */
 internal class WorkerClient(
     private val http: HttpCaller,
     private val scope: CoroutineScope,
