--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -106,8 +106,7 @@
             cache,
             limits.userWrites,
             meters,
-            cancellations::confirmed,
-            cancellations::onUserInformed,
+            cancellations,
             decisions,
         )
     private val heartbeats =
@@ -137,7 +136,7 @@
 
     /** Whether users and workers can be served here, or at least no worse than elsewhere. */
     fun isHealthy(): Boolean =
-        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.someoneElseSeesState())
+        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.isStateVisibleToOthers())
 
     private fun isElected(): Boolean = cache.leadership?.leader == self
 
--- a/src/main/kotlin/oxbowlug/controller/ControllerStatus.kt
+++ b/src/main/kotlin/oxbowlug/controller/ControllerStatus.kt
@@ -32,7 +32,7 @@
     /** Changes that the leader's bucket allows at once. */
     val writesLeft: Double get() = limits.leaderWrites.available(clock.steadyMs())
     val cloudCallsLeft: Double get() = limits.cloudCalls.available(clock.steadyMs())
-    val openCancellations: Int get() = cancellations.open.count { !it.isTerminationProven }
+    val openCancellations: Int get() = cancellations.allPending.count { !it.isTerminationProven }
     val epoch: Long get() = cache.leadership?.epoch ?: 0
     val token: Long get() = cache.leadership?.token?.value ?: 0
     val isLeading: Boolean get() = election.role() is LeadershipRole.Leader
--- a/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
@@ -70,7 +70,7 @@
 
     /** Redirected to a leader that is out of reach, a worker would lose a third of its lease for nothing. */
     private fun mayBeDelegated(response: HeartbeatResponse) =
-        response is HeartbeatResponse.Redirect && delegate.isLosingTouch()
+        response is HeartbeatResponse.Redirect && delegate.isNearingIsolation()
 
     private fun respond(heartbeat: WorkerHeartbeat): HeartbeatResponse {
         val role = election.role()
@@ -80,7 +80,7 @@
         }
         if (role is LeadershipRole.Follower && role.leader == leadership?.leader) {
             delegate.renew(heartbeat)?.let { return renewals.renew(heartbeat, it) }
-            delegate.named(heartbeat)?.let { return HeartbeatResponse.Redirect(it.label) }
+            delegate.delegateFor(heartbeat)?.let { return HeartbeatResponse.Redirect(it.label) }
         }
         val leader = leaderOf(role) ?: return HeartbeatResponse.Unavailable
         // An earlier incarnation of ours led: until the next election nobody does.
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -294,15 +294,7 @@
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
         val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(host.zone, host.lease.countsFromMs ?: now)
         if (mayBeOver) cluster.expire(host, now)
-        val patienceMs =
-            if (heartbeats.isCut(
-                    host.zone,
-                )
-            ) {
-                timing.partitionedCancelPatienceMs
-            } else {
-                timing.cancelPatienceMs
-            }
+        val patienceMs = if (heartbeats.isCut(host.zone)) timing.partitionedCancelPatienceMs else timing.cancelPatienceMs
         for (placed in host.live.values) {
             val cancelledAt = placed.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
@@ -379,7 +371,7 @@
             host.directBusy = false
             host.directInFlight = emptyList()
             when (outcome) {
-                is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.report, isHeartbeat = false)
+                is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
                 DirectOutcome.NotSent -> host.directNotBefore = clock.steadyMs() + timing.missedHeartbeatsMs
                 DirectOutcome.Unanswered -> {
                     // It may be executed minutes later; from here on the answers to reports carry the commands.
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
 
-/** Commands sent straight to a worker's address. */
+/** Calls straight to a worker's address over HTTP. [settle] brings outcomes back to the owner's event loop. */
 internal class WorkerClient(
     private val http: HttpCaller,
     private val scope: CoroutineScope,
@@ -46,13 +46,13 @@
     ) {
         scope.launch {
             val result = http.call(endpoint, HttpMethod.GET, "/status", null, timeoutMs)
-            val report =
+            val heartbeat =
                 if (result is CallResult.Answered && result.status == 200) {
-                    (read(result) as? DirectOutcome.Answered)?.report
+                    (read(result) as? DirectOutcome.Answered)?.heartbeat
                 } else {
                     null
                 }
-            settle { done(report) }
+            settle { done(heartbeat) }
         }
     }
 
