--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -91,12 +91,12 @@
             return
         }
         if (stored.version <= present.version) return
-        val old = present.live.values.toList()
+        val old = present.attempts.values.toList()
         val wasActive = present.phase == Phase.ACTIVE
         val record = JobRecord.decode(value)
         if (present.foreignWrite(record, stored.version, now)) {
             hasOrphans = true
-            for (placed in old) machines[placed.machine]?.live?.remove(placed.attempt)
+            for (attempt in old) machines[attempt.machine]?.attempts?.remove(attempt.id)
             attachAll(present)
         }
         if (present.phase == Phase.CANCELLED) {
@@ -104,7 +104,7 @@
                 if (present.spec.dependsOn.isEmpty()) forecast.leave(present.spec, clock.wallMs())
                 val since = cancelledAt(record, now)
                 present.cancelledAt = since
-                val left = present.live.size
+                val left = present.attempts.size
                 log.info("{} is cancelled at {}, {} ms ago, {} attempts left", id, stored.version, now - since, left)
             }
             stopCancelled(present)
@@ -140,22 +140,22 @@
     }
 
     private fun attachAll(job: Job) {
-        for (placed in job.live.values.toList()) {
-            val host = machine(placed.machine)
-            if (host == null) remove(placed) else host.live[placed.attempt] = placed
+        for (attempt in job.attempts.values.toList()) {
+            val machine = machine(attempt.machine)
+            if (machine == null) remove(attempt) else machine.attempts[attempt.id] = attempt
         }
     }
 
     private fun stopCancelled(job: Job) {
-        for (placed in job.live.values.toList()) {
-            val host = machines[placed.machine]
-            removeOrPush(host, placed)
+        for (attempt in job.attempts.values.toList()) {
+            val machine = machines[attempt.machine]
+            removeOrPush(machine, attempt)
         }
     }
 
     /** Placements that were never written, so no start of them was sent; returns how many. */
     fun withdrawUncommitted(job: Job): Int {
-        val uncommitted = job.live.values.filter { !it.committed }
+        val uncommitted = job.attempts.values.filter { !it.committed }
         uncommitted.forEach(::remove)
         return uncommitted.size
     }
@@ -163,41 +163,41 @@
     fun place(
         job: Job,
         task: Int,
-        host: Machine,
+        machine: Machine,
     ) {
         // Started before its predecessors' ends are committed, it would run even if one of them is cancelled instead.
         check(job.readyMs != null) { "${job.id} waits for other jobs" }
-        val placed = job.place(task, host.id, clock.steadyMs())
-        host.live[placed.attempt] = placed
-        host.idleSince = null
+        val attempt = job.place(task, machine.id, clock.steadyMs())
+        machine.attempts[attempt.id] = attempt
+        machine.idleSince = null
     }
 
     fun stop(
-        placed: TaskAttempt,
+        attempt: TaskAttempt,
         reason: StopReason,
         target: MachineId? = null,
     ) {
-        placed.stop = reason
-        placed.target = target
-        val host = machines[placed.machine]
-        removeOrPush(host, placed)
+        attempt.stopReason = reason
+        attempt.target = target
+        val machine = machines[attempt.machine]
+        removeOrPush(machine, attempt)
     }
 
     private fun removeOrPush(
-        host: Machine?,
-        placed: TaskAttempt,
+        machine: Machine?,
+        attempt: TaskAttempt,
     ) {
-        val there = host != null && placed.committed && host.mayBeThere(placed, token)
-        if (there) pendingPushes.add(placed.machine) else remove(placed)
+        val there = machine != null && attempt.committed && machine.mayBeThere(attempt, token)
+        if (there) pendingPushes.add(attempt.machine) else remove(attempt)
     }
 
     /** The attempt is gone, or was never there. */
-    private fun remove(placed: TaskAttempt) {
+    private fun remove(attempt: TaskAttempt) {
         val now = clock.steadyMs()
-        if (placed.target != null) placed.job.movingUntil = now + timing.movingMs
-        if (placed.job.live[placed.task] === placed) limits.freed(placed.job.spec.team, placed.job.need)
-        placed.job.drop(placed.task, now)
-        machines[placed.machine]?.live?.remove(placed.attempt)
+        if (attempt.target != null) attempt.job.movingUntil = now + timing.movingMs
+        if (attempt.job.attempts[attempt.task] === attempt) limits.freed(attempt.job.spec.team, attempt.job.need)
+        attempt.job.drop(attempt.task, now)
+        machines[attempt.machine]?.attempts?.remove(attempt.id)
         planWanted = true
     }
 
@@ -206,124 +206,124 @@
         report: WorkerHeartbeat,
         isHeartbeat: Boolean,
     ): Machine? {
-        val host = machine(report.machine) ?: return null
+        val machine = machine(report.machine) ?: return null
         val now = clock.steadyMs()
         val position = HeartbeatPosition(report.incarnation, report.sequence)
-        if (host.lease.hasEnded(report.incarnation)) {
-            log.info("{} is heard in incarnation {}, which has ended", host.id, report.incarnation)
-            return host
+        if (machine.lease.hasEnded(report.incarnation)) {
+            log.info("{} is heard in incarnation {}, which has ended", machine.id, report.incarnation)
+            return machine
         }
-        host.lease.onIncarnationObserved(report.incarnation, now)
+        machine.lease.onIncarnationObserved(report.incarnation, now)
         if (isHeartbeat) {
             // A copy of an older report renews nothing and proves nothing.
-            if (position <= host.lastHeartbeat) return host
-            host.lastHeartbeat = position
-            host.lease.renewed(now)
+            if (position <= machine.lastHeartbeat) return machine
+            machine.lastHeartbeat = position
+            machine.lease.renewed(now)
         }
-        if (position <= host.position) return host
-        if (report.incarnation > host.position.incarnation || report.token > host.token) {
+        if (position <= machine.position) return machine
+        if (report.incarnation > machine.position.incarnation || report.token > machine.token) {
             // Direct commands carry incarnation and token, so those of an earlier one can't be executed any more.
-            host.unresolved.clear()
+            machine.unresolved.clear()
         }
-        val firstHeard = host.lastContactAt == null
-        host.position = position
-        host.token = report.token
-        host.lastContactAt = now
-        host.isLeaseExpired = false
-        host.type = report.type
-        host.zone = report.zone
-        host.spot = report.spot
-        host.endpoint = Address.parse(report.endpoint)
-        host.noticeUntil = report.noticeS?.let { now + (it * 1000).toLong() }
-        host.tasks = report.tasks.associateBy { it.attempt }
+        val firstHeard = machine.lastContactAt == null
+        machine.position = position
+        machine.token = report.token
+        machine.lastContactAt = now
+        machine.isLeaseExpired = false
+        machine.type = report.type
+        machine.zone = report.zone
+        machine.spot = report.spot
+        machine.endpoint = Address.parse(report.endpoint)
+        machine.noticeUntil = report.noticeS?.let { now + (it * 1000).toLong() }
+        machine.tasks = report.tasks.associateBy { it.attempt }
         if (firstHeard) planWanted = true
-        applyTasks(host, position, isHeartbeat, now)
-        return host
+        applyTasks(machine, position, isHeartbeat, now)
+        return machine
     }
 
     private fun applyTasks(
-        host: Machine,
+        machine: Machine,
         position: HeartbeatPosition,
         isHeartbeat: Boolean,
         now: Long,
     ) {
-        val settled = host.isSettled(token)
-        for (placed in host.live.values.toList()) {
-            val seen = host.tasks[placed.attempt]
+        val settled = machine.isSettled(token)
+        for (attempt in machine.attempts.values.toList()) {
+            val seen = machine.tasks[attempt.id]
             if (seen != null) {
-                placed.answeredAt = null
-                placed.inherited = false
-                host.unresponsiveUntil = 0L
-                applyTaskStatus(host, placed, seen, now)
+                attempt.answeredAt = null
+                attempt.inherited = false
+                machine.unresponsiveUntil = 0L
+                applyTaskStatus(machine, attempt, seen, now)
                 continue
             }
-            val isAbsent = settled && placed.inherited
-            if (settled) placed.inherited = false
-            val answered = placed.answeredAt
+            val isAbsent = settled && attempt.inherited
+            if (settled) attempt.inherited = false
+            val answered = attempt.answeredAt
             // One report is in flight at a time: after a newer one, an older answer is executed or dropped for good.
-            if (isHeartbeat && answered != null && position > answered) placed.answeredAt = null
-            placed.seen = null
-            if (host.mayBeThere(placed, token)) continue
-            if (!placed.isWanted || isAbsent && limits.isOverQuota(placed.job.spec.team, jobs.values, now)) {
+            if (isHeartbeat && answered != null && position > answered) attempt.answeredAt = null
+            attempt.seen = null
+            if (machine.mayBeThere(attempt, token)) continue
+            if (!attempt.isWanted || isAbsent && limits.isOverQuota(attempt.job.spec.team, jobs.values, now)) {
                 // The former leader saw it end and gave its room away, but ended before it had stored the end.
-                remove(placed)
-            } else if (isHeartbeat && placed.isOverdue(now, timing.workerLeaseRawMs)) {
+                remove(attempt)
+            } else if (isHeartbeat && attempt.isOverdue(now, timing.workerLeaseRawMs)) {
                 // Its reports arrive, but what we say does not: the work goes elsewhere.
-                log.info("{} does not take {}", host.id, placed.attempt)
-                host.unresponsiveUntil = now + timing.unresponsiveMs
-                remove(placed)
+                log.info("{} does not take {}", machine.id, attempt.id)
+                machine.unresponsiveUntil = now + timing.unresponsiveMs
+                remove(attempt)
             }
         }
-        for (task in host.tasks.values) {
-            if (task.attempt in host.live) continue
+        for (task in machine.tasks.values) {
+            if (task.attempt in machine.attempts) continue
             adoptUnknownResult(task, now)
-            if (settled) requireOnePlace(host, task)
+            if (settled) requireOnePlace(machine, task)
         }
     }
 
     /** What the account gave up, by a proof, must not turn up beside the attempt that was placed after it. */
     private fun requireOnePlace(
-        host: Machine,
+        machine: Machine,
         task: TaskStatus,
     ) {
         if (task.state != TaskState.RUNNING) return
-        val placed = jobs[task.attempt.task.job]?.live?.get(task.attempt.task.index) ?: return
-        if (placed.machine == host.id || placed.seen != TaskState.RUNNING) return
-        val what = "${task.attempt} runs on ${host.id} and ${placed.attempt} on ${placed.machine}"
+        val attempt = jobs[task.attempt.task.job]?.attempts?.get(task.attempt.task.index) ?: return
+        if (attempt.machine == machine.id || attempt.seen != TaskState.RUNNING) return
+        val what = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
         invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
     }
 
     private fun applyTaskStatus(
-        host: Machine,
-        placed: TaskAttempt,
+        machine: Machine,
+        attempt: TaskAttempt,
         seen: TaskStatus,
         now: Long,
     ) {
-        val job = placed.job
-        if (seen.state == TaskState.RUNNING && placed.seen != TaskState.RUNNING) {
-            placed.seenRunningAt = now
-            host.images.remove(job.spec.image)
-            host.images.add(job.spec.image)
+        val job = attempt.job
+        if (seen.state == TaskState.RUNNING && attempt.seen != TaskState.RUNNING) {
+            attempt.seenRunningAt = now
+            machine.images.remove(job.spec.image)
+            machine.images.add(job.spec.image)
         }
-        placed.seen = seen.state
+        attempt.seen = seen.state
         if (seen.state != TaskState.EXITED) return
         when (seen.cause) {
             ExitCause.DONE -> {
-                host.images.add(job.spec.image)
-                host.failedJobs.clear()
+                machine.images.add(job.spec.image)
+                machine.failedJobs.clear()
                 job.failures = 0
-                job.markDone(placed.task, now)
+                job.markDone(attempt.task, now)
             }
             ExitCause.STOPPED -> Unit
-            ExitCause.ERROR -> FailureBackoff.onError(host, job, now, timing)
+            ExitCause.ERROR -> FailureBackoff.onError(machine, job, now, timing)
             ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN, ExitCause.PEERS_GONE, ExitCause.ALONE,
             ExitCause.OTHER, null,
             -> {
-                log.info("{} was refused on {}: {}", placed.attempt, host.id, seen.cause)
-                FailureBackoff.onRefused(host, job, now, timing)
+                log.info("{} was refused on {}: {}", attempt.id, machine.id, seen.cause)
+                FailureBackoff.onRefused(machine, job, now, timing)
             }
         }
-        remove(placed)
+        remove(attempt)
     }
 
     /** A result of an attempt that we had given up: it counts if its task isn't placed again. */
@@ -334,108 +334,108 @@
         if (task.state != TaskState.EXITED || task.cause != ExitCause.DONE) return
         val job = jobs[task.attempt.task.job] ?: return
         val index = task.attempt.task.index
-        if (job.phase != Phase.ACTIVE || index >= job.spec.tasks || job.done.get(index) || index in job.live) return
+        if (job.phase != Phase.ACTIVE || index >= job.spec.tasks || job.done.get(index) || index in job.attempts) return
         job.markDone(index, now)
         planWanted = true
     }
 
     /** What the machine should be told, computed afresh from what is wanted and what it last showed. */
     fun commands(
-        host: Machine,
+        machine: Machine,
         now: Long,
     ): List<WorkerCommand> {
         val result = ArrayList<WorkerCommand>()
-        for (placed in host.live.values) {
-            val seen = host.tasks[placed.attempt]
+        for (attempt in machine.attempts.values) {
+            val seen = machine.tasks[attempt.id]
             when {
-                seen == null -> if (placed.committed) addStart(host, placed, now, result)
+                seen == null -> if (attempt.committed) addStart(machine, attempt, now, result)
                 seen.state == TaskState.EXITED -> Unit
-                !placed.isWanted -> stop(placed, seen)?.let(result::add)
+                !attempt.isWanted -> stop(attempt, seen)?.let(result::add)
             }
         }
-        for (task in host.tasks.values) {
-            if (task.attempt in host.live) continue
+        for (task in machine.tasks.values) {
+            if (task.attempt in machine.attempts) continue
             when {
                 task.state != TaskState.EXITED -> result.add(WorkerCommand.Stop(task.attempt, 0.0))
-                mayForget(host, task.attempt) -> result.add(WorkerCommand.Forget(task.attempt))
+                mayForget(machine, task.attempt) -> result.add(WorkerCommand.Forget(task.attempt))
             }
         }
         return result
     }
 
     /** All that may be said without the right to decide: a cancelled job's tasks have to end, whoever leads. */
-    fun cancelledStops(host: Machine): List<WorkerCommand> =
-        host.live.values
+    fun cancelledStops(machine: Machine): List<WorkerCommand> =
+        machine.attempts.values
             .filter { it.job.phase == Phase.CANCELLED && it.seen != null && it.seen != TaskState.EXITED }
-            .map { WorkerCommand.Stop(it.attempt, 0.0) }
+            .map { WorkerCommand.Stop(it.id, 0.0) }
 
     private fun addStart(
-        host: Machine,
-        placed: TaskAttempt,
+        machine: Machine,
+        attempt: TaskAttempt,
         now: Long,
         result: ArrayList<WorkerCommand>,
     ) {
-        if (placed.isWanted) {
+        if (attempt.isWanted) {
             // Its next report will show our token, and then it is settled whether this one is still to run.
-            val waits = placed.inherited && limits.isOverQuota(placed.job.spec.team, jobs.values, now)
-            if (!waits) result.add(WorkerCommand.Start(placed.attempt))
+            val waits = attempt.inherited && limits.isOverQuota(attempt.job.spec.team, jobs.values, now)
+            if (!waits) result.add(WorkerCommand.Start(attempt.id))
             return
         }
         // A direct start may still be on its way, and a stop alone would be too early for it. Started and stopped
         // at once, the attempt stays known as exited, and the late copy has no effect.
-        val cancelledAt = placed.job.cancelledAt
+        val cancelledAt = attempt.job.cancelledAt
         val inTime = cancelledAt == null || now < cancelledAt + timing.cancelPatienceMs / 2
-        if (placed.attempt in host.unresolved && inTime) {
-            result.add(WorkerCommand.Start(placed.attempt))
-            result.add(WorkerCommand.Stop(placed.attempt, 0.0))
+        if (attempt.id in machine.unresolved && inTime) {
+            result.add(WorkerCommand.Start(attempt.id))
+            result.add(WorkerCommand.Stop(attempt.id, 0.0))
         }
     }
 
     private fun stop(
-        placed: TaskAttempt,
+        attempt: TaskAttempt,
         seen: TaskStatus,
     ): WorkerCommand? {
-        val spec = placed.job.spec
-        if (placed.job.phase != Phase.ACTIVE) return WorkerCommand.Stop(placed.attempt, 0.0)
+        val spec = attempt.job.spec
+        if (attempt.job.phase != Phase.ACTIVE) return WorkerCommand.Stop(attempt.id, 0.0)
         if (seen.state == TaskState.SAVING) return null
-        return WorkerCommand.Stop(placed.attempt, if (spec.savesWork) spec.saveS else 0.0)
+        return WorkerCommand.Stop(attempt.id, if (spec.savesWork) spec.saveS else 0.0)
     }
 
     /** Forgetting makes a repeated start effective again, so no start of the attempt may be on its way. */
     private fun mayForget(
-        host: Machine,
+        machine: Machine,
         attempt: AttemptId,
     ): Boolean {
-        if (attempt in host.unresolved || attempt in host.directInFlight) return false
+        if (attempt in machine.unresolved || attempt in machine.directInFlight) return false
         val job = jobs[attempt.task.job] ?: return true
         return !job.isStored(attempt)
     }
 
     /** Proof 4: the present incarnation's lease is over, and no other token can have renewed it. */
     fun expire(
-        host: Machine,
+        machine: Machine,
         now: Long,
     ): Boolean {
-        if (host.isLeaseExpired ||
-            host.token != token ||
-            !host.lease.isExpired(now, timing.workerExpiryMs)
+        if (machine.isLeaseExpired ||
+            machine.token != token ||
+            !machine.lease.isExpired(now, timing.workerExpiryMs)
         ) {
             return false
         }
         log.info(
             "{} is silent and its lease in incarnation {} is over, counted for {} ms, {} attempts are gone",
-            host.id,
-            host.position.incarnation,
-            host.lease.countsFromMs?.let { now - it },
-            host.live.size,
+            machine.id,
+            machine.position.incarnation,
+            machine.lease.countsFromMs?.let { now - it },
+            machine.attempts.size,
         )
-        host.isLeaseExpired = true
-        host.lease.end()
-        host.unresolved.clear()
-        host.tasks = emptyMap()
-        for (placed in host.live.values.toList()) {
-            placed.answeredAt = null
-            remove(placed)
+        machine.isLeaseExpired = true
+        machine.lease.end()
+        machine.unresolved.clear()
+        machine.tasks = emptyMap()
+        for (attempt in machine.attempts.values.toList()) {
+            attempt.answeredAt = null
+            remove(attempt)
         }
         planWanted = true
         return true
@@ -448,9 +448,9 @@
     ) {
         removed.add(id)
         hasOrphans = true
-        val host = machines[id] ?: return
-        log.info("{} is gone: {}, {} attempts with it", id, why, host.live.size)
-        for (placed in host.live.values.toList()) remove(placed)
+        val machine = machines[id] ?: return
+        log.info("{} is gone: {}, {} attempts with it", id, why, machine.attempts.size)
+        for (attempt in machine.attempts.values.toList()) remove(attempt)
         machines.remove(id)
         planWanted = true
     }
@@ -460,7 +460,7 @@
         if (!hasOrphans) return
         hasOrphans = false
         for (job in jobs.values) {
-            for (placed in job.live.values.toList()) if (placed.machine in removed) remove(placed)
+            for (attempt in job.attempts.values.toList()) if (attempt.machine in removed) remove(attempt)
         }
     }
 
@@ -468,19 +468,19 @@
     fun forgetFinished(cache: StateCache) {
         jobs.values.removeIf { job ->
             job.phase.isFinal &&
-                job.live.isEmpty() &&
+                job.attempts.isEmpty() &&
                 job.dirtySince == null &&
                 !job.isWriting &&
                 (cache.job(job.id)?.version ?: 0) >= job.version
         }
     }
 
-    fun fetching(host: Machine): Set<ImageName> {
+    fun fetching(machine: Machine): Set<ImageName> {
         val result = HashSet<ImageName>()
-        for (placed in host.live.values) {
-            val image = placed.job.spec.image
-            val hasItsImage = placed.seen != null && placed.seen != TaskState.FETCHING
-            if (!hasItsImage && image !in host.images) result.add(image)
+        for (attempt in machine.attempts.values) {
+            val image = attempt.job.spec.image
+            val hasItsImage = attempt.seen != null && attempt.seen != TaskState.FETCHING
+            if (!hasItsImage && image !in machine.images) result.add(image)
         }
         return result
     }
--- a/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
@@ -9,16 +9,16 @@
     private const val MAX_DOUBLINGS = 6
 
     fun onError(
-        host: Machine,
+        machine: Machine,
         job: Job,
         now: Long,
         timing: Timing,
     ) {
         job.failures++
-        job.failedOn.add(host.id)
-        job.avoid[host.id] = now + timing.avoidMs
-        host.failedJobs.add(job.id.value)
-        if (host.failedJobs.size >= JOBS_TO_SUSPECT_MACHINE) host.isQuarantined = true
+        job.failedOn.add(machine.id)
+        job.avoid[machine.id] = now + timing.avoidMs
+        machine.failedJobs.add(job.id.value)
+        if (machine.failedJobs.size >= JOBS_TO_SUSPECT_MACHINE) machine.isQuarantined = true
         if (job.failedOn.size >= MACHINES_TO_SUSPECT_JOB) {
             val doublings = (job.failedOn.size - MACHINES_TO_SUSPECT_JOB).coerceAtMost(MAX_DOUBLINGS)
             job.holdUntil = now + minOf(timing.errorPauseMs shl doublings, timing.errorPauseMaxMs)
@@ -26,11 +26,11 @@
     }
 
     fun onRefused(
-        host: Machine,
+        machine: Machine,
         job: Job,
         now: Long,
         timing: Timing,
     ) {
-        job.avoid[host.id] = now + timing.refusedPauseMs
+        job.avoid[machine.id] = now + timing.refusedPauseMs
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -22,7 +22,7 @@
     var phase = record.phase
         private set
     val done: BitSet = record.done.clone() as BitSet
-    val live = LinkedHashMap<Int, TaskAttempt>()
+    val attempts = LinkedHashMap<Int, TaskAttempt>()
     var nextAttempt = record.nextAttempt
         private set
 
@@ -73,9 +73,9 @@
     val remaining: Int get() = spec.tasks - done.cardinality()
 
     fun restoreAttempts(record: JobRecord) {
-        live.clear()
+        attempts.clear()
         for ((task, placement) in record.placements) {
-            live[task] =
+            attempts[task] =
                 TaskAttempt(this, task, placement.machine, placement.attempt).apply {
                     committed = true
                     inherited = true
@@ -88,10 +88,10 @@
         machine: MachineId,
         now: Long,
     ): TaskAttempt {
-        val placed = TaskAttempt(this, task, machine, nextAttempt)
-        live[task] = placed
+        val attempt = TaskAttempt(this, task, machine, nextAttempt)
+        attempts[task] = attempt
         touch(now, urgent = true)
-        return placed
+        return attempt
     }
 
     /** Tasks placed in one round share an attempt number, which keeps the record short. */
@@ -113,7 +113,7 @@
         task: Int,
         now: Long,
     ) {
-        if (live.remove(task) != null) touch(now, urgent = false)
+        if (attempts.remove(task) != null) touch(now, urgent = false)
     }
 
     private fun touch(
@@ -133,7 +133,7 @@
         var count = 0
         var task = done.nextClearBit(0)
         while (task < spec.tasks && count < result.size) {
-            if (task !in live) result[count++] = task
+            if (task !in attempts) result[count++] = task
             task = done.nextClearBit(task + 1)
         }
         return if (count == result.size) result else result.copyOf(count)
@@ -160,14 +160,14 @@
         phase,
         if (isBrief) briefDone() else done.clone() as BitSet,
         nextAttempt,
-        live.mapValues { (_, placed) -> Placement(placed.machine, placed.number) },
+        attempts.mapValues { (_, attempt) -> Placement(attempt.machine, attempt.number) },
         write,
         cancelledMs,
     )
 
     /** Of a cancelled job that is over nobody asks which tasks were done, only how many. */
     private fun briefDone(): BitSet {
-        if (phase != Phase.CANCELLED || live.isNotEmpty()) return done.clone() as BitSet
+        if (phase != Phase.CANCELLED || attempts.isNotEmpty()) return done.clone() as BitSet
         return BitSet().apply { set(0, done.cardinality()) }
     }
 
@@ -198,8 +198,8 @@
         isWrittenAlone = false
         lastWrite = record.write
         for ((task, placement) in record.placements) {
-            val placed = live[task]
-            if (placed != null && placed.number == placement.attempt) placed.committed = true
+            val attempt = attempts[task]
+            if (attempt != null && attempt.number == placement.attempt) attempt.committed = true
         }
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -51,7 +51,7 @@
     var unresponsiveUntil = 0L
     val failedJobs = HashSet<String>()
 
-    val live = LinkedHashMap<AttemptId, TaskAttempt>()
+    val attempts = LinkedHashMap<AttemptId, TaskAttempt>()
     val images = LinkedHashSet<ImageName>()
 
     var directInFlight: List<AttemptId> = emptyList()
@@ -65,13 +65,13 @@
     fun isSettled(current: FencingToken): Boolean = lastContactAt != null && token == current && !isLeaseExpired
 
     fun mayBeThere(
-        placed: TaskAttempt,
+        attempt: TaskAttempt,
         current: FencingToken,
     ): Boolean {
-        if (placed.attempt in unresolved || placed.attempt in directInFlight) return true
-        if (placed.inherited && !isSettled(current)) return true
-        if (placed.answeredAt != null) return true
-        val seen = tasks[placed.attempt]
+        if (attempt.id in unresolved || attempt.id in directInFlight) return true
+        if (attempt.inherited && !isSettled(current)) return true
+        if (attempt.answeredAt != null) return true
+        val seen = tasks[attempt.id]
         return seen != null && seen.state != TaskState.EXITED
     }
 
@@ -81,7 +81,7 @@
         unmanagedUsage: Resources,
     ): Resources {
         var free = type.resources() - unmanagedUsage
-        for (placed in live.values) free -= placed.job.need
+        for (attempt in attempts.values) free -= attempt.job.need
         return free
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/RecordSize.kt
+++ b/src/main/kotlin/oxbowlug/cluster/RecordSize.kt
@@ -7,10 +7,10 @@
 internal object RecordSize {
     fun bound(job: Job): Int {
         val machines =
-            job.live.values
+            job.attempts.values
                 .mapTo(HashSet()) { it.machine }
                 .size
         return JobRecord.SPEC_BOUND + TaskRanges.sizeBound(job.done) +
-            machines * JobRecord.MACHINE_BOUND + job.live.size * JobRecord.PLACEMENT_BOUND
+            machines * JobRecord.MACHINE_BOUND + job.attempts.size * JobRecord.PLACEMENT_BOUND
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -15,7 +15,7 @@
     val machine: MachineId,
     val number: Long,
 ) {
-    val attempt = AttemptId(TaskId(job.id, task), number)
+    val id = AttemptId(TaskId(job.id, task), number)
 
     /** Written to the state service: only then may it be started. */
     var committed = false
@@ -30,11 +30,11 @@
     /** A start went out in the answer to this report; a newer one that lacks the attempt shows it was dropped. */
     var answeredAt: HeartbeatPosition? = null
     private var firstSentAt: Long? = null
-    var stop: StopReason? = null
+    var stopReason: StopReason? = null
 
     /** Where it is to go on, if it was stopped only to be moved. */
     var target: MachineId? = null
-    val isWanted: Boolean get() = stop == null && job.phase == Phase.ACTIVE
+    val isWanted: Boolean get() = stopReason == null && job.phase == Phase.ACTIVE
 
     fun sentInAnswer(
         position: HeartbeatPosition,
--- a/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
@@ -27,10 +27,10 @@
             countedAt = now
             used.clear()
             for (job in jobs) {
-                if (job.live.isNotEmpty()) {
+                if (job.attempts.isNotEmpty()) {
                     used.merge(
                         job.spec.team,
-                        job.need * job.live.size.toDouble(),
+                        job.need * job.attempts.size.toDouble(),
                         Resources::plus,
                     )
                 }
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -27,18 +27,18 @@
     val suspects = ArrayList<Machine>()
 
     init {
-        for (host in machines) {
-            val count = zones.getOrPut(host.zone, ::Count)
-            val lastContactAt = host.lastContactAt
-            if (lastContactAt == null && host.listed != MachineState.RUNNING) continue
+        for (machine in machines) {
+            val count = zones.getOrPut(machine.zone, ::Count)
+            val lastContactAt = machine.lastContactAt
+            if (lastContactAt == null && machine.listed != MachineState.RUNNING) continue
             count.expected++
             if (lastContactAt != null && now - lastContactAt <= timing.quietMs) count.heard++
-            if (host.isReleasing) continue
+            if (machine.isReleasing) continue
             count.known++
             // A leader elected during a cut has never heard the machines behind it.
-            val since = lastContactAt ?: maxOf(startedAt, host.firstSeenAt)
+            val since = lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
             if (now - since > timing.cutSignMs) count.silent++
-            if (lastContactAt != null && now - lastContactAt > timing.suspectMs) suspects.add(host)
+            if (lastContactAt != null && now - lastContactAt > timing.suspectMs) suspects.add(machine)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -229,8 +229,8 @@
         }
 
     private fun pushAfterWrite(job: Job) {
-        for (placed in job.live.values) {
-            if (placed.seen == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(placed.machine)
+        for (attempt in job.attempts.values) {
+            if (attempt.seen == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(attempt.machine)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -197,7 +197,7 @@
                     ?.cluster
                     ?.jobs
                     ?.get(id)
-                    ?.live
+                    ?.attempts
                     ?.isEmpty()
             is LeadershipRole.Follower, LeadershipRole.Unknown -> null
         }
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -30,31 +30,31 @@
         nextRoundAt = now + timing.peerHeartbeatMs
         // All of them at once would take the time that those who report need.
         var left = (cluster.machines.size * timing.peerHeartbeatMs / timing.propagateTokenAfterMs + 1).toInt()
-        for (host in cluster.machines.values) {
+        for (machine in cluster.machines.values) {
             if (left == 0 || inFlight >= mostAtOnce) return
-            if (!isMissing(host, now) || now < (nextAt[host] ?: 0)) continue
+            if (!isMissing(machine, now) || now < (nextAt[machine] ?: 0)) continue
             left--
-            show(host, now)
+            show(machine, now)
         }
     }
 
     private fun isMissing(
-        host: Machine,
+        machine: Machine,
         now: Long,
-    ) = host.lastContactAt == null &&
-        !host.isReleasing &&
-        now - host.firstSeenAt > timing.quietMs &&
-        (host.listed == MachineState.RUNNING || host.live.isNotEmpty())
+    ) = machine.lastContactAt == null &&
+        !machine.isReleasing &&
+        now - machine.firstSeenAt > timing.quietMs &&
+        (machine.listed == MachineState.RUNNING || machine.attempts.isNotEmpty())
 
     private fun show(
-        host: Machine,
+        machine: Machine,
         now: Long,
     ) {
-        val endpoint = host.endpoint ?: return
+        val endpoint = machine.endpoint ?: return
         inFlight++
-        nextAt[host] = now + timing.suspectMs
+        nextAt[machine] = now + timing.suspectMs
         workers.status(endpoint) { report ->
-            if (report == null || report.machine != host.id || report.token >= cluster.token) {
+            if (report == null || report.machine != machine.id || report.token >= cluster.token) {
                 inFlight--
             } else {
                 workers.command(endpoint, cluster.token, report.incarnation, emptyList()) { inFlight-- }
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -141,19 +141,19 @@
      * machine or its incarnation is gone, and nothing may renew it.
      */
     fun onHeartbeat(report: WorkerHeartbeat): List<WorkerCommand>? {
-        val host = cluster.applyHeartbeat(report, isHeartbeat = true) ?: return null
+        val machine = cluster.applyHeartbeat(report, isHeartbeat = true) ?: return null
         lastHeartbeatAt = clock.steadyMs()
         // A copy that came late, or our proof was wrong: renewed, the incarnation would live on with all that was given up
         // in it and that nobody stops there.
-        if (host.lease.hasEnded(report.incarnation)) return null
+        if (machine.lease.hasEnded(report.incarnation)) return null
         if (!decisions.mayLead) return emptyList()
         val position = HeartbeatPosition(report.incarnation, report.sequence)
         // The answer to a copy goes nowhere; it must not look as if the worker had been told.
-        if (position < host.lastHeartbeat) return emptyList()
-        val commands = storedOnly(host, cluster.commands(host, clock.steadyMs()))
-        if (position == host.position) requireStops(report, commands)
+        if (position < machine.lastHeartbeat) return emptyList()
+        val commands = storedOnly(machine, cluster.commands(machine, clock.steadyMs()))
+        if (position == machine.position) requireStops(report, commands)
         for (command in commands) {
-            if (command is WorkerCommand.Start) host.live[command.attempt]?.sentInAnswer(position, clock.steadyMs())
+            if (command is WorkerCommand.Start) machine.attempts[command.attempt]?.sentInAnswer(position, clock.steadyMs())
         }
         return commands
     }
@@ -163,7 +163,7 @@
         delegates.tick(now)
         val heartbeats = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
         val hasRoom by lazy(LazyThreadSafetyMode.NONE) { planning.hasRoomFor(heartbeats.suspects, types) }
-        for (host in cluster.machines.values.toList()) watchOver(host, now, types, heartbeats) { hasRoom }
+        for (machine in cluster.machines.values.toList()) watchOver(machine, now, types, heartbeats) { hasRoom }
         cluster.removeOrphans()
         divideWhenDue(now)
         tokenPropagation.tick(now)
@@ -180,7 +180,7 @@
     fun endCancelledWork() {
         val now = clock.steadyMs()
         val heartbeats = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
-        for (host in cluster.machines.values.toList()) endCancelled(host, now, heartbeats)
+        for (machine in cluster.machines.values.toList()) endCancelled(machine, now, heartbeats)
         cluster.removeOrphans()
         scaler.releaseDue()
         flush()
@@ -192,8 +192,8 @@
         val now = clock.steadyMs()
         if (cluster.pendingPushes.isEmpty()) return
         for (id in cluster.pendingPushes.toList()) {
-            val host = cluster.machines[id]
-            if (host == null || commandDirectly(host, now)) cluster.pendingPushes.remove(id)
+            val machine = cluster.machines[id]
+            if (machine == null || commandDirectly(machine, now)) cluster.pendingPushes.remove(id)
         }
     }
 
@@ -224,31 +224,31 @@
     }
 
     private fun watchOver(
-        host: Machine,
+        machine: Machine,
         now: Long,
         types: Map<TypeName, MachineType>,
         heartbeats: ZoneLiveness,
         hasRoom: () -> Boolean,
     ) {
-        endCancelled(host, now, heartbeats)
-        drain(host, now)
-        if (host.isReleasing) return
+        endCancelled(machine, now, heartbeats)
+        drain(machine, now)
+        if (machine.isReleasing) return
         // Where no other can be had, a machine that may go on is worth more than the rent of its silence.
-        val patience = if (scaler.isScarce(host, now)) SCARCE_PATIENCE else 1
+        val patience = if (scaler.isScarce(machine, now)) SCARCE_PATIENCE else 1
         val silentMs = (settings.policy.silentLeases * timing.workerLeaseRawMs).toLong() * patience
-        val lastHeard = host.lastContactAt ?: maxOf(startedAt, host.firstSeenAt)
-        val expected = host.lastContactAt != null || host.listed == MachineState.RUNNING
-        if (expected && now - lastHeard > silentMs && heartbeats.isMajorityAlive(host.zone)) {
-            scaler.scheduleRelease(host, "silent")
+        val lastHeard = machine.lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
+        val expected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
+        if (expected && now - lastHeard > silentMs && heartbeats.isMajorityAlive(machine.zone)) {
+            scaler.scheduleRelease(machine, "silent")
         }
-        if (isWorthGivingUp(host, now, types) &&
-            !heartbeats.isCut(host.zone) &&
-            (!scaler.isScarce(host, now) || hasRoom())
+        if (isWorthGivingUp(machine, now, types) &&
+            !heartbeats.isCut(machine.zone) &&
+            (!scaler.isScarce(machine, now) || hasRoom())
         ) {
-            scaler.scheduleRelease(host, "silent, and its work is worth more")
+            scaler.scheduleRelease(machine, "silent, and its work is worth more")
         }
-        if (host.isQuarantined && host.live.isEmpty()) scaler.scheduleRelease(host, "fails its tasks")
-        returnIdle(host, now, types)
+        if (machine.isQuarantined && machine.attempts.isEmpty()) scaler.scheduleRelease(machine, "fails its tasks")
+        returnIdle(machine, now, types)
     }
 
     /**
@@ -257,72 +257,72 @@
      * no other machine can be had, there must be room enough without it.
      */
     private fun isWorthGivingUp(
-        host: Machine,
+        machine: Machine,
         now: Long,
         types: Map<TypeName, MachineType>,
     ): Boolean {
-        if (!isSuspect(host, now) || host.isLeaseExpired) return false
-        val countsFrom = host.lease.countsFromMs ?: return false
-        val type = types[host.type] ?: return false
+        if (!isSuspect(machine, now) || machine.isLeaseExpired) return false
+        val countsFrom = machine.lease.countsFromMs ?: return false
+        val type = types[machine.type] ?: return false
         val leftS = (timing.workerExpiryMs - (now - countsFrom)) / 1000.0
-        return Pricing.isWorthGivingUp(planning.replicaWeight(host), leftS, type, host.spot, types.values)
+        return Pricing.isWorthGivingUp(planning.replicaWeight(machine), leftS, type, machine.spot, types.values)
     }
 
     private fun isSuspect(
-        host: Machine,
+        machine: Machine,
         now: Long,
-    ): Boolean = host.lastContactAt?.let { now - it > timing.suspectMs } ?: false
+    ): Boolean = machine.lastContactAt?.let { now - it > timing.suspectMs } ?: false
 
     /** Tasks that can save are stopped just in time for it; others run on until the cloud takes the machine. */
     private fun drain(
-        host: Machine,
+        machine: Machine,
         now: Long,
     ) {
-        val until = host.noticeUntil ?: return
-        for (placed in host.live.values.toList()) {
-            val spec = placed.job.spec
-            if (!spec.savesWork || placed.stop != null) continue
-            if (until - now < spec.saveS * 1000 + timing.drainMarginMs) cluster.stop(placed, StopReason.DRAINED)
+        val until = machine.noticeUntil ?: return
+        for (attempt in machine.attempts.values.toList()) {
+            val spec = attempt.job.spec
+            if (!spec.savesWork || attempt.stopReason != null) continue
+            if (until - now < spec.saveS * 1000 + timing.drainMarginMs) cluster.stop(attempt, StopReason.DRAINED)
         }
     }
 
     private fun endCancelled(
-        host: Machine,
+        machine: Machine,
         now: Long,
         heartbeats: ZoneLiveness,
     ) {
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
-        val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(host.zone, host.lease.countsFromMs ?: now)
-        if (mayBeOver) cluster.expire(host, now)
-        val patienceMs = if (heartbeats.isCut(host.zone)) timing.cancelPatienceCutMs else timing.cancelPatienceMs
-        for (placed in host.live.values) {
-            val cancelledAt = placed.job.cancelledAt ?: continue
+        val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
+        if (mayBeOver) cluster.expire(machine, now)
+        val patienceMs = if (heartbeats.isCut(machine.zone)) timing.cancelPatienceCutMs else timing.cancelPatienceMs
+        for (attempt in machine.attempts.values) {
+            val cancelledAt = attempt.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
-            if (now > cancelledAt + patienceMs) scaler.scheduleRelease(host, "holds cancelled work")
+            if (now > cancelledAt + patienceMs) scaler.scheduleRelease(machine, "holds cancelled work")
         }
     }
 
     private fun returnIdle(
-        host: Machine,
+        machine: Machine,
         now: Long,
         types: Map<TypeName, MachineType>,
     ) {
         val busy =
-            host.live.isNotEmpty() ||
-                host.id in reserved ||
-                host.lastContactAt == null ||
-                host.tasks.values.any { it.state != TaskState.EXITED }
+            machine.attempts.isNotEmpty() ||
+                machine.id in reserved ||
+                machine.lastContactAt == null ||
+                machine.tasks.values.any { it.state != TaskState.EXITED }
         if (busy) {
-            host.idleSince = null
+            machine.idleSince = null
             return
         }
-        val since = host.idleSince
+        val since = machine.idleSince
         if (since == null) {
-            host.idleSince = now
+            machine.idleSince = now
             return
         }
-        val bootMs = (types[host.type]?.bootS ?: return) * 1000.0
-        if (host.isDraining || now - since > settings.policy.idleBoots * bootMs) scaler.scheduleRelease(host, "idle")
+        val bootMs = (types[machine.type]?.bootS ?: return) * 1000.0
+        if (machine.isDraining || now - since > settings.policy.idleBoots * bootMs) scaler.scheduleRelease(machine, "idle")
     }
 
     /** The account and the copy have to agree on what is cancelled, or one of them lacks it. */
@@ -337,46 +337,46 @@
 
     /** All starts pass here on their way out. */
     private fun storedOnly(
-        host: Machine,
+        machine: Machine,
         commands: List<WorkerCommand>,
     ): List<WorkerCommand> {
-        val unstored = commands.filter { it is WorkerCommand.Start && host.live[it.attempt]?.committed != true }
+        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.committed != true }
         if (unstored.isEmpty()) return commands
-        invariants.violated(Invariant.STARTS_ARE_STORED, "$unstored for ${host.id}")
+        invariants.violated(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
         return commands - unstored.toSet()
     }
 
     /** True once nothing is left to be said directly. */
     private fun commandDirectly(
-        host: Machine,
+        machine: Machine,
         now: Long,
     ): Boolean {
-        val endpoint = host.endpoint ?: return true
-        val lastContactAt = host.lastContactAt ?: return true
-        if (!host.isSettled(cluster.token) ||
+        val endpoint = machine.endpoint ?: return true
+        val lastContactAt = machine.lastContactAt ?: return true
+        if (!machine.isSettled(cluster.token) ||
             now - lastContactAt > timing.quietMs ||
-            now < host.directNotBefore
+            now < machine.directNotBefore
         ) {
             return true
         }
-        if (host.directBusy) return false
+        if (machine.directBusy) return false
         val commands =
-            if (decisions.mayLead) storedOnly(host, cluster.commands(host, now)) else cluster.cancelledStops(host)
+            if (decisions.mayLead) storedOnly(machine, cluster.commands(machine, now)) else cluster.cancelledStops(machine)
         if (commands.all { it is WorkerCommand.Forget }) return true
-        host.directBusy = true
-        host.directInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
-        for (attempt in host.directInFlight) host.live[attempt]?.sentDirectly(now)
-        workers.command(endpoint, cluster.token, host.position.incarnation, commands) { outcome ->
-            val starts = host.directInFlight
-            host.directBusy = false
-            host.directInFlight = emptyList()
+        machine.directBusy = true
+        machine.directInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
+        for (attempt in machine.directInFlight) machine.attempts[attempt]?.sentDirectly(now)
+        workers.command(endpoint, cluster.token, machine.position.incarnation, commands) { outcome ->
+            val starts = machine.directInFlight
+            machine.directBusy = false
+            machine.directInFlight = emptyList()
             when (outcome) {
                 is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.report, isHeartbeat = false)
-                DirectOutcome.NotSent -> host.directNotBefore = clock.steadyMs() + timing.quietMs
+                DirectOutcome.NotSent -> machine.directNotBefore = clock.steadyMs() + timing.quietMs
                 DirectOutcome.Unanswered -> {
                     // It may be executed minutes later; from here on the answers to reports carry the commands.
-                    host.unresolved.addAll(starts)
-                    host.directNotBefore = clock.steadyMs() + timing.workerLeaseRawMs
+                    machine.unresolved.addAll(starts)
+                    machine.directNotBefore = clock.steadyMs() + timing.workerLeaseRawMs
                 }
             }
         }
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -23,6 +23,7 @@
 import oxbowlug.scaling.MachineScaler
 import oxbowlug.scaling.PendingOrder
 import oxbowlug.timing.Timing
+import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobId
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.MachineId
@@ -62,19 +63,19 @@
         for (job in cluster.jobs.values) {
             val need = job.need
             val team = teams[job.spec.team] ?: continue
-            for (placed in job.live.values) {
+            for (attempt in job.attempts.values) {
                 team.add(need)
-                if (!placed.isWanted) team.expectStop(need)
+                if (!attempt.isWanted) team.expectStop(need)
             }
         }
         machineNameBytes = machineNameBytes()
         val machines = ArrayList<PlanMachine>(cluster.machines.size)
         val zoneUses = ZoneUses(cluster, settings.zones)
         val pledges = pledges()
-        for (host in cluster.machines.values) machine(host, types, zoneUses, pledges, now)?.let(machines::add)
+        for (machine in cluster.machines.values) planMachine(machine, types, zoneUses, pledges, now)?.let(machines::add)
         for (order in scaler.pendingOrders) addOrdered(order, types, now, machines)
         return Snapshot(
-            jobs = cluster.jobs.values.mapNotNull { job(it, zoneUses, now) } + reserves(types),
+            jobs = cluster.jobs.values.mapNotNull { planJob(it, zoneUses, now) } + reserves(types),
             machines = machines,
             teams = teams,
             types = types.values.toList(),
@@ -102,7 +103,7 @@
         return Resources(cores, 0.0, memoryGb)
     }
 
-    private fun job(
+    private fun planJob(
         job: Job,
         zoneUses: ZoneUses,
         now: Long,
@@ -110,7 +111,7 @@
         if (job.phase != Phase.ACTIVE || now < job.holdUntil) return null
         val readyMs = job.readyMs ?: return null
         // A gang starts again only as a whole: what is left of it ends by itself when its mates are gone.
-        if (job.spec.kind == JobKind.GANG && job.live.isNotEmpty()) return null
+        if (job.spec.kind == JobKind.GANG && job.attempts.isNotEmpty()) return null
         if (job.spec.oneZone && !zoneUses.isKnown(job)) return null
         val pending = job.pendingTasks(minOf(MAX_TASKS_PER_ROUND, recordRoom(job)))
         if (pending.isEmpty()) return null
@@ -161,7 +162,7 @@
         val room = valueLimit - JobRecord.SPEC_BOUND - TaskRanges.sizeBound(job.done)
         val many = (room - cluster.machines.size * JobRecord.MACHINE_BOUND) / perTask
         val few = room / (perTask + JobRecord.MACHINE_BOUND)
-        return (maxOf(many, few) - job.live.size).coerceAtLeast(0)
+        return (maxOf(many, few) - job.attempts.size).coerceAtLeast(0)
     }
 
     private fun dividedRoom(job: Job): Int {
@@ -170,14 +171,14 @@
                 tasks = job.spec.tasks,
                 nextAttempt = job.nextAttempt,
                 doneRanges = TaskRanges.count(job.done),
-                placed = job.live.size,
+                placed = job.attempts.size,
                 machines =
-                    job.live.values
+                    job.attempts.values
                         .mapTo(HashSet()) { it.machine }
                         .size,
                 nameBytes = machineNameBytes,
             )
-        return dividedRecords.roomForTasks(occupancy).coerceAtLeast(if (job.live.isEmpty()) 1 else 0)
+        return dividedRecords.roomForTasks(occupancy).coerceAtLeast(if (job.attempts.isEmpty()) 1 else 0)
     }
 
     /** The longest machine name less what all of them share. */
@@ -187,61 +188,61 @@
         return longest - if (names.size > 1) RecordLayout.commonPrefix(names).length else 0
     }
 
-    private fun machine(
-        host: Machine,
+    private fun planMachine(
+        machine: Machine,
         types: Map<TypeName, MachineType>,
         zoneUses: ZoneUses,
         pledges: Map<MachineId, Resources>,
         now: Long,
     ): PlanMachine? {
-        val type = types[host.type ?: return null] ?: return null
-        val zone = host.zone ?: return null
+        val type = types[machine.type ?: return null] ?: return null
+        val zone = machine.zone ?: return null
         val isUnfit =
-            host.isReleasing ||
-                host.isDraining ||
-                host.isQuarantined ||
-                now < host.unresponsiveUntil ||
-                host.isLeaseExpired
-        if (isUnfit || host.noticeUntil != null) return null
-        val readyInS = readyInS(host, type, now) ?: return null
+            machine.isReleasing ||
+                machine.isDraining ||
+                machine.isQuarantined ||
+                now < machine.unresponsiveUntil ||
+                machine.isLeaseExpired
+        if (isUnfit || machine.noticeUntil != null) return null
+        val readyInS = readyInS(machine, type, now) ?: return null
         return PlanMachine(
-            id = host.id,
+            id = machine.id,
             type = type,
             zone = zone,
-            spot = host.spot,
-            free = host.free(type, unmanagedUsage(host)) - (pledges[host.id] ?: Resources.NONE),
+            spot = machine.spot,
+            free = machine.free(type, unmanagedUsage(machine)) - (pledges[machine.id] ?: Resources.NONE),
             readyInS = readyInS,
-            images = host.images,
-            fetching = cluster.fetching(host),
-            isEmpty = host.live.isEmpty(),
-            leaving = leaving(host),
-            tenants = lazy(LazyThreadSafetyMode.NONE) { host.live.values.map { tenant(it, type, zoneUses, now) } },
-            leastUrgent = leastUrgent(host),
+            images = machine.images,
+            fetching = cluster.fetching(machine),
+            isEmpty = machine.attempts.isEmpty(),
+            leaving = leaving(machine),
+            tenants = lazy(LazyThreadSafetyMode.NONE) { machine.attempts.values.map { tenant(it, type, zoneUses, now) } },
+            leastUrgent = leastUrgent(machine),
         )
     }
 
     /** Zero for a machine that can be given work, null for one that can't be counted on. */
     private fun readyInS(
-        host: Machine,
+        machine: Machine,
         type: MachineType,
         now: Long,
     ): Double? {
-        val lastContactAt = host.lastContactAt
+        val lastContactAt = machine.lastContactAt
         if (lastContactAt != null) {
             if (now - lastContactAt > timing.quietMs) return null
-            return if (host.token == cluster.token) 0.0 else SOON_S
+            return if (machine.token == cluster.token) 0.0 else SOON_S
         }
-        if (host.listed == MachineState.RUNNING) {
-            return if (now - maxOf(startedAt, host.firstSeenAt) < timing.workerLeaseRawMs) SOON_S else null
+        if (machine.listed == MachineState.RUNNING) {
+            return if (now - maxOf(startedAt, machine.firstSeenAt) < timing.workerLeaseRawMs) SOON_S else null
         }
-        return maxOf(SOON_S, type.bootS - (now - host.rentedAt) / 1000.0)
+        return maxOf(SOON_S, type.bootS - (now - machine.rentedAt) / 1000.0)
     }
 
     /** Tasks that the worker shows but that aren't ours any more hold their room until they have exited. */
-    private fun unmanagedUsage(host: Machine): Resources {
+    private fun unmanagedUsage(machine: Machine): Resources {
         var sum = Resources.NONE
-        for (task in host.tasks.values) {
-            if (task.state == TaskState.EXITED || task.attempt in host.live) continue
+        for (task in machine.tasks.values) {
+            if (task.state == TaskState.EXITED || task.attempt in machine.attempts) continue
             cluster.jobs[task.attempt.task.job]?.let { sum += it.need }
         }
         return sum
@@ -251,46 +252,46 @@
     private fun pledges(): Map<MachineId, Resources> {
         val result = HashMap<MachineId, Resources>()
         for (job in cluster.jobs.values) {
-            for (placed in job.live.values) {
-                val target = placed.target ?: continue
-                if (placed.stop != null) result.merge(target, job.need, Resources::plus)
+            for (attempt in job.attempts.values) {
+                val target = attempt.target ?: continue
+                if (attempt.stopReason != null) result.merge(target, job.need, Resources::plus)
             }
         }
         return result
     }
 
-    private fun leaving(host: Machine): Resources {
+    private fun leaving(machine: Machine): Resources {
         var sum = Resources.NONE
-        for (placed in host.live.values) if (!placed.isWanted) sum += placed.job.need
+        for (attempt in machine.attempts.values) if (!attempt.isWanted) sum += attempt.job.need
         return sum
     }
 
-    private fun leastUrgent(host: Machine): Priority? {
+    private fun leastUrgent(machine: Machine): Priority? {
         var least: Priority? = null
-        for (placed in host.live.values) {
-            val priority = placed.job.priority
-            if (placed.isWanted && (least == null || priority > least)) least = priority
+        for (attempt in machine.attempts.values) {
+            val priority = attempt.job.priority
+            if (attempt.isWanted && (least == null || priority > least)) least = priority
         }
         return least
     }
 
     private fun tenant(
-        placed: TaskAttempt,
+        attempt: TaskAttempt,
         type: MachineType,
         zoneUses: ZoneUses,
         now: Long,
     ): Tenant {
-        val spec = placed.job.spec
-        val ranS = if (placed.seen == TaskState.RUNNING) (now - placed.seenRunningAt) / 1000.0 else 0.0
+        val spec = attempt.job.spec
+        val ranS = if (attempt.seen == TaskState.RUNNING) (now - attempt.seenRunningAt) / 1000.0 else 0.0
         return Tenant(
-            attempt = placed.attempt,
+            attempt = attempt.id,
             spec = spec,
-            zoneUse = zoneUses.of(placed.job),
+            zoneUse = zoneUses.of(attempt.job),
             ranS = ranS,
             fetchS = type.fetchS(spec),
             weight = weights.of(spec.className),
-            stopping = !placed.isWanted,
-            priority = placed.job.priority,
+            stopping = !attempt.isWanted,
+            priority = attempt.job.priority,
         )
     }
 
@@ -309,24 +310,24 @@
     }
 
     /** What the replicas on a machine weigh together, for each second that they are down. */
-    fun replicaWeight(host: Machine): Double =
-        host.live.values
+    fun replicaWeight(machine: Machine): Double =
+        machine.attempts.values
             .filter { it.isWanted && it.job.spec.kind == JobKind.SERVICE }
             .sumOf { weights.of(it.job.spec.className) }
 
     /** Whether what these machines hold would fit elsewhere, with some to spare since room comes in pieces. */
     fun hasRoomFor(
-        hosts: List<Machine>,
+        machines: List<Machine>,
         types: Map<TypeName, MachineType>,
     ): Boolean {
         var need = Resources.NONE
-        for (host in hosts) for (placed in host.live.values) if (placed.isWanted) need += placed.job.need
+        for (machine in machines) for (attempt in machine.attempts.values) if (attempt.isWanted) need += attempt.job.need
         var free = Resources.NONE
         val now = clock.steadyMs()
-        for (host in cluster.machines.values) {
-            val type = types[host.type] ?: continue
-            val isReady = !host.isReleasing && host.lastContactAt?.let { now - it <= timing.quietMs } ?: false
-            if (isReady && !host.spot) free += host.free(type, unmanagedUsage(host))
+        for (machine in cluster.machines.values) {
+            val type = types[machine.type] ?: continue
+            val isReady = !machine.isReleasing && machine.lastContactAt?.let { now - it <= timing.quietMs } ?: false
+            if (isReady && !machine.spot) free += machine.free(type, unmanagedUsage(machine))
         }
         return (need * SPARE).fitsIn(free)
     }
@@ -335,25 +336,29 @@
         val touched = LinkedHashSet<Job>()
         for (start in plan.starts) {
             val job = cluster.jobs[start.job] ?: continue
-            val host = cluster.machines[start.machine] ?: continue
-            cluster.place(job, start.task, host)
+            val machine = cluster.machines[start.machine] ?: continue
+            cluster.place(job, start.task, machine)
             touched.add(job)
         }
         for (job in touched) job.nextRound()
-        for (attempt in plan.stops) {
-            val placed = cluster.jobs[attempt.task.job]?.live?.get(attempt.task.index) ?: continue
-            if (placed.attempt == attempt) cluster.stop(placed, StopReason.PREEMPTED, plan.targets[attempt])
+        for (id in plan.stops) {
+            val attempt = attemptOf(id) ?: continue
+            cluster.stop(attempt, StopReason.PREEMPTED, plan.targets[id])
         }
         plan.move?.let { move ->
             cluster.machines[move.machine]?.isDraining = true
-            for ((attempt, target) in move.targets) {
-                val placed = cluster.jobs[attempt.task.job]?.live?.get(attempt.task.index) ?: continue
-                if (placed.attempt == attempt) cluster.stop(placed, StopReason.DRAINED, target)
+            for ((id, target) in move.targets) {
+                val attempt = attemptOf(id) ?: continue
+                cluster.stop(attempt, StopReason.DRAINED, target)
             }
         }
         for ((kind, count) in plan.rentals) scaler.rent(kind, count)
     }
 
+    /** The attempt that the plan names, if it is still the one of its task. */
+    private fun attemptOf(id: AttemptId): TaskAttempt? =
+        cluster.jobs[id.task.job]?.attempts?.get(id.task.index)?.takeIf { it.id == id }
+
     private companion object {
         const val MAX_TASKS_PER_ROUND = 512
         const val SOON_S = 1.0
--- a/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
@@ -14,18 +14,18 @@
     private val known = HashMap<JobId, Map<Zone, Int>>()
 
     /** A new leader may know from the records of a machine that it hasn't heard and that no list shows yet. */
-    fun isKnown(job: Job): Boolean = job.live.values.all { zoneOf(it) != null }
+    fun isKnown(job: Job): Boolean = job.attempts.values.all { zoneOf(it) != null }
 
     /** What is somewhere unknown may be in any zone, so it counts in each: left out, it would break the job's rule. */
     fun of(job: Job): Map<Zone, Int> =
         known.getOrPut(job.id) {
             val use = HashMap<Zone, Int>()
-            for (placed in job.live.values) {
-                val zone = zoneOf(placed)
+            for (attempt in job.attempts.values) {
+                val zone = zoneOf(attempt)
                 if (zone != null) use.merge(zone, 1, Int::plus) else zones.forEach { use.merge(it, 1, Int::plus) }
             }
             use
         }
 
-    private fun zoneOf(placed: TaskAttempt): Zone? = cluster.machines[placed.machine]?.zone
+    private fun zoneOf(attempt: TaskAttempt): Zone? = cluster.machines[attempt.machine]?.zone
 }
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -116,7 +116,7 @@
 
     private fun commands() = cluster.commands(cluster.machines.getValue(machine), clock.now)
 
-    private val isHeld: Boolean get() = 0 in job.live
+    private val isHeld: Boolean get() = 0 in job.attempts
 
     @Test
     fun `a job that waits for others is never placed`() {
@@ -141,7 +141,7 @@
         state = DependencyState.READY
         waiting.dependencyChanged(spec.id)
         waiting.place(needyJob, 0, host)
-        assertEquals(setOf(0), needyJob.live.keys)
+        assertEquals(setOf(0), needyJob.attempts.keys)
     }
 
     @Test
@@ -191,8 +191,8 @@
             val host = here.machines.getValue(machine)
             assertEquals(case.isStarted, start in here.commands(host, clock.now), "limit of ${case.maxGpus}, at once")
             here.applyHeartbeat(report(2, tasks = listOf(other)), isHeartbeat = true)
-            assertEquals(case.isStarted, attempt in host.live, "limit of ${case.maxGpus}, settled")
-            assertTrue(other.attempt in host.live)
+            assertEquals(case.isStarted, attempt in host.attempts, "limit of ${case.maxGpus}, settled")
+            assertTrue(other.attempt in host.attempts)
         }
     }
 
@@ -344,8 +344,8 @@
         job.notWritten(job.begin("w2"), clock.now)
         take(record(write = "late"), 8)
         assertTrue(isHeld)
-        assertEquals(1, job.live.getValue(0).number)
-        assertTrue(attempt in cluster.machines.getValue(machine).live)
+        assertEquals(1, job.attempts.getValue(0).number)
+        assertTrue(attempt in cluster.machines.getValue(machine).attempts)
     }
 
     @Test
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -158,7 +158,7 @@
         flush(2)
         val job = cluster.jobs.getValue(JobId("big"))
         assertEquals(200, stored("big").placements.size)
-        assertTrue(job.live.values.all { it.committed })
+        assertTrue(job.attempts.values.all { it.committed })
         assertTrue(store.keys(Keys.PARTS).isNotEmpty())
         for (task in 0..198) {
             job.markDone(task, clock.steadyMs())
@@ -218,7 +218,7 @@
             emptySet<Int>(),
             cluster.jobs
                 .getValue(JobId("big"))
-                .live.keys,
+                .attempts.keys,
             "its placements are taken back",
         )
         val tooLarge =
@@ -253,11 +253,11 @@
         assertEquals(2, waiting.size, "the second write is on its way")
         waiting[0].answer(CommitOutcome.Applied(store.revision))
         val job = cluster.jobs.getValue(JobId("job"))
-        assertEquals(listOf(true, false), job.live.values.map { it.committed }, "what may be started")
+        assertEquals(listOf(true, false), job.attempts.values.map { it.committed }, "what may be started")
         waiting[1].answer(CommitOutcome.Refused)
         held = null
         flush(2)
         assertEquals(setOf(0, 1), stored("job").placements.keys, "what was refused is written again")
-        assertEquals(listOf(true, true), job.live.values.map { it.committed })
+        assertEquals(listOf(true, true), job.attempts.values.map { it.committed })
     }
 }
