--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -4,23 +4,17 @@
 import oxbowlug.cache.CachedJob
 import oxbowlug.cache.DependencyState
 import oxbowlug.cache.StateCache
-import oxbowlug.config.Address
 import oxbowlug.config.Team
 import oxbowlug.forecast.DemandForecast
 import oxbowlug.invariant.Invariants
 import oxbowlug.port.Clock
-import oxbowlug.port.Invariant
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.timing.Timing
-import oxbowlug.wire.AttemptId
-import oxbowlug.wire.ExitCause
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
-import oxbowlug.wire.TaskState
-import oxbowlug.wire.TaskStatus
 import oxbowlug.wire.TeamName
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
@@ -39,9 +33,11 @@
     teams: Map<TeamName, Team> = emptyMap(),
     /** What a job's predecessors mean for it, as committed. */
     private val dependencyState: (List<JobId>) -> DependencyState = { DependencyState.READY },
-    private val invariants: Invariants,
+    invariants: Invariants,
 ) {
-    private val limits = TeamQuotas(teams, timing)
+    private val quotas = TeamQuotas(teams, timing)
+    private val reconciliation = HeartbeatReconciliation(this, clock, timing, quotas, invariants)
+    private val commands = WorkerCommands(this, timing, quotas)
     val jobs = LinkedHashMap<JobId, Job>()
     val machines = LinkedHashMap<MachineId, Machine>()
 
@@ -191,225 +187,33 @@
         if (there) pendingPushes.add(attempt.machine) else remove(attempt)
     }
 
-    /** The attempt is gone, or was never there. */
-    private fun remove(attempt: TaskAttempt) {
+    /**
+     * The attempt is gone, or was never there: its task may be placed again. Only the four proofs of docs/safety.md
+     * may lead here, and so only this class and [HeartbeatReconciliation] call it.
+     */
+    fun remove(attempt: TaskAttempt) {
         val now = clock.steadyMs()
         if (attempt.target != null) attempt.job.movingUntil = now + timing.movingMs
-        if (attempt.job.attempts[attempt.task] === attempt) limits.freed(attempt.job.spec.team, attempt.job.need)
+        if (attempt.job.attempts[attempt.task] === attempt) quotas.freed(attempt.job.spec.team, attempt.job.need)
         attempt.job.drop(attempt.task, now)
         machines[attempt.machine]?.attempts?.remove(attempt.id)
         planWanted = true
     }
 
-    /** Proof 1: what the worker itself says. [isHeartbeat] is false for the answers of direct commands. */
+    /** See [HeartbeatReconciliation.apply]. */
     fun applyHeartbeat(
         report: WorkerHeartbeat,
         isHeartbeat: Boolean,
-    ): Machine? {
-        val machine = machine(report.machine) ?: return null
-        val now = clock.steadyMs()
-        val position = HeartbeatPosition(report.incarnation, report.sequence)
-        if (machine.lease.hasEnded(report.incarnation)) {
-            log.info("{} is heard in incarnation {}, which has ended", machine.id, report.incarnation)
-            return machine
-        }
-        machine.lease.onIncarnationObserved(report.incarnation, now)
-        if (isHeartbeat) {
-            // A copy of an older report renews nothing and proves nothing.
-            if (position <= machine.lastHeartbeat) return machine
-            machine.lastHeartbeat = position
-            machine.lease.renewed(now)
-        }
-        if (position <= machine.position) return machine
-        if (report.incarnation > machine.position.incarnation || report.token > machine.token) {
-            // Direct commands carry incarnation and token, so those of an earlier one can't be executed any more.
-            machine.unresolved.clear()
-        }
-        val firstHeard = machine.lastContactAt == null
-        machine.position = position
-        machine.token = report.token
-        machine.lastContactAt = now
-        machine.isLeaseExpired = false
-        machine.type = report.type
-        machine.zone = report.zone
-        machine.spot = report.spot
-        machine.endpoint = Address.parse(report.endpoint)
-        machine.noticeUntil = report.noticeS?.let { now + (it * 1000).toLong() }
-        machine.tasks = report.tasks.associateBy { it.attempt }
-        if (firstHeard) planWanted = true
-        applyTasks(machine, position, isHeartbeat, now)
-        return machine
-    }
-
-    private fun applyTasks(
-        machine: Machine,
-        position: HeartbeatPosition,
-        isHeartbeat: Boolean,
-        now: Long,
-    ) {
-        val settled = machine.isSettled(token)
-        for (attempt in machine.attempts.values.toList()) {
-            val seen = machine.tasks[attempt.id]
-            if (seen != null) {
-                attempt.answeredAt = null
-                attempt.inherited = false
-                machine.unresponsiveUntil = 0L
-                applyTaskStatus(machine, attempt, seen, now)
-                continue
-            }
-            val isAbsent = settled && attempt.inherited
-            if (settled) attempt.inherited = false
-            val answered = attempt.answeredAt
-            // One report is in flight at a time: after a newer one, an older answer is executed or dropped for good.
-            if (isHeartbeat && answered != null && position > answered) attempt.answeredAt = null
-            attempt.seen = null
-            if (machine.mayBeThere(attempt, token)) continue
-            if (!attempt.isWanted || isAbsent && limits.isOverQuota(attempt.job.spec.team, jobs.values, now)) {
-                // The former leader saw it end and gave its room away, but ended before it had stored the end.
-                remove(attempt)
-            } else if (isHeartbeat && attempt.isOverdue(now, timing.workerLeaseRawMs)) {
-                // Its reports arrive, but what we say does not: the work goes elsewhere.
-                log.info("{} does not take {}", machine.id, attempt.id)
-                machine.unresponsiveUntil = now + timing.unresponsiveMs
-                remove(attempt)
-            }
-        }
-        for (task in machine.tasks.values) {
-            if (task.attempt in machine.attempts) continue
-            adoptUnknownResult(task, now)
-            if (settled) requireOnePlace(machine, task)
-        }
-    }
-
-    /** What the account gave up, by a proof, must not turn up beside the attempt that was placed after it. */
-    private fun requireOnePlace(
-        machine: Machine,
-        task: TaskStatus,
-    ) {
-        if (task.state != TaskState.RUNNING) return
-        val attempt = jobs[task.attempt.task.job]?.attempts?.get(task.attempt.task.index) ?: return
-        if (attempt.machine == machine.id || attempt.seen != TaskState.RUNNING) return
-        val what = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
-        invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
-    }
-
-    private fun applyTaskStatus(
-        machine: Machine,
-        attempt: TaskAttempt,
-        seen: TaskStatus,
-        now: Long,
-    ) {
-        val job = attempt.job
-        if (seen.state == TaskState.RUNNING && attempt.seen != TaskState.RUNNING) {
-            attempt.seenRunningAt = now
-            machine.images.remove(job.spec.image)
-            machine.images.add(job.spec.image)
-        }
-        attempt.seen = seen.state
-        if (seen.state != TaskState.EXITED) return
-        when (seen.cause) {
-            ExitCause.DONE -> {
-                machine.images.add(job.spec.image)
-                machine.failedJobs.clear()
-                job.failures = 0
-                job.markDone(attempt.task, now)
-            }
-            ExitCause.STOPPED -> Unit
-            ExitCause.ERROR -> FailureBackoff.onError(machine, job, now, timing)
-            ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN, ExitCause.PEERS_GONE, ExitCause.ALONE,
-            ExitCause.OTHER, null,
-            -> {
-                log.info("{} was refused on {}: {}", attempt.id, machine.id, seen.cause)
-                FailureBackoff.onRefused(machine, job, now, timing)
-            }
-        }
-        remove(attempt)
-    }
+    ): Machine? = reconciliation.apply(report, isHeartbeat)
 
-    /** A result of an attempt that we had given up: it counts if its task isn't placed again. */
-    private fun adoptUnknownResult(
-        task: TaskStatus,
-        now: Long,
-    ) {
-        if (task.state != TaskState.EXITED || task.cause != ExitCause.DONE) return
-        val job = jobs[task.attempt.task.job] ?: return
-        val index = task.attempt.task.index
-        if (job.phase != Phase.ACTIVE || index >= job.spec.tasks || job.done.get(index) || index in job.attempts) return
-        job.markDone(index, now)
-        planWanted = true
-    }
-
-    /** What the machine should be told, computed afresh from what is wanted and what it last showed. */
+    /** See [WorkerCommands.of]. */
     fun commands(
         machine: Machine,
         now: Long,
-    ): List<WorkerCommand> {
-        val result = ArrayList<WorkerCommand>()
-        for (attempt in machine.attempts.values) {
-            val seen = machine.tasks[attempt.id]
-            when {
-                seen == null -> if (attempt.committed) addStart(machine, attempt, now, result)
-                seen.state == TaskState.EXITED -> Unit
-                !attempt.isWanted -> stop(attempt, seen)?.let(result::add)
-            }
-        }
-        for (task in machine.tasks.values) {
-            if (task.attempt in machine.attempts) continue
-            when {
-                task.state != TaskState.EXITED -> result.add(WorkerCommand.Stop(task.attempt, 0.0))
-                mayForget(machine, task.attempt) -> result.add(WorkerCommand.Forget(task.attempt))
-            }
-        }
-        return result
-    }
+    ): List<WorkerCommand> = commands.of(machine, now)
 
-    /** All that may be said without the right to decide: a cancelled job's tasks have to end, whoever leads. */
-    fun cancelledStops(machine: Machine): List<WorkerCommand> =
-        machine.attempts.values
-            .filter { it.job.phase == Phase.CANCELLED && it.seen != null && it.seen != TaskState.EXITED }
-            .map { WorkerCommand.Stop(it.id, 0.0) }
-
-    private fun addStart(
-        machine: Machine,
-        attempt: TaskAttempt,
-        now: Long,
-        result: ArrayList<WorkerCommand>,
-    ) {
-        if (attempt.isWanted) {
-            // Its next report will show our token, and then it is settled whether this one is still to run.
-            val waits = attempt.inherited && limits.isOverQuota(attempt.job.spec.team, jobs.values, now)
-            if (!waits) result.add(WorkerCommand.Start(attempt.id))
-            return
-        }
-        // A direct start may still be on its way, and a stop alone would be too early for it. Started and stopped
-        // at once, the attempt stays known as exited, and the late copy has no effect.
-        val cancelledAt = attempt.job.cancelledAt
-        val inTime = cancelledAt == null || now < cancelledAt + timing.cancelPatienceMs / 2
-        if (attempt.id in machine.unresolved && inTime) {
-            result.add(WorkerCommand.Start(attempt.id))
-            result.add(WorkerCommand.Stop(attempt.id, 0.0))
-        }
-    }
-
-    private fun stop(
-        attempt: TaskAttempt,
-        seen: TaskStatus,
-    ): WorkerCommand? {
-        val spec = attempt.job.spec
-        if (attempt.job.phase != Phase.ACTIVE) return WorkerCommand.Stop(attempt.id, 0.0)
-        if (seen.state == TaskState.SAVING) return null
-        return WorkerCommand.Stop(attempt.id, if (spec.savesWork) spec.saveS else 0.0)
-    }
-
-    /** Forgetting makes a repeated start effective again, so no start of the attempt may be on its way. */
-    private fun mayForget(
-        machine: Machine,
-        attempt: AttemptId,
-    ): Boolean {
-        if (attempt in machine.unresolved || attempt in machine.directInFlight) return false
-        val job = jobs[attempt.task.job] ?: return true
-        return !job.isStored(attempt)
-    }
+    /** See [WorkerCommands.cancelledStops]. */
+    fun cancelledStops(machine: Machine): List<WorkerCommand> = commands.cancelledStops(machine)
 
     /** Proof 4: the present incarnation's lease is over, and no other token can have renewed it. */
     fun expire(
@@ -475,16 +279,6 @@
         }
     }
 
-    fun fetching(machine: Machine): Set<ImageName> {
-        val result = HashSet<ImageName>()
-        for (attempt in machine.attempts.values) {
-            val image = attempt.job.spec.image
-            val hasItsImage = attempt.seen != null && attempt.seen != TaskState.FETCHING
-            if (!hasItsImage && image !in machine.images) result.add(image)
-        }
-        return result
-    }
-
     private companion object {
         val log = LoggerFactory.getLogger("fleet")
     }
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -0,0 +1,191 @@
+package oxbowlug.cluster
+
+import org.slf4j.LoggerFactory
+import oxbowlug.config.Address
+import oxbowlug.invariant.Invariants
+import oxbowlug.port.Clock
+import oxbowlug.port.Invariant
+import oxbowlug.record.Phase
+import oxbowlug.timing.Timing
+import oxbowlug.wire.ExitCause
+import oxbowlug.wire.TaskState
+import oxbowlug.wire.TaskStatus
+import oxbowlug.wire.WorkerHeartbeat
+
+/**
+ * Reconciles the leader's account of a machine with what its worker reports: proof 1 of docs/safety.md, the worker's
+ * own word that an attempt is gone.
+ */
+internal class HeartbeatReconciliation(
+    private val cluster: ClusterState,
+    private val clock: Clock,
+    private val timing: Timing,
+    private val quotas: TeamQuotas,
+    private val invariants: Invariants,
+) {
+    /**
+     * Applies one heartbeat, or the answer to a direct command if [isHeartbeat] is false: such an answer renews no
+     * lease. Returns the machine that sent it, or null if the machine was removed.
+     */
+    fun apply(
+        report: WorkerHeartbeat,
+        isHeartbeat: Boolean,
+    ): Machine? {
+        val machine = cluster.machine(report.machine) ?: return null
+        val now = clock.steadyMs()
+        val position = HeartbeatPosition(report.incarnation, report.sequence)
+        if (machine.lease.hasEnded(report.incarnation)) {
+            log.info("{} is heard in incarnation {}, which has ended", machine.id, report.incarnation)
+            return machine
+        }
+        machine.lease.onIncarnationObserved(report.incarnation, now)
+        if (isHeartbeat) {
+            // A copy of an older report renews nothing and proves nothing.
+            if (position <= machine.lastHeartbeat) return machine
+            machine.lastHeartbeat = position
+            machine.lease.renewed(now)
+        }
+        if (position <= machine.position) return machine
+        if (report.incarnation > machine.position.incarnation || report.token > machine.token) {
+            // Direct commands carry incarnation and token, so those of an earlier one can't be executed any more.
+            machine.unresolved.clear()
+        }
+        val firstHeard = machine.lastContactAt == null
+        update(machine, report, position, now)
+        if (firstHeard) cluster.planWanted = true
+        applyTasks(machine, position, isHeartbeat, now)
+        return machine
+    }
+
+    private fun update(
+        machine: Machine,
+        report: WorkerHeartbeat,
+        position: HeartbeatPosition,
+        now: Long,
+    ) {
+        machine.position = position
+        machine.token = report.token
+        machine.lastContactAt = now
+        machine.isLeaseExpired = false
+        machine.type = report.type
+        machine.zone = report.zone
+        machine.spot = report.spot
+        machine.endpoint = Address.parse(report.endpoint)
+        machine.noticeUntil = report.noticeS?.let { now + (it * 1000).toLong() }
+        machine.tasks = report.tasks.associateBy { it.attempt }
+    }
+
+    private fun applyTasks(
+        machine: Machine,
+        position: HeartbeatPosition,
+        isHeartbeat: Boolean,
+        now: Long,
+    ) {
+        val settled = machine.isSettled(cluster.token)
+        for (attempt in machine.attempts.values.toList()) {
+            val seen = machine.tasks[attempt.id]
+            if (seen != null) {
+                attempt.answeredAt = null
+                attempt.inherited = false
+                machine.unresponsiveUntil = 0L
+                applyTaskStatus(machine, attempt, seen, now)
+                continue
+            }
+            applyAbsence(machine, attempt, position, isHeartbeat, now)
+        }
+        for (task in machine.tasks.values) {
+            if (task.attempt in machine.attempts) continue
+            adoptUnknownResult(task, now)
+            if (settled) requireOnePlace(machine, task)
+        }
+    }
+
+    /** The machine's newest report doesn't name [attempt]: gone, not yet started, or its start was lost. */
+    private fun applyAbsence(
+        machine: Machine,
+        attempt: TaskAttempt,
+        position: HeartbeatPosition,
+        isHeartbeat: Boolean,
+        now: Long,
+    ) {
+        val settled = machine.isSettled(cluster.token)
+        val isAbsent = settled && attempt.inherited
+        if (settled) attempt.inherited = false
+        val answered = attempt.answeredAt
+        // One report is in flight at a time: after a newer one, an older answer is executed or dropped for good.
+        if (isHeartbeat && answered != null && position > answered) attempt.answeredAt = null
+        attempt.seen = null
+        if (machine.mayBeThere(attempt, cluster.token)) return
+        if (!attempt.isWanted || isAbsent && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)) {
+            // The former leader saw it end and gave its room away, but ended before it had stored the end.
+            cluster.remove(attempt)
+        } else if (isHeartbeat && attempt.isOverdue(now, timing.workerLeaseRawMs)) {
+            // Its reports arrive, but what we say does not: the work goes elsewhere.
+            log.info("{} does not take {}", machine.id, attempt.id)
+            machine.unresponsiveUntil = now + timing.unresponsiveMs
+            cluster.remove(attempt)
+        }
+    }
+
+    /** What the account gave up, by a proof, must not turn up beside the attempt that was placed after it. */
+    private fun requireOnePlace(
+        machine: Machine,
+        task: TaskStatus,
+    ) {
+        if (task.state != TaskState.RUNNING) return
+        val attempt = cluster.jobs[task.attempt.task.job]?.attempts?.get(task.attempt.task.index) ?: return
+        if (attempt.machine == machine.id || attempt.seen != TaskState.RUNNING) return
+        val what = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
+        invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
+    }
+
+    private fun applyTaskStatus(
+        machine: Machine,
+        attempt: TaskAttempt,
+        seen: TaskStatus,
+        now: Long,
+    ) {
+        val job = attempt.job
+        if (seen.state == TaskState.RUNNING && attempt.seen != TaskState.RUNNING) {
+            attempt.seenRunningAt = now
+            machine.images.remove(job.spec.image)
+            machine.images.add(job.spec.image)
+        }
+        attempt.seen = seen.state
+        if (seen.state != TaskState.EXITED) return
+        when (seen.cause) {
+            ExitCause.DONE -> {
+                machine.images.add(job.spec.image)
+                machine.failedJobs.clear()
+                job.failures = 0
+                job.markDone(attempt.task, now)
+            }
+            ExitCause.STOPPED -> Unit
+            ExitCause.ERROR -> FailureBackoff.onError(machine, job, now, timing)
+            ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN, ExitCause.PEERS_GONE, ExitCause.ALONE,
+            ExitCause.OTHER, null,
+            -> {
+                log.info("{} was refused on {}: {}", attempt.id, machine.id, seen.cause)
+                FailureBackoff.onRefused(machine, job, now, timing)
+            }
+        }
+        cluster.remove(attempt)
+    }
+
+    /** A result of an attempt that we had given up: it counts if its task isn't placed again. */
+    private fun adoptUnknownResult(
+        task: TaskStatus,
+        now: Long,
+    ) {
+        if (task.state != TaskState.EXITED || task.cause != ExitCause.DONE) return
+        val job = cluster.jobs[task.attempt.task.job] ?: return
+        val index = task.attempt.task.index
+        if (job.phase != Phase.ACTIVE || index >= job.spec.tasks || job.done.get(index) || index in job.attempts) return
+        job.markDone(index, now)
+        cluster.planWanted = true
+    }
+
+    private companion object {
+        val log = LoggerFactory.getLogger("fleet")
+    }
+}
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -84,4 +84,15 @@
         for (attempt in attempts.values) free -= attempt.job.need
         return free
     }
+
+    /** Images that are on their way to it: not yet usable, but not to be fetched a second time either. */
+    fun fetching(): Set<ImageName> {
+        val result = HashSet<ImageName>()
+        for (attempt in attempts.values) {
+            val image = attempt.job.spec.image
+            val hasItsImage = attempt.seen != null && attempt.seen != TaskState.FETCHING
+            if (!hasItsImage && image !in images) result.add(image)
+        }
+        return result
+    }
 }
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -213,7 +213,7 @@
             free = machine.free(type, unmanagedUsage(machine)) - (pledges[machine.id] ?: Resources.NONE),
             readyInS = readyInS,
             images = machine.images,
-            fetching = cluster.fetching(machine),
+            fetching = machine.fetching(),
             isEmpty = machine.attempts.isEmpty(),
             leaving = leaving(machine),
             tenants = lazy(LazyThreadSafetyMode.NONE) { machine.attempts.values.map { tenant(it, type, zoneUses, now) } },
