--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -100,8 +100,13 @@
                 if (present.spec.dependsOn.isEmpty()) forecast.leave(present.spec, clock.wallMs())
                 val since = cancelledAt(record, now)
                 present.cancelledAt = since
-                val left = present.attempts.size
-                log.info("{} is cancelled at {}, {} ms ago, {} attempts left", id, stored.version, now - since, left)
+                log.info(
+                    "job cancelled: job={} revision={} elapsedMs={} attempts={}",
+                    id,
+                    stored.version,
+                    now - since,
+                    present.attempts.size,
+                )
             }
             stopCancelled(present)
         }
@@ -227,7 +232,7 @@
             return false
         }
         log.info(
-            "{} is silent and its lease in incarnation {} is over, counted for {} ms, {} attempts are gone",
+            "lease expired: machine={} incarnation={} countedMs={} attempts={}",
             machine.id,
             machine.position.incarnation,
             machine.lease.countsFromMs?.let { now - it },
@@ -248,12 +253,12 @@
     /** Proofs 2 and 3: the cloud took it back, lists it as failed, or lists it no more. */
     fun removeMachine(
         id: MachineId,
-        why: String,
+        reason: String,
     ) {
         removed.add(id)
         hasOrphans = true
         val machine = machines[id] ?: return
-        log.info("{} is gone: {}, {} attempts with it", id, why, machine.attempts.size)
+        log.info("machine removed: machine={} reason={} attempts={}", id, reason, machine.attempts.size)
         for (attempt in machine.attempts.values.toList()) remove(attempt)
         machines.remove(id)
         planWanted = true
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -35,7 +35,7 @@
         val now = clock.steadyMs()
         val position = HeartbeatPosition(report.incarnation, report.sequence)
         if (machine.lease.hasEnded(report.incarnation)) {
-            log.info("{} is heard in incarnation {}, which has ended", machine.id, report.incarnation)
+            log.info("heartbeat of an ended incarnation: machine={} incarnation={}", machine.id, report.incarnation)
             return machine
         }
         machine.lease.onIncarnationObserved(report.incarnation, now)
@@ -121,7 +121,7 @@
             cluster.remove(attempt)
         } else if (isHeartbeat && attempt.isOverdue(now, timing.workerLeaseRawMs)) {
             // Its reports arrive, but what we say does not: the work goes elsewhere.
-            log.info("{} does not take {}", machine.id, attempt.id)
+            log.info("start not acted on: machine={} attempt={}", machine.id, attempt.id)
             machine.unresponsiveUntil = now + timing.unresponsiveMs
             cluster.remove(attempt)
         }
@@ -165,7 +165,7 @@
             ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN, ExitCause.PEERS_GONE, ExitCause.ALONE,
             ExitCause.OTHER, null,
             -> {
-                log.info("{} was refused on {}: {}", attempt.id, machine.id, seen.cause)
+                log.info("start refused: machine={} attempt={} reason={}", machine.id, attempt.id, seen.cause)
                 FailureBackoff.onRefused(machine, job, now, timing)
             }
         }
--- a/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
+++ b/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
@@ -60,9 +60,9 @@
     }
 
     override fun toString(): String =
-        "load: ${window.steps} steps of ${window.stepsNs / MS} ms, longest " +
-            "${window.longestStepNs / MS} ms; ${window.plans} plans of ${window.plansNs / MS} ms, longest " +
-            "${window.longestPlanNs / MS} ms; ${window.reports} reports; latest tick ${window.latestMs} ms"
+        "load: steps=${window.steps} stepsMs=${window.stepsNs / MS} longestStepMs=${window.longestStepNs / MS} " +
+            "plans=${window.plans} plansMs=${window.plansNs / MS} longestPlanMs=${window.longestPlanNs / MS} " +
+            "heartbeats=${window.reports} latestTickMs=${window.latestMs}"
 
     private companion object {
         const val MS = 1_000_000
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -208,17 +208,22 @@
         val plan = Planner(snapshot).plan()
         if (log.isDebugEnabled) log.debug("{}", PlanSummary(plan, snapshot))
         planning.apply(plan)
-        val tookNs = clock.nanoTime() - began
-        load.planned(tookNs, plan.priced)
+        val elapsedNs = clock.nanoTime() - began
+        load.planned(elapsedNs, plan.priced)
         if (plan.starts.isNotEmpty() || plan.stops.isNotEmpty()) {
-            val count = "${plan.starts.size} starts, ${plan.stops.size} stops"
-            log.info("planned {} in {} ms: {}", count, tookNs / NS_PER_MS, decisions.describe())
+            log.info(
+                "plan applied: starts={} stops={} elapsedMs={} {}",
+                plan.starts.size,
+                plan.stops.size,
+                elapsedNs / NS_PER_MS,
+                decisions.describe(),
+            )
         }
         if (mayMove) nextMoveAt = now + timing.movePauseMs(plan.move?.jobs ?: 0)
         reserved = plan.reserved
         unplaced = plan.unplaced
         // On a large fleet plans take long: they may take a part of the time only, or nobody else is answered.
-        nextPlanAt = now + maxOf(timing.planGapMs, tookNs / NS_PER_MS * PLAN_RESTS)
+        nextPlanAt = now + maxOf(timing.planGapMs, elapsedNs / NS_PER_MS * PLAN_RESTS)
         val soon = plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.holdUntil }
         nextRoundAt = now + if (soon) timing.replanSoonMs else (settings.policy.replanS * 1000).toLong()
     }
@@ -403,16 +408,16 @@
 ) {
     override fun toString(): String =
         buildString {
-            append("plan: ${plan.starts.size} starts, ${plan.stops.size} stops, ${plan.rentals.values.sum()} rentals, ")
-            append("${plan.unplaced} unplaced, ${plan.reserved.size} reserved; free")
-            for ((kind, machines) in snapshot.machines.groupBy { "${it.type.name}${if (it.spot) " spot" else ""}" }) {
+            append("plan: starts=${plan.starts.size} stops=${plan.stops.size} rentals=${plan.rentals.values.sum()} ")
+            append("unplaced=${plan.unplaced} reserved=${plan.reserved.size}")
+            for ((kind, machines) in snapshot.machines.groupBy { "${it.type.name}${if (it.spot) "/spot" else ""}" }) {
                 val gpus = machines.filter { it.isReady }.sumOf { it.free.gpus }
                 val cores = machines.filter { it.isReady }.sumOf { it.free.cores }
-                append(" $kind x${machines.size}: $gpus GPUs, $cores cores;")
+                append(" free=$kind:machines:${machines.size}:gpus:$gpus:cores:$cores")
             }
-            append(" waiting:")
             for (job in snapshot.jobs) {
-                if (!job.isReserve) append(" ${job.spec.className}(${job.pending.size}, ${job.waitedS.toInt()} s)")
+                if (job.isReserve) continue
+                append(" waiting=${job.spec.className}:tasks:${job.pending.size}:waitedS:${job.waitedS.toInt()}")
             }
         }
 }
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -92,7 +92,7 @@
             when (outcome) {
                 is RentalOutcome.Rented -> {
                     pendingOrders.remove(order)
-                    log.info("rented {} of {} {}", outcome.machines.size, request.count, kind)
+                    log.info("rented: machines={} requested={} kind={}", outcome.machines.size, request.count, kind)
                     for (id in outcome.machines) {
                         val machine = cluster.machine(id) ?: continue
                         machine.type = request.type
@@ -124,7 +124,7 @@
         state.count++
         state.lastAt = now
         state.until = now + (timing.refusalBaseMs shl minOf(state.count - 1, MAX_DOUBLINGS))
-        log.info("no more capacity for {}, not asked for {} ms", kind, state.until - now)
+        log.info("capacity refused: kind={} retryAfterMs={}", kind, state.until - now)
     }
 
     /** A kind that refused of late costs more, less so as time goes by, and isn't asked at all for a while. */
@@ -145,17 +145,17 @@
 
     fun scheduleRelease(
         machine: Machine,
-        why: String,
+        reason: String,
     ) {
         if (machine.isReleasing) return
         machine.isReleasing = true
-        log.info("returning {}: {}", machine.id, why)
+        log.info("release scheduled: machine={} reason={}", machine.id, reason)
         toRelease.add(machine.id)
     }
 
     private fun returnMachines() {
         val batch = toRelease.take(CloudCodec.MAX_RETURNED)
-        log.info("asking for the return of {}: {}", batch, decisions.describe())
+        log.info("release requested: machines={} {}", batch, decisions.describe())
         isReleasing = true
         cloud.returnMachines(batch) { ok ->
             isReleasing = false
