--- /dev/null
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -0,0 +1,76 @@
+package oxbowlug.leader
+
+import oxbowlug.cluster.ClusterState
+import oxbowlug.cluster.Machine
+import oxbowlug.invariant.DecisionContext
+import oxbowlug.port.Clock
+import oxbowlug.port.DirectOutcome
+import oxbowlug.port.WorkerPort
+import oxbowlug.timing.Timing
+import oxbowlug.wire.WorkerCommand
+
+/**
+ * Sends commands to workers at once where waiting for their next heartbeat would cost time. At most one call a machine
+ * is in flight. What isn't sent here goes out in the answer to a heartbeat.
+ */
+internal class DirectCommands(
+    private val cluster: ClusterState,
+    private val workers: WorkerPort,
+    private val clock: Clock,
+    private val timing: Timing,
+    private val decisions: DecisionContext,
+    private val checks: CommandChecks,
+) {
+    /** Sends what [ClusterState.pendingPushes] asks for. */
+    fun flush(now: Long) {
+        if (cluster.pendingPushes.isEmpty()) return
+        for (id in cluster.pendingPushes.toList()) {
+            val machine = cluster.machines[id]
+            if (machine == null || commandDirectly(machine, now)) cluster.pendingPushes.remove(id)
+        }
+    }
+
+    /** True once nothing is left to be said directly. */
+    private fun commandDirectly(
+        machine: Machine,
+        now: Long,
+    ): Boolean {
+        val endpoint = machine.endpoint ?: return true
+        val lastContactAt = machine.lastContactAt ?: return true
+        if (!machine.isSettled(cluster.token) ||
+            now - lastContactAt > timing.quietMs ||
+            now < machine.directNotBefore
+        ) {
+            return true
+        }
+        if (machine.directBusy) return false
+        val commands =
+            if (decisions.mayLead) checks.storedOnly(machine, cluster.commands(machine, now)) else cluster.cancelledStops(machine)
+        if (commands.all { it is WorkerCommand.Forget }) return true
+        machine.directBusy = true
+        machine.directInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
+        for (attempt in machine.directInFlight) machine.attempts[attempt]?.sentDirectly(now)
+        workers.command(endpoint, cluster.token, machine.position.incarnation, commands) { outcome ->
+            onOutcome(machine, outcome)
+        }
+        return true
+    }
+
+    private fun onOutcome(
+        machine: Machine,
+        outcome: DirectOutcome,
+    ) {
+        val starts = machine.directInFlight
+        machine.directBusy = false
+        machine.directInFlight = emptyList()
+        when (outcome) {
+            is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.report, isHeartbeat = false)
+            DirectOutcome.NotSent -> machine.directNotBefore = clock.steadyMs() + timing.quietMs
+            DirectOutcome.Unanswered -> {
+                // It may be executed minutes later; from here on the answers to reports carry the commands.
+                machine.unresolved.addAll(starts)
+                machine.directNotBefore = clock.steadyMs() + timing.workerLeaseRawMs
+            }
+        }
+    }
+}
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -1,28 +1,16 @@
 package oxbowlug.leader
 
-import org.slf4j.LoggerFactory
 import oxbowlug.cache.StateCache
-import oxbowlug.cache.cancelledWork
 import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.HeartbeatPosition
-import oxbowlug.cluster.Machine
-import oxbowlug.cluster.StopReason
-import oxbowlug.cluster.ZoneLiveness
 import oxbowlug.commit.JobRecordWriter
 import oxbowlug.config.Settings
 import oxbowlug.forecast.DemandForecast
 import oxbowlug.invariant.Invariants
 import oxbowlug.lease.LeaseRenewalDelegates
 import oxbowlug.lease.WorkerLeaseRenewals
-import oxbowlug.lease.notAmong
-import oxbowlug.plan.Plan
-import oxbowlug.plan.Planner
-import oxbowlug.plan.Pricing
-import oxbowlug.plan.Snapshot
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
-import oxbowlug.port.DirectOutcome
-import oxbowlug.port.Invariant
 import oxbowlug.port.StatePort
 import oxbowlug.port.WorkerPort
 import oxbowlug.record.LeadershipRecord
@@ -34,9 +22,7 @@
 import oxbowlug.timing.TokenBucket
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.MachineId
-import oxbowlug.wire.MachineState
 import oxbowlug.wire.MachineType
-import oxbowlug.wire.TaskState
 import oxbowlug.wire.TypeName
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
@@ -49,14 +35,14 @@
     private val settings: Settings,
     state: StatePort,
     cloud: CloudPort,
-    private val workers: WorkerPort,
+    workers: WorkerPort,
     private val clock: Clock,
     private val timing: Timing,
     private val cache: StateCache,
-    private val invariants: Invariants,
+    invariants: Invariants,
     writeBudget: TokenBucket,
     cloudBudget: TokenBucket,
-    private val load: ControllerLoad,
+    load: ControllerLoad,
     rememberedImages: Map<MachineId, List<ImageName>>,
     mayBeAnswered: () -> Boolean,
 ) {
@@ -77,7 +63,12 @@
     private val commits =
         JobRecordWriter(leadership, requestIds, settings, state, clock, timing, writeBudget, cache, cluster, decisions)
     private val scaler = MachineScaler(requestIds, settings, cloud, clock, timing, cloudBudget, cluster, decisions)
-    private val planning = SchedulingRound(settings, clock, timing, cluster, scaler, startedAt) { cache.writableFormat }
+    private val round = SchedulingRound(settings, clock, timing, cluster, scaler, startedAt) { cache.writableFormat }
+    private val planning = PlanningLoop(cluster, round, settings, clock, timing, load, decisions, startedAt)
+    private val supervisor =
+        MachineSupervisor(cluster, delegates, scaler, round, settings, timing, decisions, startedAt)
+    private val checks = CommandChecks(cache, invariants)
+    private val directCommands = DirectCommands(cluster, workers, clock, timing, decisions, checks)
     private val tokenPropagation =
         FencingTokenPropagation(
             cluster,
@@ -87,15 +78,10 @@
             settings.limits.maxSockets / SPREAD_SHARE,
             mayBeAnswered,
         )
-    private var nextPlanAt = 0L
-    private var nextRoundAt = 0L
-    private var nextMoveAt = startedAt + (settings.policy.replanS * 1000).toLong()
-    private var reserved: Set<MachineId> = emptySet()
-    private var unplaced = 0
 
     val isDeposed: Boolean get() = commits.isDeposed
     val commitBacklog: Int get() = commits.backlog
-    val waitingTasks: Int get() = unplaced
+    val waitingTasks: Int get() = planning.waitingTasks
 
     init {
         cache.forEachActive { id, stored -> stored.value?.let { cluster.applyJob(id, stored, it) } }
@@ -150,8 +136,8 @@
         val position = HeartbeatPosition(report.incarnation, report.sequence)
         // The answer to a copy goes nowhere; it must not look as if the worker had been told.
         if (position < machine.lastHeartbeat) return emptyList()
-        val commands = storedOnly(machine, cluster.commands(machine, clock.steadyMs()))
-        if (position == machine.position) requireStops(report, commands)
+        val commands = checks.storedOnly(machine, cluster.commands(machine, clock.steadyMs()))
+        if (position == machine.position) checks.requireStops(report, commands)
         for (command in commands) {
             if (command is WorkerCommand.Start) machine.attempts[command.attempt]?.sentInAnswer(position, clock.steadyMs())
         }
@@ -161,14 +147,12 @@
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
         delegates.tick(now)
-        val heartbeats = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
-        val hasRoom by lazy(LazyThreadSafetyMode.NONE) { planning.hasRoomFor(heartbeats.suspects, types) }
-        for (machine in cluster.machines.values.toList()) watchOver(machine, now, types, heartbeats) { hasRoom }
+        supervisor.tick(types, planning.reserved, now)
         cluster.removeOrphans()
         divideWhenDue(now)
         tokenPropagation.tick(now)
         scaler.tick(types)
-        if (types.isNotEmpty() && (now >= nextRoundAt || (cluster.planWanted && now >= nextPlanAt))) plan(types, now)
+        planning.tick(types, now)
         flush()
         cluster.forgetFinished(cache)
     }
@@ -179,8 +163,7 @@
      */
     fun endCancelledWork() {
         val now = clock.steadyMs()
-        val heartbeats = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
-        for (machine in cluster.machines.values.toList()) endCancelled(machine, now, heartbeats)
+        supervisor.endCancelledWork(now)
         cluster.removeOrphans()
         scaler.releaseDue()
         flush()
@@ -189,235 +172,13 @@
     /** Sends what the last batch changed; without the right to decide, only that cancelled work is to end. */
     fun flush() {
         if (decisions.mayLead) commits.flush()
-        val now = clock.steadyMs()
-        if (cluster.pendingPushes.isEmpty()) return
-        for (id in cluster.pendingPushes.toList()) {
-            val machine = cluster.machines[id]
-            if (machine == null || commandDirectly(machine, now)) cluster.pendingPushes.remove(id)
-        }
-    }
-
-    private fun plan(
-        types: Map<TypeName, MachineType>,
-        now: Long,
-    ) {
-        cluster.planWanted = false
-        val began = clock.nanoTime()
-        val mayMove = now >= nextMoveAt
-        val snapshot = planning.snapshot(types, mayMove)
-        val plan = Planner(snapshot).plan()
-        if (log.isDebugEnabled) log.debug("{}", PlanSummary(plan, snapshot))
-        planning.apply(plan)
-        val elapsedNs = clock.nanoTime() - began
-        load.planned(elapsedNs, plan.priced)
-        if (plan.starts.isNotEmpty() || plan.stops.isNotEmpty()) {
-            log.info(
-                "plan applied: starts={} stops={} elapsedMs={} {}",
-                plan.starts.size,
-                plan.stops.size,
-                elapsedNs / NS_PER_MS,
-                decisions.describe(),
-            )
-        }
-        if (mayMove) nextMoveAt = now + timing.movePauseMs(plan.move?.jobs ?: 0)
-        reserved = plan.reserved
-        unplaced = plan.unplaced
-        // On a large fleet plans take long: they may take a part of the time only, or nobody else is answered.
-        nextPlanAt = now + maxOf(timing.planGapMs, elapsedNs / NS_PER_MS * PLAN_RESTS)
-        val soon = plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.holdUntil }
-        nextRoundAt = now + if (soon) timing.replanSoonMs else (settings.policy.replanS * 1000).toLong()
-    }
-
-    private fun watchOver(
-        machine: Machine,
-        now: Long,
-        types: Map<TypeName, MachineType>,
-        heartbeats: ZoneLiveness,
-        hasRoom: () -> Boolean,
-    ) {
-        endCancelled(machine, now, heartbeats)
-        drain(machine, now)
-        if (machine.isReleasing) return
-        // Where no other can be had, a machine that may go on is worth more than the rent of its silence.
-        val patience = if (scaler.isScarce(machine, now)) SCARCE_PATIENCE else 1
-        val silentMs = (settings.policy.silentLeases * timing.workerLeaseRawMs).toLong() * patience
-        val lastHeard = machine.lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
-        val expected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
-        if (expected && now - lastHeard > silentMs && heartbeats.isMajorityAlive(machine.zone)) {
-            scaler.scheduleRelease(machine, "silent")
-        }
-        if (isWorthGivingUp(machine, now, types) &&
-            !heartbeats.isCut(machine.zone) &&
-            (!scaler.isScarce(machine, now) || hasRoom())
-        ) {
-            scaler.scheduleRelease(machine, "silent, and its work is worth more")
-        }
-        if (machine.isQuarantined && machine.attempts.isEmpty()) scaler.scheduleRelease(machine, "fails its tasks")
-        returnIdle(machine, now, types)
-    }
-
-    /**
-     * A silent machine's replicas can go elsewhere once its lease is over, or at once if it is given back. That costs
-     * another machine's boot, so it must save more than that. When a zone is cut off nothing is given back, and where
-     * no other machine can be had, there must be room enough without it.
-     */
-    private fun isWorthGivingUp(
-        machine: Machine,
-        now: Long,
-        types: Map<TypeName, MachineType>,
-    ): Boolean {
-        if (!isSuspect(machine, now) || machine.isLeaseExpired) return false
-        val countsFrom = machine.lease.countsFromMs ?: return false
-        val type = types[machine.type] ?: return false
-        val leftS = (timing.workerExpiryMs - (now - countsFrom)) / 1000.0
-        return Pricing.isWorthGivingUp(planning.replicaWeight(machine), leftS, type, machine.spot, types.values)
-    }
-
-    private fun isSuspect(
-        machine: Machine,
-        now: Long,
-    ): Boolean = machine.lastContactAt?.let { now - it > timing.suspectMs } ?: false
-
-    /** Tasks that can save are stopped just in time for it; others run on until the cloud takes the machine. */
-    private fun drain(
-        machine: Machine,
-        now: Long,
-    ) {
-        val until = machine.noticeUntil ?: return
-        for (attempt in machine.attempts.values.toList()) {
-            val spec = attempt.job.spec
-            if (!spec.savesWork || attempt.stopReason != null) continue
-            if (until - now < spec.saveS * 1000 + timing.drainMarginMs) cluster.stop(attempt, StopReason.DRAINED)
-        }
-    }
-
-    private fun endCancelled(
-        machine: Machine,
-        now: Long,
-        heartbeats: ZoneLiveness,
-    ) {
-        // One that only renews may have been succeeded, and its successor may have renewed this lease.
-        val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
-        if (mayBeOver) cluster.expire(machine, now)
-        val patienceMs = if (heartbeats.isCut(machine.zone)) timing.cancelPatienceCutMs else timing.cancelPatienceMs
-        for (attempt in machine.attempts.values) {
-            val cancelledAt = attempt.job.cancelledAt ?: continue
-            // A cancelled task that we can't see ended in time is ended with its machine.
-            if (now > cancelledAt + patienceMs) scaler.scheduleRelease(machine, "holds cancelled work")
-        }
-    }
-
-    private fun returnIdle(
-        machine: Machine,
-        now: Long,
-        types: Map<TypeName, MachineType>,
-    ) {
-        val busy =
-            machine.attempts.isNotEmpty() ||
-                machine.id in reserved ||
-                machine.lastContactAt == null ||
-                machine.tasks.values.any { it.state != TaskState.EXITED }
-        if (busy) {
-            machine.idleSince = null
-            return
-        }
-        val since = machine.idleSince
-        if (since == null) {
-            machine.idleSince = now
-            return
-        }
-        val bootMs = (types[machine.type]?.bootS ?: return) * 1000.0
-        if (machine.isDraining || now - since > settings.policy.idleBoots * bootMs) scaler.scheduleRelease(machine, "idle")
-    }
-
-    /** The account and the copy have to agree on what is cancelled, or one of them lacks it. */
-    private fun requireStops(
-        report: WorkerHeartbeat,
-        commands: List<WorkerCommand>,
-    ) {
-        val missing = cache.cancelledWork(report).notAmong(commands)
-        if (missing.isEmpty()) return
-        invariants.violated(Invariant.CANCELLED_WORK_IS_STOPPED, "${missing.map { it.attempt }} on ${report.machine}")
-    }
-
-    /** All starts pass here on their way out. */
-    private fun storedOnly(
-        machine: Machine,
-        commands: List<WorkerCommand>,
-    ): List<WorkerCommand> {
-        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.committed != true }
-        if (unstored.isEmpty()) return commands
-        invariants.violated(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
-        return commands - unstored.toSet()
-    }
-
-    /** True once nothing is left to be said directly. */
-    private fun commandDirectly(
-        machine: Machine,
-        now: Long,
-    ): Boolean {
-        val endpoint = machine.endpoint ?: return true
-        val lastContactAt = machine.lastContactAt ?: return true
-        if (!machine.isSettled(cluster.token) ||
-            now - lastContactAt > timing.quietMs ||
-            now < machine.directNotBefore
-        ) {
-            return true
-        }
-        if (machine.directBusy) return false
-        val commands =
-            if (decisions.mayLead) storedOnly(machine, cluster.commands(machine, now)) else cluster.cancelledStops(machine)
-        if (commands.all { it is WorkerCommand.Forget }) return true
-        machine.directBusy = true
-        machine.directInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
-        for (attempt in machine.directInFlight) machine.attempts[attempt]?.sentDirectly(now)
-        workers.command(endpoint, cluster.token, machine.position.incarnation, commands) { outcome ->
-            val starts = machine.directInFlight
-            machine.directBusy = false
-            machine.directInFlight = emptyList()
-            when (outcome) {
-                is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.report, isHeartbeat = false)
-                DirectOutcome.NotSent -> machine.directNotBefore = clock.steadyMs() + timing.quietMs
-                DirectOutcome.Unanswered -> {
-                    // It may be executed minutes later; from here on the answers to reports carry the commands.
-                    machine.unresolved.addAll(starts)
-                    machine.directNotBefore = clock.steadyMs() + timing.workerLeaseRawMs
-                }
-            }
-        }
-        return true
+        directCommands.flush(clock.steadyMs())
     }
 
     private companion object {
-        /** A plan is followed by a pause of this many times its length less one. */
-        const val PLAN_RESTS = 5
         const val BYTES_PER_KB = 1024
-        const val NS_PER_MS = 1_000_000
-        const val SCARCE_PATIENCE = 3
 
         /** Machines that can't be reached hold a socket each until the call is given up. */
         const val SPREAD_SHARE = 16
-        val log = LoggerFactory.getLogger("leader")
     }
 }
-
-/** A plan in one line, for whoever wants to know why work waits. */
-private class PlanSummary(
-    private val plan: Plan,
-    private val snapshot: Snapshot,
-) {
-    override fun toString(): String =
-        buildString {
-            append("plan: starts=${plan.starts.size} stops=${plan.stops.size} rentals=${plan.rentals.values.sum()} ")
-            append("unplaced=${plan.unplaced} reserved=${plan.reserved.size}")
-            for ((kind, machines) in snapshot.machines.groupBy { "${it.type.name}${if (it.spot) "/spot" else ""}" }) {
-                val gpus = machines.filter { it.isReady }.sumOf { it.free.gpus }
-                val cores = machines.filter { it.isReady }.sumOf { it.free.cores }
-                append(" free=$kind:machines:${machines.size}:gpus:$gpus:cores:$cores")
-            }
-            for (job in snapshot.jobs) {
-                if (job.isReserve) continue
-                append(" waiting=${job.spec.className}:tasks:${job.pending.size}:waitedS:${job.waitedS.toInt()}")
-            }
-        }
-}
