--- /dev/null
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -0,0 +1,149 @@
+package oxbowlug.scheduling
+
+import oxbowlug.cluster.ClusterState
+import oxbowlug.cluster.Machine
+import oxbowlug.cluster.TaskAttempt
+import oxbowlug.plan.PlanMachine
+import oxbowlug.plan.Tenant
+import oxbowlug.resource.Resources
+import oxbowlug.resource.fetchS
+import oxbowlug.scaling.PendingOrder
+import oxbowlug.timing.Timing
+import oxbowlug.wire.MachineId
+import oxbowlug.wire.MachineState
+import oxbowlug.wire.MachineType
+import oxbowlug.wire.Priority
+import oxbowlug.wire.TaskState
+import oxbowlug.wire.TypeName
+
+/** The machines of a snapshot with their free room: those that are there, and those that are ordered. */
+internal class AvailableMachines(
+    private val cluster: ClusterState,
+    private val timing: Timing,
+    private val weights: ClassWeights,
+    private val startedAt: Long,
+) {
+    /** [machine] as the planner sees it, or null if nothing may be placed there. */
+    fun of(
+        machine: Machine,
+        types: Map<TypeName, MachineType>,
+        zoneUses: ZoneUses,
+        pledges: Map<MachineId, Resources>,
+        now: Long,
+    ): PlanMachine? {
+        val type = types[machine.type ?: return null] ?: return null
+        val zone = machine.zone ?: return null
+        val isUnfit =
+            machine.isReleasing ||
+                machine.isDraining ||
+                machine.isQuarantined ||
+                now < machine.unresponsiveUntil ||
+                machine.isLeaseExpired
+        if (isUnfit || machine.noticeUntil != null) return null
+        val readyInS = readyInS(machine, type, now) ?: return null
+        return PlanMachine(
+            id = machine.id,
+            type = type,
+            zone = zone,
+            spot = machine.spot,
+            free = machine.free(type, unmanagedUsage(machine)) - (pledges[machine.id] ?: Resources.NONE),
+            readyInS = readyInS,
+            images = machine.images,
+            fetching = machine.fetching(),
+            isEmpty = machine.attempts.isEmpty(),
+            leaving = leaving(machine),
+            tenants = lazy(LazyThreadSafetyMode.NONE) { machine.attempts.values.map { tenant(it, type, zoneUses, now) } },
+            leastUrgent = leastUrgent(machine),
+        )
+    }
+
+    /** Zero for a machine that can be given work, null for one that can't be counted on. */
+    private fun readyInS(
+        machine: Machine,
+        type: MachineType,
+        now: Long,
+    ): Double? {
+        val lastContactAt = machine.lastContactAt
+        if (lastContactAt != null) {
+            if (now - lastContactAt > timing.quietMs) return null
+            return if (machine.token == cluster.token) 0.0 else SOON_S
+        }
+        if (machine.listed == MachineState.RUNNING) {
+            return if (now - maxOf(startedAt, machine.firstSeenAt) < timing.workerLeaseRawMs) SOON_S else null
+        }
+        return maxOf(SOON_S, type.bootS - (now - machine.rentedAt) / 1000.0)
+    }
+
+    /** Tasks that the worker shows but that aren't ours any more hold their room until they have exited. */
+    fun unmanagedUsage(machine: Machine): Resources {
+        var sum = Resources.NONE
+        for (task in machine.tasks.values) {
+            if (task.state == TaskState.EXITED || task.attempt in machine.attempts) continue
+            cluster.jobs[task.attempt.task.job]?.let { sum += it.need }
+        }
+        return sum
+    }
+
+    /** Room for tasks that are being stopped to go there: taken by others, it would leave them without a place. */
+    fun pledges(): Map<MachineId, Resources> {
+        val result = HashMap<MachineId, Resources>()
+        for (job in cluster.jobs.values) {
+            for (attempt in job.attempts.values) {
+                val target = attempt.target ?: continue
+                if (attempt.stopReason != null) result.merge(target, job.need, Resources::plus)
+            }
+        }
+        return result
+    }
+
+    private fun leaving(machine: Machine): Resources {
+        var sum = Resources.NONE
+        for (attempt in machine.attempts.values) if (!attempt.isWanted) sum += attempt.job.need
+        return sum
+    }
+
+    private fun leastUrgent(machine: Machine): Priority? {
+        var least: Priority? = null
+        for (attempt in machine.attempts.values) {
+            val priority = attempt.job.priority
+            if (attempt.isWanted && (least == null || priority > least)) least = priority
+        }
+        return least
+    }
+
+    private fun tenant(
+        attempt: TaskAttempt,
+        type: MachineType,
+        zoneUses: ZoneUses,
+        now: Long,
+    ): Tenant {
+        val spec = attempt.job.spec
+        val ranS = if (attempt.seen == TaskState.RUNNING) (now - attempt.seenRunningAt) / 1000.0 else 0.0
+        return Tenant(
+            attempt = attempt.id,
+            spec = spec,
+            zoneUse = zoneUses.of(attempt.job),
+            ranS = ranS,
+            fetchS = type.fetchS(spec),
+            weight = weights.of(spec.className),
+            stopping = !attempt.isWanted,
+            priority = attempt.job.priority,
+        )
+    }
+
+    /** The machines of an order whose answer is awaited. */
+    fun ordered(
+        order: PendingOrder,
+        types: Map<TypeName, MachineType>,
+        now: Long,
+    ): List<PlanMachine> {
+        val request = order.request
+        val type = types[request.type] ?: return emptyList()
+        val readyInS = maxOf(SOON_S, type.bootS - (now - order.orderedAt) / 1000.0)
+        return List(request.count) { PlanMachine.pendingOrders(type, request.zone, request.spot, readyInS) }
+    }
+
+    private companion object {
+        const val SOON_S = 1.0
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
@@ -0,0 +1,76 @@
+package oxbowlug.scheduling
+
+import oxbowlug.cluster.ClusterState
+import oxbowlug.cluster.Job
+import oxbowlug.plan.PlanJob
+import oxbowlug.port.Clock
+import oxbowlug.record.Phase
+import oxbowlug.wire.JobId
+import oxbowlug.wire.JobKind
+import oxbowlug.wire.MachineType
+import oxbowlug.wire.TypeName
+
+/** The jobs of a snapshot: what waits for machines, and what is expected to come. */
+internal class PendingJobs(
+    private val cluster: ClusterState,
+    private val clock: Clock,
+    private val weights: ClassWeights,
+    private val recordRoom: RecordRoom,
+) {
+    /** [job] as the planner sees it, or null if none of its tasks may be placed now. */
+    fun of(
+        job: Job,
+        zoneUses: ZoneUses,
+        now: Long,
+    ): PlanJob? {
+        if (job.phase != Phase.ACTIVE || now < job.holdUntil) return null
+        val readyMs = job.readyMs ?: return null
+        // A gang starts again only as a whole: what is left of it ends by itself when its mates are gone.
+        if (job.spec.kind == JobKind.GANG && job.attempts.isNotEmpty()) return null
+        if (job.spec.oneZone && !zoneUses.isKnown(job)) return null
+        val pending = job.pendingTasks(minOf(MAX_TASKS_PER_ROUND, recordRoom.forTasks(job)))
+        if (pending.isEmpty()) return null
+        job.avoid.values.removeIf { it <= now }
+        val nowMs = clock.wallMs()
+        val waitedS = (nowMs - readyMs) / 1000.0
+        return PlanJob(
+            id = job.id,
+            spec = job.spec,
+            pending = pending,
+            zoneUse = zoneUses.of(job),
+            waitedS = waitedS,
+            estimateS = if (job.spec.kind == JobKind.SERVICE) 0.0 else job.spec.estimateS,
+            deadlineInS = job.latestEndMs?.let { (it - nowMs) / 1000.0 },
+            weight = weights.of(job.spec.className),
+            avoid = job.avoid.keys,
+            isMoving = now < job.movingUntil,
+            priority = job.priority,
+        )
+    }
+
+    /** Room for what is expected to come while a machine boots, as one job a class. */
+    fun reserves(types: Map<TypeName, MachineType>): List<PlanJob> {
+        val expected =
+            cluster.forecast.expected(clock.wallMs()) { spec ->
+                types.values.filter { spec.types == null || it.name in spec.types }.minOfOrNull { it.bootS } ?: 0.0
+            }
+        return expected.map { (example, count) ->
+            PlanJob(
+                id = JobId("reserve-${example.className}"),
+                spec = example.copy(tasks = count * 2, zone = null, oneZone = false),
+                pending = IntArray(count) { it },
+                zoneUse = emptyMap(),
+                waitedS = 0.0,
+                estimateS = 0.0,
+                deadlineInS = null,
+                weight = weights.of(example.className),
+                avoid = emptySet(),
+                isReserve = true,
+            )
+        }
+    }
+
+    private companion object {
+        const val MAX_TASKS_PER_ROUND = 512
+    }
+}
