--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -20,8 +20,9 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /**
- * Jobs and machines as their leader knows them, kept in step. An attempt leaves the account only by one of the
- * proofs in docs/safety.md; silence, a refused connection or a young list prove nothing.
+ * Jobs and machines as their leader knows them, kept in step. This class is the only owner of that state;
+ * [HeartbeatReconciliation] and [WorkerCommands] work on it. An attempt is removed only by one of the proofs in
+ * docs/safety.md; silence, a refused connection or a recent list of machines prove nothing.
  */
 internal class ClusterState(
     val token: FencingToken,
@@ -41,16 +42,16 @@
     val jobs = LinkedHashMap<JobId, Job>()
     val machines = LinkedHashMap<MachineId, Machine>()
 
-    /** Returned, failed or vanished: late messages of theirs are not believed any more. */
+    /** Released, failed or no longer listed: late messages of theirs are not believed any more. */
     private val removed = HashSet<MachineId>()
 
-    /** Something changed that a new plan could use. */
+    /** Something changed that a new plan could use; cleared by whoever plans. */
     var planWanted = true
 
-    /** Machines whose commands changed and that should hear of it directly. */
+    /** Machines whose commands changed and that should be sent them directly, before their next heartbeat. */
     val pendingPushes = LinkedHashSet<MachineId>()
 
-    /** Jobs that differ from what is stored: looked for among all jobs, they would cost a scan for every report. */
+    /** Jobs that differ from what is stored: looked for among all jobs, they would cost a scan for every heartbeat. */
     val dirty = LinkedHashSet<Job>()
 
     /** An attempt may be held on a machine that is gone. */
@@ -58,6 +59,7 @@
 
     fun isRemoved(id: MachineId): Boolean = id in removed
 
+    /** The machine, created at its first mention; null if it was removed. */
     fun machine(id: MachineId): Machine? {
         if (id in removed) return null
         return machines.getOrPut(id) {
@@ -65,6 +67,7 @@
         }
     }
 
+    /** Applies a stored job record: a new job, or a write of another controller. Older versions have no effect. */
     fun applyJob(
         id: JobId,
         stored: CachedJob,
@@ -81,8 +84,8 @@
             // Jobs that wait for others are known to come; they aren't guessed at.
             if (job.spec.dependsOn.isEmpty()) forecast.add(job.spec, job.submittedMs)
             job.restoreAttempts(record)
-            attachAll(job)
-            followPredecessors(job, now)
+            attachAttempts(job)
+            applyDependencyState(job, now)
             planWanted = true
             return
         }
@@ -90,10 +93,10 @@
         val old = present.attempts.values.toList()
         val wasActive = present.phase == Phase.ACTIVE
         val record = JobRecord.decode(value)
-        if (present.foreignWrite(record, stored.version, now)) {
+        if (present.applyForeignWrite(record, stored.version, now)) {
             hasOrphans = true
             for (attempt in old) machines[attempt.machine]?.attempts?.remove(attempt.id)
-            attachAll(present)
+            attachAttempts(present)
         }
         if (present.phase == Phase.CANCELLED) {
             if (wasActive) {
@@ -108,18 +111,18 @@
                     present.attempts.size,
                 )
             }
-            stopCancelled(present)
+            stopCancelledAttempts(present)
         }
         planWanted = true
     }
 
     /** A predecessor is done or cancelled. */
-    fun dependencyChanged(id: JobId) {
-        jobs[id]?.let { followPredecessors(it, clock.steadyMs()) }
+    fun onDependencyChanged(id: JobId) {
+        jobs[id]?.let { applyDependencyState(it, clock.steadyMs()) }
         planWanted = true
     }
 
-    private fun followPredecessors(
+    private fun applyDependencyState(
         job: Job,
         now: Long,
     ) {
@@ -140,14 +143,14 @@
         return now - ageMs.coerceIn(0, timing.cancelMs)
     }
 
-    private fun attachAll(job: Job) {
+    private fun attachAttempts(job: Job) {
         for (attempt in job.attempts.values.toList()) {
             val machine = machine(attempt.machine)
             if (machine == null) remove(attempt) else machine.attempts[attempt.id] = attempt
         }
     }
 
-    private fun stopCancelled(job: Job) {
+    private fun stopCancelledAttempts(job: Job) {
         for (attempt in job.attempts.values.toList()) {
             val machine = machines[attempt.machine]
             removeOrPush(machine, attempt)
@@ -161,6 +164,7 @@
         return uncommitted.size
     }
 
+    /** Creates an attempt. It is not started before its job's record is stored. */
     fun place(
         job: Job,
         task: Int,
@@ -173,6 +177,7 @@
         machine.idleSince = null
     }
 
+    /** Has [attempt] stopped; [target] is where its task is to go on, if it is only moved. */
     fun stop(
         attempt: TaskAttempt,
         reason: StopReason,
@@ -240,17 +245,17 @@
         )
         machine.isLeaseExpired = true
         machine.lease.end()
-        machine.unresolved.clear()
+        machine.unresolvedStarts.clear()
         machine.tasks = emptyMap()
         for (attempt in machine.attempts.values.toList()) {
-            attempt.answeredAt = null
+            attempt.startAnsweredAt = null
             remove(attempt)
         }
         planWanted = true
         return true
     }
 
-    /** Proofs 2 and 3: the cloud took it back, lists it as failed, or lists it no more. */
+    /** Proofs 2 and 3: the cloud released it, lists it as failed, or lists it no more. */
     fun removeMachine(
         id: MachineId,
         reason: String,
@@ -273,7 +278,7 @@
         }
     }
 
-    /** Not before the copy has caught up with our last write: an older event would bring the job back to life. */
+    /** Not before the state cache has caught up with our last write: an older event would bring the job back to life. */
     fun forgetFinished(cache: StateCache) {
         jobs.values.removeIf { job ->
             job.phase.isFinal &&
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -13,7 +13,7 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /**
- * Reconciles the leader's account of a machine with what its worker reports: proof 1 of docs/safety.md, the worker's
+ * Reconciles the cluster state of a machine with what its worker reports: proof 1 of docs/safety.md, the worker's
  * own word that an attempt is gone.
  */
 internal class HeartbeatReconciliation(
@@ -40,7 +40,7 @@
         }
         machine.lease.onIncarnationObserved(report.incarnation, now)
         if (isHeartbeat) {
-            // A copy of an older report renews nothing and proves nothing.
+            // A duplicate of an older heartbeat renews nothing and proves nothing.
             if (position <= machine.lastHeartbeat) return machine
             machine.lastHeartbeat = position
             machine.lease.renewed(now)
@@ -48,7 +48,7 @@
         if (position <= machine.position) return machine
         if (report.incarnation > machine.position.incarnation || report.token > machine.token) {
             // Direct commands carry incarnation and token, so those of an earlier one can't be executed any more.
-            machine.unresolved.clear()
+            machine.unresolvedStarts.clear()
         }
         val firstHeard = machine.lastContactAt == null
         update(machine, report, position, now)
@@ -83,12 +83,12 @@
     ) {
         val settled = machine.isSettled(cluster.token)
         for (attempt in machine.attempts.values.toList()) {
-            val seen = machine.tasks[attempt.id]
-            if (seen != null) {
-                attempt.answeredAt = null
-                attempt.inherited = false
+            val reported = machine.tasks[attempt.id]
+            if (reported != null) {
+                attempt.startAnsweredAt = null
+                attempt.isInherited = false
                 machine.unresponsiveUntil = 0L
-                applyTaskStatus(machine, attempt, seen, now)
+                applyTaskStatus(machine, attempt, reported, now)
                 continue
             }
             applyAbsence(machine, attempt, position, isHeartbeat, now)
@@ -109,32 +109,32 @@
         now: Long,
     ) {
         val settled = machine.isSettled(cluster.token)
-        val isAbsent = settled && attempt.inherited
-        if (settled) attempt.inherited = false
-        val answered = attempt.answeredAt
+        val isAbsent = settled && attempt.isInherited
+        if (settled) attempt.isInherited = false
+        val answered = attempt.startAnsweredAt
         // One report is in flight at a time: after a newer one, an older answer is executed or dropped for good.
-        if (isHeartbeat && answered != null && position > answered) attempt.answeredAt = null
-        attempt.seen = null
+        if (isHeartbeat && answered != null && position > answered) attempt.startAnsweredAt = null
+        attempt.reportedState = null
         if (machine.mayBeThere(attempt, cluster.token)) return
         if (!attempt.isWanted || isAbsent && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)) {
-            // The former leader saw it end and gave its room away, but ended before it had stored the end.
+            // The former leader saw it end and gave its quota to others, but ended before it had stored the end.
             cluster.remove(attempt)
         } else if (isHeartbeat && attempt.isOverdue(now, timing.workerLeaseRawMs)) {
-            // Its reports arrive, but what we say does not: the work goes elsewhere.
+            // Its heartbeats arrive, but our commands don't reach it: the work goes elsewhere.
             log.info("start not acted on: machine={} attempt={}", machine.id, attempt.id)
             machine.unresponsiveUntil = now + timing.unresponsiveMs
             cluster.remove(attempt)
         }
     }
 
-    /** What the account gave up, by a proof, must not turn up beside the attempt that was placed after it. */
+    /** An attempt that was removed, by a proof, must not turn up beside the attempt that was placed after it. */
     private fun requireOnePlace(
         machine: Machine,
         task: TaskStatus,
     ) {
         if (task.state != TaskState.RUNNING) return
         val attempt = cluster.jobs[task.attempt.task.job]?.attempts?.get(task.attempt.task.index) ?: return
-        if (attempt.machine == machine.id || attempt.seen != TaskState.RUNNING) return
+        if (attempt.machine == machine.id || attempt.reportedState != TaskState.RUNNING) return
         val what = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
         invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
     }
@@ -142,18 +142,18 @@
     private fun applyTaskStatus(
         machine: Machine,
         attempt: TaskAttempt,
-        seen: TaskStatus,
+        reported: TaskStatus,
         now: Long,
     ) {
         val job = attempt.job
-        if (seen.state == TaskState.RUNNING && attempt.seen != TaskState.RUNNING) {
-            attempt.seenRunningAt = now
+        if (reported.state == TaskState.RUNNING && attempt.reportedState != TaskState.RUNNING) {
+            attempt.runningSince = now
             machine.images.remove(job.spec.image)
             machine.images.add(job.spec.image)
         }
-        attempt.seen = seen.state
-        if (seen.state != TaskState.EXITED) return
-        when (seen.cause) {
+        attempt.reportedState = reported.state
+        if (reported.state != TaskState.EXITED) return
+        when (reported.cause) {
             ExitCause.DONE -> {
                 machine.images.add(job.spec.image)
                 machine.failedJobs.clear()
@@ -165,14 +165,14 @@
             ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN, ExitCause.PEERS_GONE, ExitCause.ALONE,
             ExitCause.OTHER, null,
             -> {
-                log.info("start refused: machine={} attempt={} reason={}", machine.id, attempt.id, seen.cause)
+                log.info("start refused: machine={} attempt={} reason={}", machine.id, attempt.id, reported.cause)
                 FailureBackoff.onRefused(machine, job, now, timing)
             }
         }
         cluster.remove(attempt)
     }
 
-    /** A result of an attempt that we had given up: it counts if its task isn't placed again. */
+    /** A result of an attempt that was removed before: it counts if its task isn't placed again. */
     private fun adoptUnknownResult(
         task: TaskStatus,
         now: Long,
--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -9,7 +9,7 @@
 import oxbowlug.wire.MachineId
 import java.util.BitSet
 
-/** The leader's account of a job: what the state service holds, and what is yet to be written there. */
+/** What the leader knows of a job: what the state service holds, and what is yet to be written there. */
 internal class Job(
     record: JobRecord,
     version: Long,
@@ -78,7 +78,7 @@
             attempts[task] =
                 TaskAttempt(this, task, placement.machine, placement.attempt).apply {
                     committed = true
-                    inherited = true
+                    isInherited = true
                 }
         }
     }
@@ -90,7 +90,7 @@
     ): TaskAttempt {
         val attempt = TaskAttempt(this, task, machine, nextAttempt)
         attempts[task] = attempt
-        touch(now, urgent = true)
+        markDirty(now, urgent = true)
         return attempt
     }
 
@@ -106,17 +106,17 @@
         done.set(task)
         val complete = remaining == 0
         if (complete && phase == Phase.ACTIVE) phase = Phase.DONE
-        touch(now, urgent = complete)
+        markDirty(now, urgent = complete)
     }
 
     fun drop(
         task: Int,
         now: Long,
     ) {
-        if (attempts.remove(task) != null) touch(now, urgent = false)
+        if (attempts.remove(task) != null) markDirty(now, urgent = false)
     }
 
-    private fun touch(
+    private fun markDirty(
         now: Long,
         urgent: Boolean,
     ) {
@@ -189,7 +189,7 @@
         record: JobRecord,
         revision: Long,
     ) {
-        // Found with slow answers: taken for the next write, this one had starts sent that no stored record named.
+        // Found with slow answers: mistaken for that to the next write, it had starts sent that no stored record named.
         if (!isWriting(record)) return
         pendingRecord = null
         version = maxOf(version, revision)
@@ -204,7 +204,7 @@
     }
 
     /** Is written again though nothing changed: its record is larger than values may be soon. */
-    fun rewrite(now: Long) = touch(now, urgent = false)
+    fun rewrite(now: Long) = markDirty(now, urgent = false)
 
     /** A job that it needs is cancelled, so it never had a task, and its own record only has to say so in the end. */
     fun cancelByPredecessor(
@@ -215,7 +215,7 @@
         phase = Phase.CANCELLED
         cancelledAt = now
         cancelledMs = wallMs
-        touch(now, urgent = false)
+        markDirty(now, urgent = false)
     }
 
     /** [record] is surely not written, or it isn't known: written again, under the same condition on the version. */
@@ -223,18 +223,18 @@
         record: JobRecord,
         now: Long,
     ) {
-        // Taken for the next write, which may be stored, a third one would begin beside it.
+        // Mistaken for the answer to the next write, which may be stored, a third one would begin beside it.
         if (!isWriting(record)) return
         pendingRecord = null
-        touch(now, urgent = true)
+        markDirty(now, urgent = true)
     }
 
     /**
      * Another controller's write, which can only be a cancellation on top of the last committed record. If that
      * record is not one we know to be ours, one of our unanswered writes was applied late: what is stored counts.
-     * Returns true if the live attempts were replaced.
+     * Returns true if the attempts were replaced.
      */
-    fun foreignWrite(
+    fun applyForeignWrite(
         record: JobRecord,
         newVersion: Long,
         now: Long,
@@ -265,7 +265,7 @@
         }
         if (replaced) {
             restoreAttempts(record)
-            touch(now, urgent = false)
+            markDirty(now, urgent = false)
         }
         return replaced
     }
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.TypeName
 import oxbowlug.wire.Zone
 
-/** The leader's account of one rented machine. */
+/** What the leader knows of one rented machine. */
 internal class Machine(
     val id: MachineId,
     val firstSeenAt: Long,
@@ -28,7 +28,7 @@
     var listedAt = 0L
     var rentedAt = firstSeenAt
 
-    /** The newest account of the worker, from a report or a direct command's answer. */
+    /** The newest message of the worker: a heartbeat or the answer to a direct command. */
     var position = HeartbeatPosition(0, 0)
     var lastHeartbeat = HeartbeatPosition(0, 0)
     var token = FencingToken(0)
@@ -37,42 +37,43 @@
 
     val lease = WorkerLease()
 
-    /** Its lease is over, and nothing was heard of it since. */
+    /** Its lease expired, and nothing was heard of it since. */
     var isLeaseExpired = false
     var noticeUntil: Long? = null
     var idleSince: Long? = null
     var isReleasing = false
     var isQuarantined = false
 
-    /** What was on it is being moved, so that it can be returned. */
+    /** What was on it is being moved, so that it can be released. */
     var isDraining = false
 
-    /** It reports, but doesn't do what it is told: our answers and commands don't reach it. */
+    /** Unresponsive until then: it sends heartbeats, but our answers and commands don't reach it. */
     var unresponsiveUntil = 0L
     val failedJobs = HashSet<String>()
 
     val attempts = LinkedHashMap<AttemptId, TaskAttempt>()
     val images = LinkedHashSet<ImageName>()
 
-    var directInFlight: List<AttemptId> = emptyList()
-    var directBusy = false
-    var directNotBefore = 0L
+    var directStartsInFlight: List<AttemptId> = emptyList()
+    var isDirectCommandInFlight = false
+    var nextDirectCommandAt = 0L
 
     /** Starts sent directly and not answered: they may be executed minutes later. */
-    val unresolved = HashSet<AttemptId>()
+    val unresolvedStarts = HashSet<AttemptId>()
 
-    /** Heard under our token, so that its report tells everything that is on it. */
+    /** It has shown our token, so that its heartbeats name everything that is on it. */
     fun isSettled(current: FencingToken): Boolean = lastContactAt != null && token == current && !isLeaseExpired
 
+    /** Whether [attempt] may be, or may yet appear, on this machine; [current] is the leader's token. */
     fun mayBeThere(
         attempt: TaskAttempt,
         current: FencingToken,
     ): Boolean {
-        if (attempt.id in unresolved || attempt.id in directInFlight) return true
-        if (attempt.inherited && !isSettled(current)) return true
-        if (attempt.answeredAt != null) return true
-        val seen = tasks[attempt.id]
-        return seen != null && seen.state != TaskState.EXITED
+        if (attempt.id in unresolvedStarts || attempt.id in directStartsInFlight) return true
+        if (attempt.isInherited && !isSettled(current)) return true
+        if (attempt.startAnsweredAt != null) return true
+        val reported = tasks[attempt.id]
+        return reported != null && reported.state != TaskState.EXITED
     }
 
     /** Free room: everything that is placed or still reported takes its part. */
@@ -90,7 +91,7 @@
         val result = HashSet<ImageName>()
         for (attempt in attempts.values) {
             val image = attempt.job.spec.image
-            val hasItsImage = attempt.seen != null && attempt.seen != TaskState.FETCHING
+            val hasItsImage = attempt.reportedState != null && attempt.reportedState != TaskState.FETCHING
             if (!hasItsImage && image !in images) result.add(image)
         }
         return result
--- a/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -21,14 +21,14 @@
     var committed = false
 
     /** Placed by an earlier leader, whose start may still be on its way until the worker shows our token. */
-    var inherited = false
+    var isInherited = false
 
     /** The worker has shown it in some state. */
-    var seen: TaskState? = null
-    var seenRunningAt = 0L
+    var reportedState: TaskState? = null
+    var runningSince = 0L
 
-    /** A start went out in the answer to this report; a newer one that lacks the attempt shows it was dropped. */
-    var answeredAt: HeartbeatPosition? = null
+    /** A start went out in the answer to this heartbeat; a newer one that lacks the attempt shows it was dropped. */
+    var startAnsweredAt: HeartbeatPosition? = null
     private var firstSentAt: Long? = null
     var stopReason: StopReason? = null
 
@@ -40,7 +40,7 @@
         position: HeartbeatPosition,
         now: Long,
     ) {
-        answeredAt = position
+        startAnsweredAt = position
         sentDirectly(now)
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
@@ -6,8 +6,8 @@
 import oxbowlug.wire.TeamName
 
 /**
- * Whether the account of a new leader goes beyond a team's limit. The records of two jobs aren't written together: one
- * may hold a task whose end wasn't stored yet, the other a task that was given its room.
+ * Whether what a new leader inherits goes beyond a team's quota. The records of two jobs aren't written together: one
+ * may hold a task whose end wasn't stored yet, the other a task that was given its quota.
  */
 internal class TeamQuotas(
     private val teams: Map<TeamName, Team>,
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -20,11 +20,11 @@
     ): List<WorkerCommand> {
         val result = ArrayList<WorkerCommand>()
         for (attempt in machine.attempts.values) {
-            val seen = machine.tasks[attempt.id]
+            val reported = machine.tasks[attempt.id]
             when {
-                seen == null -> if (attempt.committed) addStart(machine, attempt, now, result)
-                seen.state == TaskState.EXITED -> Unit
-                !attempt.isWanted -> stopOf(attempt, seen)?.let(result::add)
+                reported == null -> if (attempt.committed) addStart(machine, attempt, now, result)
+                reported.state == TaskState.EXITED -> Unit
+                !attempt.isWanted -> stopOf(attempt, reported)?.let(result::add)
             }
         }
         for (task in machine.tasks.values) {
@@ -40,7 +40,7 @@
     /** All that may be said without the right to decide: a cancelled job's tasks have to end, whoever leads. */
     fun cancelledStops(machine: Machine): List<WorkerCommand> =
         machine.attempts.values
-            .filter { it.job.phase == Phase.CANCELLED && it.seen != null && it.seen != TaskState.EXITED }
+            .filter { it.job.phase == Phase.CANCELLED && it.reportedState != null && it.reportedState != TaskState.EXITED }
             .map { WorkerCommand.Stop(it.id, 0.0) }
 
     private fun addStart(
@@ -51,7 +51,7 @@
     ) {
         if (attempt.isWanted) {
             // Its next report will show our token, and then it is settled whether this one is still to run.
-            val waits = attempt.inherited && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)
+            val waits = attempt.isInherited && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)
             if (!waits) result.add(WorkerCommand.Start(attempt.id))
             return
         }
@@ -59,7 +59,7 @@
         // at once, the attempt stays known as exited, and the late copy has no effect.
         val cancelledAt = attempt.job.cancelledAt
         val inTime = cancelledAt == null || now < cancelledAt + timing.cancelPatienceMs / 2
-        if (attempt.id in machine.unresolved && inTime) {
+        if (attempt.id in machine.unresolvedStarts && inTime) {
             result.add(WorkerCommand.Start(attempt.id))
             result.add(WorkerCommand.Stop(attempt.id, 0.0))
         }
@@ -67,11 +67,11 @@
 
     private fun stopOf(
         attempt: TaskAttempt,
-        seen: TaskStatus,
+        reported: TaskStatus,
     ): WorkerCommand? {
         val spec = attempt.job.spec
         if (attempt.job.phase != Phase.ACTIVE) return WorkerCommand.Stop(attempt.id, 0.0)
-        if (seen.state == TaskState.SAVING) return null
+        if (reported.state == TaskState.SAVING) return null
         return WorkerCommand.Stop(attempt.id, if (spec.savesWork) spec.saveS else 0.0)
     }
 
@@ -80,7 +80,7 @@
         machine: Machine,
         attempt: AttemptId,
     ): Boolean {
-        if (attempt in machine.unresolved || attempt in machine.directInFlight) return false
+        if (attempt in machine.unresolvedStarts || attempt in machine.directStartsInFlight) return false
         val job = cluster.jobs[attempt.task.job] ?: return true
         return !job.isStored(attempt)
     }
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -17,7 +17,7 @@
     private class Count {
         var expected = 0
         var heard = 0
-        var known = 0
+        var kept = 0
         var silent = 0
     }
 
@@ -34,7 +34,7 @@
             count.expected++
             if (lastContactAt != null && now - lastContactAt <= timing.quietMs) count.heard++
             if (machine.isReleasing) continue
-            count.known++
+            count.kept++
             // A leader elected during a cut has never heard the machines behind it.
             val since = lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
             if (now - since > timing.cutSignMs) count.silent++
@@ -42,13 +42,13 @@
         }
     }
 
-    /** If most of a zone is silent, returning its machines would make it worse. */
+    /** If most of a zone is silent, releasing its machines would make it worse. */
     fun isMajorityAlive(zone: Zone?): Boolean = zones[zone]?.let { it.heard * 2 > it.expected } ?: false
 
-    fun isCut(zone: Zone?): Boolean = zones[zone]?.let { it.silent > maxOf(1, it.known / CUT) } ?: false
+    fun isCut(zone: Zone?): Boolean = zones[zone]?.let { it.silent > maxOf(1, it.kept / CUT_DIVISOR) } ?: false
 
     private companion object {
         /** More than one in so many of a zone's machines don't hang or die at a time. */
-        const val CUT = 3
+        const val CUT_DIVISOR = 3
     }
 }
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -452,7 +452,7 @@
         }
 
         override fun onDependencyChanged(id: JobId) {
-            leader?.cluster?.dependencyChanged(id)
+            leader?.cluster?.onDependencyChanged(id)
         }
 
         override fun onWritableFormat(format: WritableFormat) {
--- a/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
+++ b/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
@@ -4,7 +4,7 @@
 import oxbowlug.port.Meters
 
 /**
- * What the owner's steps cost, so that a controller that falls behind can be seen to: a step is one batch of commands
+ * What the steps of the controller's thread cost, so that a controller that falls behind can be seen to: a step is one batch of commands
  * with all that follows from it, and a tick that comes late shows how long everything else waits too.
  */
 internal class ControllerLoad(
@@ -21,8 +21,8 @@
         var plans = 0
         var longestPlanNs = 0L
         var plansNs = 0L
-        var reports = 0
-        var latestMs = 0L
+        var heartbeats = 0
+        var latestTickMs = 0L
     }
 
     private var window = Window(0)
@@ -46,14 +46,14 @@
     }
 
     fun reported() {
-        window.reports++
+        window.heartbeats++
     }
 
     fun ticked(now: Long) {
         val late = lastTickAt?.let { (now - it - tickMs).coerceAtLeast(0) } ?: 0
         lastTickAt = now
         meters.waited(late)
-        window.latestMs = maxOf(window.latestMs, late)
+        window.latestTickMs = maxOf(window.latestTickMs, late)
         if (now - window.since < everyMs) return
         log.info("{}", this)
         window = Window(now)
@@ -62,7 +62,7 @@
     override fun toString(): String =
         "load: steps=${window.steps} stepsMs=${window.stepsNs / MS} longestStepMs=${window.longestStepNs / MS} " +
             "plans=${window.plans} plansMs=${window.plansNs / MS} longestPlanMs=${window.longestPlanNs / MS} " +
-            "heartbeats=${window.reports} latestTickMs=${window.latestMs}"
+            "heartbeats=${window.heartbeats} latestTickMs=${window.latestTickMs}"
 
     private companion object {
         const val MS = 1_000_000
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -39,17 +39,17 @@
         val lastContactAt = machine.lastContactAt ?: return true
         if (!machine.isSettled(cluster.token) ||
             now - lastContactAt > timing.quietMs ||
-            now < machine.directNotBefore
+            now < machine.nextDirectCommandAt
         ) {
             return true
         }
-        if (machine.directBusy) return false
+        if (machine.isDirectCommandInFlight) return false
         val commands =
             if (decisions.mayLead) checks.storedOnly(machine, cluster.commands(machine, now)) else cluster.cancelledStops(machine)
         if (commands.all { it is WorkerCommand.Forget }) return true
-        machine.directBusy = true
-        machine.directInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
-        for (attempt in machine.directInFlight) machine.attempts[attempt]?.sentDirectly(now)
+        machine.isDirectCommandInFlight = true
+        machine.directStartsInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
+        for (attempt in machine.directStartsInFlight) machine.attempts[attempt]?.sentDirectly(now)
         workers.command(endpoint, cluster.token, machine.position.incarnation, commands) { outcome ->
             onOutcome(machine, outcome)
         }
@@ -60,16 +60,16 @@
         machine: Machine,
         outcome: DirectOutcome,
     ) {
-        val starts = machine.directInFlight
-        machine.directBusy = false
-        machine.directInFlight = emptyList()
+        val starts = machine.directStartsInFlight
+        machine.isDirectCommandInFlight = false
+        machine.directStartsInFlight = emptyList()
         when (outcome) {
             is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.report, isHeartbeat = false)
-            DirectOutcome.NotSent -> machine.directNotBefore = clock.steadyMs() + timing.quietMs
+            DirectOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.quietMs
             DirectOutcome.Unanswered -> {
-                // It may be executed minutes later; from here on the answers to reports carry the commands.
-                machine.unresolved.addAll(starts)
-                machine.directNotBefore = clock.steadyMs() + timing.workerLeaseRawMs
+                // It may be executed minutes later; from here on the answers to heartbeats carry the commands.
+                machine.unresolvedStarts.addAll(starts)
+                machine.nextDirectCommandAt = clock.steadyMs() + timing.workerLeaseRawMs
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -9,16 +9,16 @@
 /**
  * A worker stays with an earlier leader for as long as that one answers it: one cut from the state service and the
  * other controllers knows of no successor. So the successor shows its token, by a command that orders nothing, to
- * machines that it expects and doesn't hear. The worker's next report then shows the token to the earlier leader,
- * which steps down. This renews no lease and proves nothing: the worker has to report here for that.
+ * machines that it expects and doesn't hear. The worker's next heartbeat then shows the token to the earlier leader,
+ * which steps down. This renews no lease and proves nothing: the worker has to send its heartbeat here for that.
  */
 internal class FencingTokenPropagation(
     private val cluster: ClusterState,
     private val workers: WorkerPort,
     private val timing: Timing,
     private val startedAt: Long,
-    private val mostAtOnce: Int,
-    /** The former leader may be alive, and doesn't hear of this one from the other controllers. */
+    private val maxInFlight: Int,
+    /** The former leader may still answer workers, and doesn't hear of this one from the other controllers. */
     private val mayBeAnswered: () -> Boolean,
 ) {
     private val nextAt = HashMap<Machine, Long>()
@@ -31,10 +31,10 @@
         // All of them at once would take the time that those who report need.
         var left = (cluster.machines.size * timing.peerHeartbeatMs / timing.propagateTokenAfterMs + 1).toInt()
         for (machine in cluster.machines.values) {
-            if (left == 0 || inFlight >= mostAtOnce) return
+            if (left == 0 || inFlight >= maxInFlight) return
             if (!isMissing(machine, now) || now < (nextAt[machine] ?: 0)) continue
             left--
-            show(machine, now)
+            showToken(machine, now)
         }
     }
 
@@ -46,7 +46,7 @@
         now - machine.firstSeenAt > timing.quietMs &&
         (machine.listed == MachineState.RUNNING || machine.attempts.isNotEmpty())
 
-    private fun show(
+    private fun showToken(
         machine: Machine,
         now: Long,
     ) {
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -28,7 +28,7 @@
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.sizeAsJson
 
-/** What a leader has beside its model: everything here ends with its view. */
+/** All that a controller has while it leads: everything here ends with its term. */
 internal class LeaderTerm(
     val leadership: LeadershipRecord,
     requestIds: RequestIds,
@@ -75,7 +75,7 @@
             workers,
             timing,
             startedAt,
-            settings.limits.maxSockets / SPREAD_SHARE,
+            settings.limits.maxSockets / PROPAGATION_SOCKET_SHARE,
             mayBeAnswered,
         )
 
@@ -88,12 +88,12 @@
     }
 
     /** Large records are looked for once, when a lease's time has passed: a new leader has more urgent things to do. */
-    private var divideAt = startedAt + timing.workerLeaseRawMs
+    private var divideLargeRecordsAt = startedAt + timing.workerLeaseRawMs
 
-    private fun divideWhenDue(now: Long) {
-        val isDue = now >= divideAt && cache.writableFormat == WritableFormat.HEAD_AND_PARTS
+    private fun divideLargeRecordsWhenDue(now: Long) {
+        val isDue = now >= divideLargeRecordsAt && cache.writableFormat == WritableFormat.HEAD_AND_PARTS
         if (!isDue) return
-        divideAt = Long.MAX_VALUE
+        divideLargeRecordsAt = Long.MAX_VALUE
         if (settings.state.next != null) divideLargeRecords()
     }
 
@@ -115,7 +115,7 @@
 
     private var lastHeartbeatAt: Long? = null
 
-    /** Workers reported in this term, and for some reports' time none does: either all hang, or we are cut off. */
+    /** Workers sent heartbeats in this term, and for some heartbeats' time none does: either all hang, or we are cut off. */
     fun hasLostItsWorkers(now: Long): Boolean {
         val last = lastHeartbeatAt ?: return false
         val expected = cluster.machines.values.any { it.lastContactAt != null && !it.isReleasing }
@@ -123,18 +123,18 @@
     }
 
     /**
-     * The commands for a report under our lead, to which [WorkerLeaseRenewals] adds the stops of cancelled work. Null: the
-     * machine or its incarnation is gone, and nothing may renew it.
+     * The commands for a heartbeat under our lead, to which [WorkerLeaseRenewals] adds the stops of cancelled work.
+     * Null: the machine or its incarnation is gone, and nothing may renew it.
      */
     fun onHeartbeat(report: WorkerHeartbeat): List<WorkerCommand>? {
         val machine = cluster.applyHeartbeat(report, isHeartbeat = true) ?: return null
         lastHeartbeatAt = clock.steadyMs()
-        // A copy that came late, or our proof was wrong: renewed, the incarnation would live on with all that was given up
-        // in it and that nobody stops there.
+        // A duplicate that came late, or our proof was wrong: renewed, the incarnation would live on with all attempts
+        // that were removed with it and that nobody stops there.
         if (machine.lease.hasEnded(report.incarnation)) return null
         if (!decisions.mayLead) return emptyList()
         val position = HeartbeatPosition(report.incarnation, report.sequence)
-        // The answer to a copy goes nowhere; it must not look as if the worker had been told.
+        // The answer to a duplicate goes nowhere; it must not look as if the worker had been told.
         if (position < machine.lastHeartbeat) return emptyList()
         val commands = checks.storedOnly(machine, cluster.commands(machine, clock.steadyMs()))
         if (position == machine.position) checks.requireStops(report, commands)
@@ -149,7 +149,7 @@
         delegates.tick(now)
         supervisor.tick(types, planning.reserved, now)
         cluster.removeOrphans()
-        divideWhenDue(now)
+        divideLargeRecordsWhenDue(now)
         tokenPropagation.tick(now)
         scaler.tick(types)
         planning.tick(types, now)
@@ -158,7 +158,7 @@
     }
 
     /**
-     * What a leader without the state service still has to do: end cancelled work, by its machines' return if need be.
+     * What a leader without the state service still has to do: end cancelled work, by the release of its machines if need be.
      * It decides nothing else.
      */
     fun endCancelledWork() {
@@ -179,6 +179,6 @@
         const val BYTES_PER_KB = 1024
 
         /** Machines that can't be reached hold a socket each until the call is given up. */
-        const val SPREAD_SHARE = 16
+        const val PROPAGATION_SOCKET_SHARE = 16
     }
 }
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -23,7 +23,10 @@
 import oxbowlug.wire.TypeName
 import kotlin.math.pow
 
-/** The leader's dealings with the cloud: the list, rentals as planned, returns, and which kinds refuse. */
+/**
+ * Scales the fleet out and in: lists machines, rents what was planned, releases machines, and knows for which kinds the
+ * cloud has no capacity.
+ */
 internal class MachineScaler(
     private val requestIds: RequestIds,
     private val settings: Settings,
@@ -37,12 +40,12 @@
     val pendingOrders = ArrayList<PendingOrder>()
     private val refusals = HashMap<MachineKind, RefusalState>()
     private val toRelease = LinkedHashSet<MachineId>()
-    private var listing = false
+    private var isListing = false
     private var nextListAt = 0L
-    private var isReleasing = false
-    private var nextReturnAt = 0L
+    private var isReleaseInFlight = false
+    private var nextReleaseAt = 0L
 
-    /** Machines that the list shows are known before anything is rented. */
+    /** A list was applied in this term. Nothing is rented before, since what is there isn't known. */
     var hasInventory = false
         private set
 
@@ -54,16 +57,16 @@
 
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
-        if (!listing && now >= nextListAt && budget.tryTake(1.0, now)) list(now, types)
+        if (!isListing && now >= nextListAt && budget.tryTake(1.0, now)) list(now, types)
         releaseDue()
         for (order in pendingOrders.toList()) {
-            if (!order.asking && now >= order.askAgainAt && budget.tryTake(1.0, now)) ask(order)
+            if (!order.isRequestInFlight && now >= order.nextRequestAt && budget.tryTake(1.0, now)) requestRental(order)
         }
     }
 
     fun releaseDue() {
         val now = clock.steadyMs()
-        if (!isReleasing && toRelease.isNotEmpty() && now >= nextReturnAt && budget.tryTake(1.0, now)) returnMachines()
+        if (!isReleaseInFlight && toRelease.isNotEmpty() && now >= nextReleaseAt && budget.tryTake(1.0, now)) releaseBatch()
     }
 
     fun rent(
@@ -78,17 +81,17 @@
             val order =
                 PendingOrder(RentalRequest(requestIds.next(), kind.type, kind.zone, kind.spot, part), now, false, now)
             pendingOrders.add(order)
-            if (budget.tryTake(1.0, now)) ask(order)
+            if (budget.tryTake(1.0, now)) requestRental(order)
         }
     }
 
-    private fun ask(order: PendingOrder) {
-        order.asking = true
+    private fun requestRental(order: PendingOrder) {
+        order.isRequestInFlight = true
         val request = order.request
         val kind = MachineKind(request.type, request.zone, request.spot)
         cloud.rent(request) { outcome ->
             val now = clock.steadyMs()
-            order.asking = false
+            order.isRequestInFlight = false
             when (outcome) {
                 is RentalOutcome.Rented -> {
                     pendingOrders.remove(order)
@@ -100,15 +103,15 @@
                         machine.spot = request.spot
                         machine.rentedAt = order.orderedAt
                     }
-                    if (outcome.machines.size < request.count) refused(kind, now) else refusals.remove(kind)
+                    if (outcome.machines.size < request.count) onCapacityRefused(kind, now) else refusals.remove(kind)
                 }
                 RentalOutcome.NoCapacity -> {
                     pendingOrders.remove(order)
-                    refused(kind, now)
+                    onCapacityRefused(kind, now)
                 }
-                // The same name again: if the first request was executed after all, nothing more is rented.
+                // The same request id again, so it is idempotent: if the first request was executed after all, nothing more is rented.
                 RentalOutcome.Refused, RentalOutcome.Unanswered -> {
-                    order.askAgainAt = now + timing.retryMs() * 2
+                    order.nextRequestAt = now + timing.retryMs() * 2
                     if (now > order.orderedAt + timing.orderPatienceMs) pendingOrders.remove(order)
                 }
             }
@@ -116,7 +119,7 @@
         }
     }
 
-    private fun refused(
+    private fun onCapacityRefused(
         kind: MachineKind,
         now: Long,
     ) {
@@ -153,17 +156,17 @@
         toRelease.add(machine.id)
     }
 
-    private fun returnMachines() {
+    private fun releaseBatch() {
         val batch = toRelease.take(CloudCodec.MAX_RETURNED)
         log.info("release requested: machines={} {}", batch, decisions.describe())
-        isReleasing = true
+        isReleaseInFlight = true
         cloud.returnMachines(batch) { ok ->
-            isReleasing = false
+            isReleaseInFlight = false
             if (ok) {
                 toRelease.removeAll(batch.toSet())
                 for (id in batch) cluster.removeMachine(id, "returned")
             } else {
-                nextReturnAt = clock.steadyMs() + timing.retryMs() * 2
+                nextReleaseAt = clock.steadyMs() + timing.retryMs() * 2
             }
         }
     }
@@ -172,19 +175,19 @@
         askedAt: Long,
         types: Map<TypeName, MachineType>,
     ) {
-        listing = true
+        isListing = true
         cloud.list { machines ->
-            listing = false
+            isListing = false
             nextListAt = clock.steadyMs() + if (machines == null) timing.retryMs() * 2 else timing.listEveryMs
             if (machines != null) {
                 if (!hasInventory) cluster.planWanted = true
                 hasInventory = true
-                take(machines, askedAt, types)
+                applyList(machines, askedAt, types)
             }
         }
     }
 
-    private fun take(
+    private fun applyList(
         machines: List<ListedMachine>,
         askedAt: Long,
         types: Map<TypeName, MachineType>,
@@ -219,7 +222,7 @@
         }
     }
 
-    /** Some machines never come up and are charged until they are returned. */
+    /** Some machines never come up and are charged until they are released. */
     private fun checkBoot(
         machine: Machine,
         now: Long,
--- a/src/main/kotlin/oxbowlug/scaling/PendingOrder.kt
+++ b/src/main/kotlin/oxbowlug/scaling/PendingOrder.kt
@@ -6,6 +6,6 @@
 internal class PendingOrder(
     val request: RentalRequest,
     val orderedAt: Long,
-    var asking: Boolean,
-    var askAgainAt: Long,
+    var isRequestInFlight: Boolean,
+    var nextRequestAt: Long,
 )
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -74,7 +74,7 @@
         return maxOf(SOON_S, type.bootS - (now - machine.rentedAt) / 1000.0)
     }
 
-    /** Tasks that the worker shows but that aren't ours any more hold their room until they have exited. */
+    /** Tasks that the worker reports but whose attempts were removed hold their room until they have exited. */
     fun unmanagedUsage(machine: Machine): Resources {
         var sum = Resources.NONE
         for (task in machine.tasks.values) {
@@ -118,7 +118,7 @@
         now: Long,
     ): Tenant {
         val spec = attempt.job.spec
-        val ranS = if (attempt.seen == TaskState.RUNNING) (now - attempt.seenRunningAt) / 1000.0 else 0.0
+        val ranS = if (attempt.reportedState == TaskState.RUNNING) (now - attempt.runningSince) / 1000.0 else 0.0
         return Tenant(
             attempt = attempt.id,
             spec = spec,
--- a/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
@@ -13,7 +13,7 @@
 ) {
     private val known = HashMap<JobId, Map<Zone, Int>>()
 
-    /** A new leader may know from the records of a machine that it hasn't heard and that no list shows yet. */
+    /** A new leader may know from the job records of a machine that sent it no heartbeat and that no list shows yet. */
     fun isKnown(job: Job): Boolean = job.attempts.values.all { zoneOf(it) != null }
 
     /** What is somewhere unknown may be in any zone, so it counts in each: left out, it would break the job's rule. */
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -139,7 +139,7 @@
         val needyJob = waiting.jobs.getValue(spec.id)
         assertThrows(IllegalStateException::class.java) { waiting.place(needyJob, 0, host) }
         state = DependencyState.READY
-        waiting.dependencyChanged(spec.id)
+        waiting.onDependencyChanged(spec.id)
         waiting.place(needyJob, 0, host)
         assertEquals(setOf(0), needyJob.attempts.keys)
     }
@@ -260,7 +260,7 @@
         take(record(), 7)
         hello(report(1))
         val host = cluster.machines.getValue(machine)
-        host.unresolved.add(attempt)
+        host.unresolvedStarts.add(attempt)
         take(record(phase = Phase.CANCELLED), 8)
         hello(report(2))
         assertTrue(isHeld)
@@ -273,7 +273,7 @@
         assertFalse(isHeld)
         assertEquals(emptyList<WorkerCommand>(), commands(), "never forgotten while a start may be on its way")
         hello(report(1, incarnation = 2))
-        assertEquals(0, host.unresolved.size)
+        assertEquals(0, host.unresolvedStarts.size)
     }
 
     @Test
