--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -258,7 +258,7 @@
     /** Proofs 2 and 3: the cloud released it, lists it as failed, or lists it no more. */
     fun removeMachine(
         id: MachineId,
-        reason: String,
+        reason: RemovalReason,
     ) {
         removed.add(id)
         hasOrphans = true
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -7,7 +7,10 @@
 import oxbowlug.wire.TaskStatus
 import oxbowlug.wire.WorkerCommand
 
-/** What a worker should be told, computed afresh from what is wanted and what it last reported. Changes neither jobs nor machines. */
+/**
+ * What a worker should be told, computed afresh from what is wanted and what it last reported. Changes neither jobs nor
+ * machines.
+ */
 internal class WorkerCommands(
     private val cluster: ClusterState,
     private val timing: Timing,
--- a/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
+++ b/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
@@ -4,8 +4,8 @@
 import oxbowlug.port.Meters
 
 /**
- * What the steps of the controller's thread cost, so that a controller that falls behind can be seen to: a step is one batch of commands
- * with all that follows from it, and a tick that comes late shows how long everything else waits too.
+ * What the steps of the controller's thread cost, so that a controller that falls behind can be seen to: a step is one
+ * batch of commands with all that follows from it, and a tick that comes late shows how long everything else waits too.
  */
 internal class ControllerLoad(
     private val meters: Meters,
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -45,7 +45,11 @@
         }
         if (machine.isDirectCommandInFlight) return false
         val commands =
-            if (decisions.mayLead) checks.storedOnly(machine, cluster.commands(machine, now)) else cluster.cancelledStops(machine)
+            if (decisions.mayLead) {
+                checks.storedOnly(machine, cluster.commands(machine, now))
+            } else {
+                cluster.cancelledStops(machine)
+            }
         if (commands.all { it is WorkerCommand.Forget }) return true
         machine.isDirectCommandInFlight = true
         machine.directStartsInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -9,6 +9,7 @@
 import oxbowlug.lease.LeaseRenewalDelegates
 import oxbowlug.plan.Pricing
 import oxbowlug.scaling.MachineScaler
+import oxbowlug.scaling.ReleaseReason
 import oxbowlug.scheduling.SchedulingRound
 import oxbowlug.timing.Timing
 import oxbowlug.wire.MachineId
@@ -67,15 +68,17 @@
         val lastHeard = machine.lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
         val expected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
         if (expected && now - lastHeard > silentMs && heartbeats.isMajorityAlive(machine.zone)) {
-            scaler.scheduleRelease(machine, "silent")
+            scaler.scheduleRelease(machine, ReleaseReason.SILENT)
         }
         if (isWorthReleasing(machine, now, types) &&
             !heartbeats.isCut(machine.zone) &&
             (!scaler.isScarce(machine, now) || hasRoom())
         ) {
-            scaler.scheduleRelease(machine, "silent, and its work is worth more")
+            scaler.scheduleRelease(machine, ReleaseReason.SILENT_WITH_REPLICAS)
+        }
+        if (machine.isQuarantined && machine.attempts.isEmpty()) {
+            scaler.scheduleRelease(machine, ReleaseReason.QUARANTINED)
         }
-        if (machine.isQuarantined && machine.attempts.isEmpty()) scaler.scheduleRelease(machine, "fails its tasks")
         releaseIdle(machine, now, types, reserved)
     }
 
@@ -126,7 +129,7 @@
         for (attempt in machine.attempts.values) {
             val cancelledAt = attempt.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
-            if (now > cancelledAt + patienceMs) scaler.scheduleRelease(machine, "holds cancelled work")
+            if (now > cancelledAt + patienceMs) scaler.scheduleRelease(machine, ReleaseReason.HOLDS_CANCELLED_WORK)
         }
     }
 
@@ -151,7 +154,9 @@
             return
         }
         val bootMs = (types[machine.type]?.bootS ?: return) * 1000.0
-        if (machine.isDraining || now - since > settings.policy.idleBoots * bootMs) scaler.scheduleRelease(machine, "idle")
+        if (machine.isDraining || now - since > settings.policy.idleBoots * bootMs) {
+            scaler.scheduleRelease(machine, ReleaseReason.IDLE)
+        }
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -3,6 +3,7 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.Machine
+import oxbowlug.cluster.RemovalReason
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
 import oxbowlug.invariant.DecisionContext
@@ -109,7 +110,8 @@
                     pendingOrders.remove(order)
                     onCapacityRefused(kind, now)
                 }
-                // The same request id again, so it is idempotent: if the first request was executed after all, nothing more is rented.
+                // The same request id again, so it is idempotent: if the first request was executed after all, nothing
+                // more is rented.
                 RentalOutcome.Refused, RentalOutcome.Unanswered -> {
                     order.nextRequestAt = now + timing.retryMs() * 2
                     if (now > order.orderedAt + timing.orderPatienceMs) pendingOrders.remove(order)
@@ -148,7 +150,7 @@
 
     fun scheduleRelease(
         machine: Machine,
-        reason: String,
+        reason: ReleaseReason,
     ) {
         if (machine.isReleasing) return
         machine.isReleasing = true
@@ -164,7 +166,7 @@
             isReleaseInFlight = false
             if (ok) {
                 toRelease.removeAll(batch.toSet())
-                for (id in batch) cluster.removeMachine(id, "returned")
+                for (id in batch) cluster.removeMachine(id, RemovalReason.RELEASED)
             } else {
                 nextReleaseAt = clock.steadyMs() + timing.retryMs() * 2
             }
@@ -208,7 +210,7 @@
             if (machine.endpoint == null) machine.endpoint = Address.parse(listed.endpoint)
             machine.rentedAt = minOf(machine.rentedAt, now - (listed.ageS * 1000).toLong())
             if (listed.state == MachineState.FAILED) {
-                cluster.removeMachine(listed.id, "listed as failed")
+                cluster.removeMachine(listed.id, RemovalReason.FAILED)
                 toRelease.add(listed.id)
             } else {
                 checkBoot(machine, now, types)
@@ -217,7 +219,7 @@
         for (machine in cluster.machines.values.toList()) {
             // Lists lag and can go backwards: only one asked for long after the machine was known proves its absence.
             if (machine.id !in present && machine.firstSeenAt < askedAt - timing.listAgeMs) {
-                cluster.removeMachine(machine.id, "no longer listed")
+                cluster.removeMachine(machine.id, RemovalReason.NOT_LISTED)
             }
         }
     }
@@ -230,7 +232,7 @@
     ) {
         val bootMs = (types[machine.type]?.bootS ?: return) * 1000.0
         if (machine.lastContactAt != null || machine.listed != MachineState.BOOTING) return
-        if (now - machine.rentedAt > settings.policy.bootPatience * bootMs) scheduleRelease(machine, "never came up")
+        if (now - machine.rentedAt > settings.policy.bootPatience * bootMs) scheduleRelease(machine, ReleaseReason.NEVER_BOOTED)
     }
 
     private companion object {
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -250,7 +250,7 @@
     fun `a machine that the cloud took back takes its attempts along, and late reports of it don't count`() {
         take(record(), 7)
         hello(report(1, tasks = listOf(task(TaskState.RUNNING))))
-        cluster.removeMachine(machine, "returned")
+        cluster.removeMachine(machine, RemovalReason.RELEASED)
         assertFalse(isHeld)
         assertEquals(null, hello(report(2, tasks = listOf(task(TaskState.RUNNING)))))
     }
