--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -73,49 +73,69 @@
         stored: CachedJob,
         value: Map<String, Any?>,
     ) {
-        val present = jobs[id]
-        val now = clock.steadyMs()
-        if (present == null) {
-            if (stored.value == null) return
-            val record = JobRecord.decode(value)
-            val job = Job(record, stored.version, dirty::add)
-            if (record.phase == Phase.CANCELLED) job.cancelledAt = cancelledAt(record, now)
-            jobs[id] = job
-            // Jobs that wait for others are known to come; they aren't guessed at.
-            if (job.spec.dependsOn.isEmpty()) forecast.add(job.spec, job.submittedMs)
-            job.restoreAttempts(record)
-            attachAttempts(job)
-            applyDependencyState(job, now)
-            planWanted = true
-            return
+        val job = jobs[id]
+        when {
+            job == null -> if (stored.value != null) addJob(id, stored, value)
+            stored.version > job.version -> updateJob(job, stored, value)
         }
-        if (stored.version <= present.version) return
-        val old = present.attempts.values.toList()
-        val wasActive = present.phase == Phase.ACTIVE
+    }
+
+    private fun addJob(
+        id: JobId,
+        stored: CachedJob,
+        value: Map<String, Any?>,
+    ) {
+        val now = clock.steadyMs()
         val record = JobRecord.decode(value)
-        if (present.applyForeignWrite(record, stored.version, now)) {
+        val job = Job(record, stored.version, dirty::add)
+        if (record.phase == Phase.CANCELLED) job.cancelledAt = cancelledAt(record, now)
+        jobs[id] = job
+        // Jobs that wait for others are known to come; they aren't guessed at.
+        if (job.spec.dependsOn.isEmpty()) forecast.add(job.spec, job.submittedMs)
+        job.restoreAttempts(record)
+        attachAttempts(job)
+        applyDependencyState(job, now)
+        planWanted = true
+    }
+
+    private fun updateJob(
+        job: Job,
+        stored: CachedJob,
+        value: Map<String, Any?>,
+    ) {
+        val now = clock.steadyMs()
+        val old = job.attempts.values.toList()
+        val wasActive = job.phase == Phase.ACTIVE
+        val record = JobRecord.decode(value)
+        if (job.applyForeignWrite(record, stored.version, now)) {
             hasOrphans = true
             for (attempt in old) machines[attempt.machine]?.attempts?.remove(attempt.id)
-            attachAttempts(present)
+            attachAttempts(job)
         }
-        if (present.phase == Phase.CANCELLED) {
-            if (wasActive) {
-                if (present.spec.dependsOn.isEmpty()) forecast.leave(present.spec, clock.wallMs())
-                val since = cancelledAt(record, now)
-                present.cancelledAt = since
-                log.info(
-                    "job cancelled: job={} revision={} elapsedMs={} attempts={}",
-                    id,
-                    stored.version,
-                    now - since,
-                    present.attempts.size,
-                )
-            }
-            stopCancelledAttempts(present)
+        if (job.phase == Phase.CANCELLED) {
+            if (wasActive) onCancelled(job, record, now)
+            stopCancelledAttempts(job)
         }
         planWanted = true
     }
 
+    private fun onCancelled(
+        job: Job,
+        record: JobRecord,
+        now: Long,
+    ) {
+        if (job.spec.dependsOn.isEmpty()) forecast.leave(job.spec, clock.wallMs())
+        val since = cancelledAt(record, now)
+        job.cancelledAt = since
+        log.info(
+            "job cancelled: job={} revision={} elapsedMs={} attempts={}",
+            job.id,
+            job.version,
+            now - since,
+            job.attempts.size,
+        )
+    }
+
     /** A predecessor is done or cancelled. */
     fun onDependencyChanged(id: JobId) {
         jobs[id]?.let { applyDependencyState(it, clock.steadyMs()) }
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -139,7 +139,8 @@
         val commands = checks.storedOnly(machine, cluster.commands(machine, clock.steadyMs()))
         if (position == machine.position) checks.requireStops(report, commands)
         for (command in commands) {
-            if (command is WorkerCommand.Start) machine.attempts[command.attempt]?.sentInAnswer(position, clock.steadyMs())
+            if (command !is WorkerCommand.Start) continue
+            machine.attempts[command.attempt]?.sentInAnswer(position, clock.steadyMs())
         }
         return commands
     }
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -22,7 +22,6 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.RentalRequest
 import oxbowlug.wire.TypeName
-import kotlin.math.pow
 
 /**
  * Scales the fleet out and in: lists machines, rents what was planned, releases machines, and knows for which kinds the
@@ -39,7 +38,7 @@
     private val decisions: DecisionContext,
 ) {
     val pendingOrders = ArrayList<PendingOrder>()
-    private val refusals = HashMap<MachineKind, RefusalState>()
+    private val refusals = CapacityRefusals(timing)
     private val toRelease = LinkedHashSet<MachineId>()
     private var isListing = false
     private var nextListAt = 0L
@@ -50,12 +49,6 @@
     var hasInventory = false
         private set
 
-    private class RefusalState(
-        var count: Int,
-        var until: Long,
-        var lastAt: Long,
-    )
-
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
         if (!isListing && now >= nextListAt && budget.tryTake(1.0, now)) list(now, types)
@@ -67,7 +60,8 @@
 
     fun releaseDue() {
         val now = clock.steadyMs()
-        if (!isReleaseInFlight && toRelease.isNotEmpty() && now >= nextReleaseAt && budget.tryTake(1.0, now)) releaseBatch()
+        val isDue = !isReleaseInFlight && toRelease.isNotEmpty() && now >= nextReleaseAt
+        if (isDue && budget.tryTake(1.0, now)) releaseBatch()
     }
 
     fun rent(
@@ -104,11 +98,11 @@
                         machine.spot = request.spot
                         machine.rentedAt = order.orderedAt
                     }
-                    if (outcome.machines.size < request.count) onCapacityRefused(kind, now) else refusals.remove(kind)
+                    if (outcome.machines.size < request.count) refusals.onRefused(kind, now) else refusals.onRented(kind)
                 }
                 RentalOutcome.NoCapacity -> {
                     pendingOrders.remove(order)
-                    onCapacityRefused(kind, now)
+                    refusals.onRefused(kind, now)
                 }
                 // The same request id again, so it is idempotent: if the first request was executed after all, nothing
                 // more is rented.
@@ -121,33 +115,16 @@
         }
     }
 
-    private fun onCapacityRefused(
-        kind: MachineKind,
-        now: Long,
-    ) {
-        val state = refusals.getOrPut(kind) { RefusalState(0, 0, now) }
-        state.count++
-        state.lastAt = now
-        state.until = now + (timing.refusalBaseMs shl minOf(state.count - 1, MAX_DOUBLINGS))
-        log.info("capacity refused: kind={} retryAfterMs={}", kind, state.until - now)
-    }
+    /** See [CapacityRefusals.prices]. */
+    fun refusalPrices(now: Long): Map<MachineKind, CapacityRefusal> = refusals.prices(now)
 
-    /** A kind that refused of late costs more, less so as time goes by, and isn't asked at all for a while. */
-    fun refusalPrices(now: Long): Map<MachineKind, CapacityRefusal> =
-        refusals.mapValues { (_, state) ->
-            val age = (now - state.lastAt).toDouble() / timing.refusalHalfLifeMs
-            CapacityRefusal(blocked = now < state.until, penalty = state.count * 0.5.pow(age))
-        }
-
-    /** Whether a machine of this kind was refused of late, so that it could hardly be replaced. */
+    /** See [CapacityRefusals.isScarce]. */
     fun isScarce(
         machine: Machine,
         now: Long,
-    ): Boolean {
-        val state = refusals[MachineKind(machine.type ?: return false, machine.zone ?: return false, machine.spot)]
-        return state != null && now - state.lastAt < timing.refusalHalfLifeMs * SCARCE_HALF_LIVES
-    }
+    ): Boolean = refusals.isScarce(machine, now)
 
+    /** Releases [machine] with the next batch; until then nothing is placed on it. Repeated, it has no effect. */
     fun scheduleRelease(
         machine: Machine,
         reason: ReleaseReason,
@@ -232,12 +209,12 @@
     ) {
         val bootMs = (types[machine.type]?.bootS ?: return) * 1000.0
         if (machine.lastContactAt != null || machine.listed != MachineState.BOOTING) return
-        if (now - machine.rentedAt > settings.policy.bootPatience * bootMs) scheduleRelease(machine, ReleaseReason.NEVER_BOOTED)
+        if (now - machine.rentedAt > settings.policy.bootPatience * bootMs) {
+            scheduleRelease(machine, ReleaseReason.NEVER_BOOTED)
+        }
     }
 
     private companion object {
-        const val MAX_DOUBLINGS = 4
-        const val SCARCE_HALF_LIVES = 4
         val log = LoggerFactory.getLogger("rentals")
     }
 }
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -52,7 +52,10 @@
             fetching = machine.fetching(),
             isEmpty = machine.attempts.isEmpty(),
             leaving = leaving(machine),
-            tenants = lazy(LazyThreadSafetyMode.NONE) { machine.attempts.values.map { tenant(it, type, zoneUses, now) } },
+            tenants =
+                lazy(LazyThreadSafetyMode.NONE) {
+                    machine.attempts.values.map { tenant(it, type, zoneUses, now) }
+                },
             leastUrgent = leastUrgent(machine),
         )
     }
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -113,7 +113,9 @@
         types: Map<TypeName, MachineType>,
     ): Boolean {
         var need = Resources.NONE
-        for (machine in machines) for (attempt in machine.attempts.values) if (attempt.isWanted) need += attempt.job.need
+        for (machine in machines) {
+            for (attempt in machine.attempts.values) if (attempt.isWanted) need += attempt.job.need
+        }
         var free = Resources.NONE
         val now = clock.steadyMs()
         for (machine in cluster.machines.values) {
