--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -8,8 +8,6 @@
 import oxbowlug.forecast.DemandForecast
 import oxbowlug.invariant.Invariants
 import oxbowlug.port.Clock
-import oxbowlug.record.JobRecord
-import oxbowlug.record.Phase
 import oxbowlug.timing.Timing
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.ImageName
@@ -21,6 +19,7 @@
 
 /**
  * Jobs and machines as their leader knows them, kept in step. This class is the only owner of that state;
+ * [JobReconciliation],
  * [HeartbeatReconciliation] and [WorkerCommands] work on it. An attempt is removed only by one of the proofs in
  * docs/safety.md; silence, a refused connection or a recent list of machines prove nothing.
  */
@@ -33,10 +32,11 @@
     private val rememberedImages: Map<MachineId, List<ImageName>> = emptyMap(),
     teams: Map<TeamName, Team> = emptyMap(),
     /** What a job's predecessors mean for it, as committed. */
-    private val dependencyState: (List<JobId>) -> DependencyState = { DependencyState.READY },
+    dependencyState: (List<JobId>) -> DependencyState = { DependencyState.READY },
     invariants: Invariants,
 ) {
     private val quotas = TeamQuotas(teams, timing)
+    private val jobReconciliation = JobReconciliation(this, clock, timing, dependencyState)
     private val reconciliation = HeartbeatReconciliation(this, clock, timing, quotas, invariants)
     private val commands = WorkerCommands(this, timing, quotas)
     val jobs = LinkedHashMap<JobId, Job>()
@@ -55,7 +55,7 @@
     val dirty = LinkedHashSet<Job>()
 
     /** An attempt may be held on a machine that is gone. */
-    private var hasOrphans = false
+    var hasOrphans = false
 
     fun isRemoved(id: MachineId): Boolean = id in removed
 
@@ -67,115 +67,15 @@
         }
     }
 
-    /** Applies a stored job record: a new job, or a write of another controller. Older versions have no effect. */
+    /** See [JobReconciliation.apply]. */
     fun applyJob(
         id: JobId,
         stored: CachedJob,
         value: Map<String, Any?>,
-    ) {
-        val job = jobs[id]
-        when {
-            job == null -> if (stored.value != null) addJob(id, stored, value)
-            stored.version > job.version -> updateJob(job, stored, value)
-        }
-    }
-
-    private fun addJob(
-        id: JobId,
-        stored: CachedJob,
-        value: Map<String, Any?>,
-    ) {
-        val now = clock.steadyMs()
-        val record = JobRecord.decode(value)
-        val job = Job(record, stored.version, dirty::add)
-        if (record.phase == Phase.CANCELLED) job.cancelledAt = cancelledAt(record, now)
-        jobs[id] = job
-        // Jobs that wait for others are known to come; they aren't guessed at.
-        if (job.spec.dependsOn.isEmpty()) forecast.add(job.spec, job.submittedMs)
-        job.restoreAttempts(record)
-        attachAttempts(job)
-        applyDependencyState(job, now)
-        planWanted = true
-    }
+    ) = jobReconciliation.apply(id, stored, value)
 
-    private fun updateJob(
-        job: Job,
-        stored: CachedJob,
-        value: Map<String, Any?>,
-    ) {
-        val now = clock.steadyMs()
-        val old = job.attempts.values.toList()
-        val wasActive = job.phase == Phase.ACTIVE
-        val record = JobRecord.decode(value)
-        if (job.applyForeignWrite(record, stored.version, now)) {
-            hasOrphans = true
-            for (attempt in old) machines[attempt.machine]?.attempts?.remove(attempt.id)
-            attachAttempts(job)
-        }
-        if (job.phase == Phase.CANCELLED) {
-            if (wasActive) onCancelled(job, record, now)
-            stopCancelledAttempts(job)
-        }
-        planWanted = true
-    }
-
-    private fun onCancelled(
-        job: Job,
-        record: JobRecord,
-        now: Long,
-    ) {
-        if (job.spec.dependsOn.isEmpty()) forecast.leave(job.spec, clock.wallMs())
-        val since = cancelledAt(record, now)
-        job.cancelledAt = since
-        log.info(
-            "job cancelled: job={} revision={} elapsedMs={} attempts={}",
-            job.id,
-            job.version,
-            now - since,
-            job.attempts.size,
-        )
-    }
-
-    /** A predecessor is done or cancelled. */
-    fun onDependencyChanged(id: JobId) {
-        jobs[id]?.let { applyDependencyState(it, clock.steadyMs()) }
-        planWanted = true
-    }
-
-    private fun applyDependencyState(
-        job: Job,
-        now: Long,
-    ) {
-        if (job.spec.dependsOn.isEmpty() || job.phase != Phase.ACTIVE) return
-        when (dependencyState(job.spec.dependsOn)) {
-            DependencyState.READY -> if (job.readyMs == null) job.readyMs = clock.wallMs()
-            DependencyState.CANCELLED -> job.cancelByPredecessor(now, clock.wallMs())
-            DependencyState.WAITING -> Unit
-        }
-    }
-
-    /** Counted from when its user was told, not from when this leader learned of it: it may have been elected since. */
-    private fun cancelledAt(
-        record: JobRecord,
-        now: Long,
-    ): Long {
-        val ageMs = record.cancelledMs?.let { clock.wallMs() - it } ?: 0
-        return now - ageMs.coerceIn(0, timing.cancelMs)
-    }
-
-    private fun attachAttempts(job: Job) {
-        for (attempt in job.attempts.values.toList()) {
-            val machine = machine(attempt.machine)
-            if (machine == null) remove(attempt) else machine.attempts[attempt.id] = attempt
-        }
-    }
-
-    private fun stopCancelledAttempts(job: Job) {
-        for (attempt in job.attempts.values.toList()) {
-            val machine = machines[attempt.machine]
-            removeOrPush(machine, attempt)
-        }
-    }
+    /** See [JobReconciliation.onDependencyChanged]. */
+    fun onDependencyChanged(id: JobId) = jobReconciliation.onDependencyChanged(id)
 
     /** Placements that were never written, so no start of them was sent; returns how many. */
     fun withdrawUncommitted(job: Job): Int {
@@ -209,7 +109,8 @@
         removeOrPush(machine, attempt)
     }
 
-    private fun removeOrPush(
+    /** Its worker has to be told to stop it, unless it surely isn't there. */
+    fun removeOrPush(
         machine: Machine?,
         attempt: TaskAttempt,
     ) {
@@ -219,7 +120,7 @@
 
     /**
      * The attempt is gone, or was never there: its task may be placed again. Only the four proofs of docs/safety.md
-     * may lead here, and so only this class and [HeartbeatReconciliation] call it.
+     * may lead here, and so only this class and the reconciliations call it.
      */
     fun remove(attempt: TaskAttempt) {
         val now = clock.steadyMs()
@@ -298,7 +199,7 @@
         }
     }
 
-    /** Not before the state cache has caught up with our last write: an older event would bring the job back to life. */
+    /** Not before the state cache has caught up with our last write: an older event would add the job again. */
     fun forgetFinished(cache: StateCache) {
         jobs.values.removeIf { job ->
             job.phase.isFinal &&
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -43,7 +43,8 @@
     /** All that may be said without the right to decide: a cancelled job's tasks have to end, whoever leads. */
     fun cancelledStops(machine: Machine): List<WorkerCommand> =
         machine.attempts.values
-            .filter { it.job.phase == Phase.CANCELLED && it.reportedState != null && it.reportedState != TaskState.EXITED }
+            .filter { it.job.phase == Phase.CANCELLED }
+            .filter { it.reportedState != null && it.reportedState != TaskState.EXITED }
             .map { WorkerCommand.Stop(it.id, 0.0) }
 
     private fun addStart(
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -115,7 +115,7 @@
 
     private var lastHeartbeatAt: Long? = null
 
-    /** Workers sent heartbeats in this term, and for some heartbeats' time none does: either all hang, or we are cut off. */
+    /** Workers sent heartbeats in this term, and for some time none does: either all hang, or we are cut off. */
     fun hasLostItsWorkers(now: Long): Boolean {
         val last = lastHeartbeatAt ?: return false
         val expected = cluster.machines.values.any { it.lastContactAt != null && !it.isReleasing }
@@ -159,8 +159,8 @@
     }
 
     /**
-     * What a leader without the state service still has to do: end cancelled work, by the release of its machines if need be.
-     * It decides nothing else.
+     * What a leader without the state service still has to do: end cancelled work, by the release of its machines if
+     * need be. It decides nothing else.
      */
     fun endCancelledWork() {
         val now = clock.steadyMs()
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -98,7 +98,8 @@
                         machine.spot = request.spot
                         machine.rentedAt = order.orderedAt
                     }
-                    if (outcome.machines.size < request.count) refusals.onRefused(kind, now) else refusals.onRented(kind)
+                    val isWhole = outcome.machines.size >= request.count
+                    if (isWhole) refusals.onRented(kind) else refusals.onRefused(kind, now)
                 }
                 RentalOutcome.NoCapacity -> {
                     pendingOrders.remove(order)
