--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -114,7 +114,7 @@
         val answered = attempt.startAnsweredAt
         // One report is in flight at a time: after a newer one, an older answer is executed or dropped for good.
         if (isHeartbeat && answered != null && position > answered) attempt.startAnsweredAt = null
-        attempt.reportedState = null
+        attempt.workerState = null
         if (machine.mayBeThere(attempt, cluster.token)) return
         if (!attempt.isWanted || isAbsent && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)) {
             // The former leader saw it end and gave its quota to others, but ended before it had stored the end.
@@ -134,7 +134,7 @@
     ) {
         if (task.state != TaskState.RUNNING) return
         val attempt = cluster.jobs[task.attempt.task.job]?.attempts?.get(task.attempt.task.index) ?: return
-        if (attempt.machine == machine.id || attempt.reportedState != TaskState.RUNNING) return
+        if (attempt.machine == machine.id || attempt.workerState != TaskState.RUNNING) return
         val what = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
         invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
     }
@@ -146,12 +146,12 @@
         now: Long,
     ) {
         val job = attempt.job
-        if (reported.state == TaskState.RUNNING && attempt.reportedState != TaskState.RUNNING) {
+        if (reported.state == TaskState.RUNNING && attempt.workerState != TaskState.RUNNING) {
             attempt.runningSince = now
             machine.images.remove(job.spec.image)
             machine.images.add(job.spec.image)
         }
-        attempt.reportedState = reported.state
+        attempt.workerState = reported.state
         if (reported.state != TaskState.EXITED) return
         when (reported.cause) {
             ExitCause.DONE -> {
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -91,7 +91,7 @@
         val result = HashSet<ImageName>()
         for (attempt in attempts.values) {
             val image = attempt.job.spec.image
-            val hasItsImage = attempt.reportedState != null && attempt.reportedState != TaskState.FETCHING
+            val hasItsImage = attempt.workerState != null && attempt.workerState != TaskState.FETCHING
             if (!hasItsImage && image !in images) result.add(image)
         }
         return result
--- a/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -23,8 +23,8 @@
     /** Placed by an earlier leader, whose start may still be on its way until the worker shows our token. */
     var isInherited = false
 
-    /** The worker has shown it in some state. */
-    var reportedState: TaskState? = null
+    /** The state in which the worker last reported it; null: its newest heartbeat lacks it, or there was none. */
+    var workerState: TaskState? = null
     var runningSince = 0L
 
     /** A start went out in the answer to this heartbeat; a newer one that lacks the attempt shows it was dropped. */
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -44,7 +44,7 @@
     fun cancelledStops(machine: Machine): List<WorkerCommand> =
         machine.attempts.values
             .filter { it.job.phase == Phase.CANCELLED }
-            .filter { it.reportedState != null && it.reportedState != TaskState.EXITED }
+            .filter { it.workerState != null && it.workerState != TaskState.EXITED }
             .map { WorkerCommand.Stop(it.id, 0.0) }
 
     private fun addStart(
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -230,7 +230,7 @@
 
     private fun pushAfterWrite(job: Job) {
         for (attempt in job.attempts.values) {
-            if (attempt.reportedState == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(attempt.machine)
+            if (attempt.workerState == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(attempt.machine)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -121,7 +121,7 @@
         now: Long,
     ): Tenant {
         val spec = attempt.job.spec
-        val ranS = if (attempt.reportedState == TaskState.RUNNING) (now - attempt.runningSince) / 1000.0 else 0.0
+        val ranS = if (attempt.workerState == TaskState.RUNNING) (now - attempt.runningSince) / 1000.0 else 0.0
         return Tenant(
             attempt = attempt.id,
             spec = spec,
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -152,7 +152,10 @@
 
     /** The attempt that the plan names, if it is still the one of its task. */
     private fun attemptOf(id: AttemptId): TaskAttempt? =
-        cluster.jobs[id.task.job]?.attempts?.get(id.task.index)?.takeIf { it.id == id }
+        cluster.jobs[id.task.job]
+            ?.attempts
+            ?.get(id.task.index)
+            ?.takeIf { it.id == id }
 
     private companion object {
         const val SPARE = 2.0
