--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -9,7 +9,7 @@
 import oxbowlug.wire.MachineId
 import java.util.BitSet
 
-/** The leader's account of a job: what the state service holds, and what is yet to be written there. */
+/** What the leader knows of a job: what the state service holds, and what is yet to be written there. */
 internal class Job(
     record: JobRecord,
     version: Long,
@@ -22,7 +22,7 @@
     var phase = record.phase
         private set
     val done: BitSet = record.done.clone() as BitSet
-    val live = LinkedHashMap<Int, TaskAttempt>()
+    val attempts = LinkedHashMap<Int, TaskAttempt>()
     var nextAttempt = record.nextAttempt
         private set
 
@@ -73,12 +73,12 @@
     val remaining: Int get() = spec.tasks - done.cardinality()
 
     fun restoreAttempts(record: JobRecord) {
-        live.clear()
+        attempts.clear()
         for ((task, placement) in record.placements) {
-            live[task] =
+            attempts[task] =
                 TaskAttempt(this, task, placement.machine, placement.attempt).apply {
                     committed = true
-                    inherited = true
+                    isInherited = true
                 }
         }
     }
@@ -88,10 +88,10 @@
         machine: MachineId,
         now: Long,
     ): TaskAttempt {
-        val placed = TaskAttempt(this, task, machine, nextAttempt)
-        live[task] = placed
-        touch(now, urgent = true)
-        return placed
+        val attempt = TaskAttempt(this, task, machine, nextAttempt)
+        attempts[task] = attempt
+        markDirty(now, urgent = true)
+        return attempt
     }
 
     /** Tasks placed in one round share an attempt number, which keeps the record short. */
@@ -106,17 +106,17 @@
         done.set(task)
         val complete = remaining == 0
         if (complete && phase == Phase.ACTIVE) phase = Phase.DONE
-        touch(now, urgent = complete)
+        markDirty(now, urgent = complete)
     }
 
     fun drop(
         task: Int,
         now: Long,
     ) {
-        if (live.remove(task) != null) touch(now, urgent = false)
+        if (attempts.remove(task) != null) markDirty(now, urgent = false)
     }
 
-    private fun touch(
+    private fun markDirty(
         now: Long,
         urgent: Boolean,
     ) {
@@ -133,7 +133,7 @@
         var count = 0
         var task = done.nextClearBit(0)
         while (task < spec.tasks && count < result.size) {
-            if (task !in live) result[count++] = task
+            if (task !in attempts) result[count++] = task
             task = done.nextClearBit(task + 1)
         }
         return if (count == result.size) result else result.copyOf(count)
@@ -160,14 +160,14 @@
         phase,
         if (isBrief) briefDone() else done.clone() as BitSet,
         nextAttempt,
-        live.mapValues { (_, placed) -> Placement(placed.machine, placed.number) },
+        attempts.mapValues { (_, attempt) -> Placement(attempt.machine, attempt.number) },
         write,
         cancelledMs,
     )
 
     /** Of a cancelled job that is over nobody asks which tasks were done, only how many. */
     private fun briefDone(): BitSet {
-        if (phase != Phase.CANCELLED || live.isNotEmpty()) return done.clone() as BitSet
+        if (phase != Phase.CANCELLED || attempts.isNotEmpty()) return done.clone() as BitSet
         return BitSet().apply { set(0, done.cardinality()) }
     }
 
@@ -189,7 +189,7 @@
         record: JobRecord,
         revision: Long,
     ) {
-        // Found with slow answers: taken for the next write, this one had starts sent that no stored record named.
+        // Found with slow answers: mistaken for that to the next write, it had starts sent that no stored record named.
         if (!isWriting(record)) return
         pendingRecord = null
         version = maxOf(version, revision)
@@ -198,13 +198,13 @@
         isWrittenAlone = false
         lastWrite = record.write
         for ((task, placement) in record.placements) {
-            val placed = live[task]
-            if (placed != null && placed.number == placement.attempt) placed.committed = true
+            val attempt = attempts[task]
+            if (attempt != null && attempt.number == placement.attempt) attempt.committed = true
         }
     }
 
     /** Is written again though nothing changed: its record is larger than values may be soon. */
-    fun rewrite(now: Long) = touch(now, urgent = false)
+    fun rewrite(now: Long) = markDirty(now, urgent = false)
 
     /** A job that it needs is cancelled, so it never had a task, and its own record only has to say so in the end. */
     fun cancelByPredecessor(
@@ -215,7 +215,7 @@
         phase = Phase.CANCELLED
         cancelledAt = now
         cancelledMs = wallMs
-        touch(now, urgent = false)
+        markDirty(now, urgent = false)
     }
 
     /** [record] is surely not written, or it isn't known: written again, under the same condition on the version. */
@@ -223,18 +223,18 @@
         record: JobRecord,
         now: Long,
     ) {
-        // Taken for the next write, which may be stored, a third one would begin beside it.
+        // Mistaken for the answer to the next write, which may be stored, a third one would begin beside it.
         if (!isWriting(record)) return
         pendingRecord = null
-        touch(now, urgent = true)
+        markDirty(now, urgent = true)
     }
 
     /**
      * Another controller's write, which can only be a cancellation on top of the last committed record. If that
      * record is not one we know to be ours, one of our unanswered writes was applied late: what is stored counts.
-     * Returns true if the live attempts were replaced.
+     * Returns true if the attempts were replaced.
      */
-    fun foreignWrite(
+    fun applyForeignWrite(
         record: JobRecord,
         newVersion: Long,
         now: Long,
@@ -265,7 +265,7 @@
         }
         if (replaced) {
             restoreAttempts(record)
-            touch(now, urgent = false)
+            markDirty(now, urgent = false)
         }
         return replaced
     }
--- a/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -15,32 +15,32 @@
     val machine: MachineId,
     val number: Long,
 ) {
-    val attempt = AttemptId(TaskId(job.id, task), number)
+    val id = AttemptId(TaskId(job.id, task), number)
 
     /** Written to the state service: only then may it be started. */
     var committed = false
 
     /** Placed by an earlier leader, whose start may still be on its way until the worker shows our token. */
-    var inherited = false
+    var isInherited = false
 
-    /** The worker has shown it in some state. */
-    var seen: TaskState? = null
-    var seenRunningAt = 0L
+    /** The state in which the worker last reported it; null: its newest heartbeat lacks it, or there was none. */
+    var workerState: TaskState? = null
+    var runningSince = 0L
 
-    /** A start went out in the answer to this report; a newer one that lacks the attempt shows it was dropped. */
-    var answeredAt: HeartbeatPosition? = null
+    /** A start went out in the answer to this heartbeat; a newer one that lacks the attempt shows it was dropped. */
+    var startAnsweredAt: HeartbeatPosition? = null
     private var firstSentAt: Long? = null
-    var stop: StopReason? = null
+    var stopReason: StopReason? = null
 
     /** Where it is to go on, if it was stopped only to be moved. */
     var target: MachineId? = null
-    val isWanted: Boolean get() = stop == null && job.phase == Phase.ACTIVE
+    val isWanted: Boolean get() = stopReason == null && job.phase == Phase.ACTIVE
 
     fun sentInAnswer(
         position: HeartbeatPosition,
         now: Long,
     ) {
-        answeredAt = position
+        startAnsweredAt = position
         sentDirectly(now)
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -17,7 +17,7 @@
     private class Count {
         var expected = 0
         var heard = 0
-        var known = 0
+        var kept = 0
         var silent = 0
     }
 
@@ -27,28 +27,28 @@
     val suspects = ArrayList<Machine>()
 
     init {
-        for (host in machines) {
-            val count = zones.getOrPut(host.zone, ::Count)
-            val lastContactAt = host.lastContactAt
-            if (lastContactAt == null && host.listed != MachineState.RUNNING) continue
+        for (machine in machines) {
+            val count = zones.getOrPut(machine.zone, ::Count)
+            val lastContactAt = machine.lastContactAt
+            if (lastContactAt == null && machine.listed != MachineState.RUNNING) continue
             count.expected++
             if (lastContactAt != null && now - lastContactAt <= timing.missedHeartbeatsMs) count.heard++
-            if (host.isReleasing) continue
-            count.known++
+            if (machine.isReleasing) continue
+            count.kept++
             // A leader elected during a cut has never heard the machines behind it.
-            val since = lastContactAt ?: maxOf(startedAt, host.firstSeenAt)
+            val since = lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
             if (now - since > timing.zonePartitionSilenceMs) count.silent++
-            if (lastContactAt != null && now - lastContactAt > timing.suspectMs) suspects.add(host)
+            if (lastContactAt != null && now - lastContactAt > timing.suspectMs) suspects.add(machine)
         }
     }
 
-    /** If most of a zone is silent, returning its machines would make it worse. */
+    /** If most of a zone is silent, releasing its machines would make it worse. */
     fun isMajorityAlive(zone: Zone?): Boolean = zones[zone]?.let { it.heard * 2 > it.expected } ?: false
 
-    fun isCut(zone: Zone?): Boolean = zones[zone]?.let { it.silent > maxOf(1, it.known / CUT) } ?: false
+    fun isCut(zone: Zone?): Boolean = zones[zone]?.let { it.silent > maxOf(1, it.kept / CUT_DIVISOR) } ?: false
 
     private companion object {
         /** More than one in so many of a zone's machines don't hang or die at a time. */
-        const val CUT = 3
+        const val CUT_DIVISOR = 3
     }
 }
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -195,8 +195,8 @@
         }
 
     private fun queuePushes(job: Job) {
-        for (attempt in job.live.values) {
-            if (attempt.seen == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(attempt.machine)
+        for (attempt in job.attempts.values) {
+            if (attempt.workerState == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(attempt.machine)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -258,7 +258,7 @@
                         ?.cluster
                         ?.jobs
                         ?.get(id)
-                job?.live?.isEmpty()
+                job?.attempts?.isEmpty()
             }
             is LeadershipRole.Follower, LeadershipRole.Unknown -> null
         }
@@ -283,7 +283,7 @@
         }
 
         override fun onDependencyChanged(id: JobId) {
-            terms.latest?.cluster?.dependencyChanged(id)
+            terms.latest?.cluster?.onDependencyChanged(id)
         }
 
         override fun onWritableFormat(format: WritableFormat) {
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -3,6 +3,7 @@
 import org.slf4j.LoggerFactory
 import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.Machine
+import oxbowlug.cluster.RemovalReason
 import oxbowlug.config.Address
 import oxbowlug.config.Settings
 import oxbowlug.invariant.DecisionContext
@@ -21,9 +22,11 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.RentalRequest
 import oxbowlug.wire.TypeName
-import kotlin.math.pow
 
-/** The leader's dealings with the cloud: the list, rentals as planned, returns, and which kinds refuse. */
+/**
+ * Scales the fleet out and in: lists machines, rents what was planned, releases machines, and knows for which kinds the
+ * cloud has no capacity.
+ */
 internal class MachineScaler(
     private val requestIds: RequestIds,
     private val settings: Settings,
@@ -35,35 +38,30 @@
     private val decisions: DecisionContext,
 ) {
     val pendingOrders = ArrayList<PendingOrder>()
-    private val refusals = HashMap<MachineKind, RefusalState>()
+    private val refusals = CapacityRefusals(timing)
     private val toRelease = LinkedHashSet<MachineId>()
-    private var listing = false
+    private var isListing = false
     private var nextListAt = 0L
-    private var isReleasing = false
-    private var nextReturnAt = 0L
+    private var isReleaseInFlight = false
+    private var nextReleaseAt = 0L
 
-    /** Machines that the list shows are known before anything is rented. */
+    /** A list was applied in this term. Nothing is rented before, since what is there isn't known. */
     var hasInventory = false
         private set
 
-    private class RefusalState(
-        var count: Int,
-        var until: Long,
-        var lastAt: Long,
-    )
-
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
-        if (!listing && now >= nextListAt && budget.tryTake(1.0, now)) list(now, types)
+        if (!isListing && now >= nextListAt && budget.tryTake(1.0, now)) list(now, types)
         releaseDue()
         for (order in pendingOrders.toList()) {
-            if (!order.asking && now >= order.askAgainAt && budget.tryTake(1.0, now)) ask(order)
+            if (!order.isRequestInFlight && now >= order.nextRequestAt && budget.tryTake(1.0, now)) requestRental(order)
         }
     }
 
     fun releaseDue() {
         val now = clock.steadyMs()
-        if (!isReleasing && toRelease.isNotEmpty() && now >= nextReturnAt && budget.tryTake(1.0, now)) returnMachines()
+        val isDue = !isReleaseInFlight && toRelease.isNotEmpty() && now >= nextReleaseAt
+        if (isDue && budget.tryTake(1.0, now)) releaseBatch()
     }
 
     fun rent(
@@ -78,21 +76,21 @@
             val order =
                 PendingOrder(RentalRequest(requestIds.next(), kind.type, kind.zone, kind.spot, part), now, false, now)
             pendingOrders.add(order)
-            if (budget.tryTake(1.0, now)) ask(order)
+            if (budget.tryTake(1.0, now)) requestRental(order)
         }
     }
 
-    private fun ask(order: PendingOrder) {
-        order.asking = true
+    private fun requestRental(order: PendingOrder) {
+        order.isRequestInFlight = true
         val request = order.request
         val kind = MachineKind(request.type, request.zone, request.spot)
         cloud.rent(request) { outcome ->
             val now = clock.steadyMs()
-            order.asking = false
+            order.isRequestInFlight = false
             when (outcome) {
                 is RentalOutcome.Rented -> {
                     pendingOrders.remove(order)
-                    log.info("rented {} of {} {}", outcome.machines.size, request.count, kind)
+                    log.info("rented: machines={} requested={} kind={}", outcome.machines.size, request.count, kind)
                     for (id in outcome.machines) {
                         val machine = cluster.machine(id) ?: continue
                         machine.type = request.type
@@ -100,15 +98,17 @@
                         machine.spot = request.spot
                         machine.rentedAt = order.orderedAt
                     }
-                    if (outcome.machines.size < request.count) refused(kind, now) else refusals.remove(kind)
+                    val isWhole = outcome.machines.size >= request.count
+                    if (isWhole) refusals.onRented(kind) else refusals.onRefused(kind, now)
                 }
                 RentalOutcome.NoCapacity -> {
                     pendingOrders.remove(order)
-                    refused(kind, now)
+                    refusals.onRefused(kind, now)
                 }
-                // The same name again: if the first request was executed after all, nothing more is rented.
+                // The same request id again, so it is idempotent: if the first request was executed after all, nothing
+                // more is rented.
                 RentalOutcome.Refused, RentalOutcome.Unanswered -> {
-                    order.askAgainAt = now + timing.retryMs() * 2
+                    order.nextRequestAt = now + timing.retryMs() * 2
                     if (now > order.orderedAt + timing.orderPatienceMs) pendingOrders.remove(order)
                 }
             }
@@ -116,54 +116,37 @@
         }
     }
 
-    private fun refused(
-        kind: MachineKind,
-        now: Long,
-    ) {
-        val state = refusals.getOrPut(kind) { RefusalState(0, 0, now) }
-        state.count++
-        state.lastAt = now
-        state.until = now + (timing.refusalBaseMs shl minOf(state.count - 1, MAX_DOUBLINGS))
-        log.info("no more capacity for {}, not asked for {} ms", kind, state.until - now)
-    }
+    /** See [CapacityRefusals.prices]. */
+    fun refusalPrices(now: Long): Map<MachineKind, CapacityRefusal> = refusals.prices(now)
 
-    /** A kind that refused of late costs more, less so as time goes by, and isn't asked at all for a while. */
-    fun refusalPrices(now: Long): Map<MachineKind, CapacityRefusal> =
-        refusals.mapValues { (_, state) ->
-            val age = (now - state.lastAt).toDouble() / timing.refusalHalfLifeMs
-            CapacityRefusal(blocked = now < state.until, penalty = state.count * 0.5.pow(age))
-        }
-
-    /** Whether a machine of this kind was refused of late, so that it could hardly be replaced. */
+    /** See [CapacityRefusals.isScarce]. */
     fun isScarce(
         machine: Machine,
         now: Long,
-    ): Boolean {
-        val state = refusals[MachineKind(machine.type ?: return false, machine.zone ?: return false, machine.spot)]
-        return state != null && now - state.lastAt < timing.refusalHalfLifeMs * SCARCE_HALF_LIVES
-    }
+    ): Boolean = refusals.isScarce(machine, now)
 
+    /** Releases [machine] with the next batch; until then nothing is placed on it. Repeated, it has no effect. */
     fun scheduleRelease(
         machine: Machine,
-        why: String,
+        reason: ReleaseReason,
     ) {
         if (machine.isReleasing) return
         machine.isReleasing = true
-        log.info("returning {}: {}", machine.id, why)
+        log.info("release scheduled: machine={} reason={}", machine.id, reason)
         toRelease.add(machine.id)
     }
 
-    private fun returnMachines() {
+    private fun releaseBatch() {
         val batch = toRelease.take(CloudCodec.MAX_RETURNED)
-        log.info("asking for the return of {}: {}", batch, decisions.describe())
-        isReleasing = true
+        log.info("release requested: machines={} {}", batch, decisions.describe())
+        isReleaseInFlight = true
         cloud.releaseMachines(batch) { ok ->
-            isReleasing = false
+            isReleaseInFlight = false
             if (ok) {
                 toRelease.removeAll(batch.toSet())
-                for (id in batch) cluster.removeMachine(id, "returned")
+                for (id in batch) cluster.removeMachine(id, RemovalReason.RELEASED)
             } else {
-                nextReturnAt = clock.steadyMs() + timing.retryMs() * 2
+                nextReleaseAt = clock.steadyMs() + timing.retryMs() * 2
             }
         }
     }
@@ -172,19 +155,19 @@
         askedAt: Long,
         types: Map<TypeName, MachineType>,
     ) {
-        listing = true
+        isListing = true
         cloud.list { machines ->
-            listing = false
+            isListing = false
             nextListAt = clock.steadyMs() + if (machines == null) timing.retryMs() * 2 else timing.machineListIntervalMs
             if (machines != null) {
                 if (!hasInventory) cluster.planWanted = true
                 hasInventory = true
-                take(machines, askedAt, types)
+                applyList(machines, askedAt, types)
             }
         }
     }
 
-    private fun take(
+    private fun applyList(
         machines: List<ListedMachine>,
         askedAt: Long,
         types: Map<TypeName, MachineType>,
@@ -205,7 +188,7 @@
             if (machine.endpoint == null) machine.endpoint = Address.parse(listed.endpoint)
             machine.rentedAt = minOf(machine.rentedAt, now - (listed.ageS * 1000).toLong())
             if (listed.state == MachineState.FAILED) {
-                cluster.removeMachine(listed.id, "listed as failed")
+                cluster.removeMachine(listed.id, RemovalReason.FAILED)
                 toRelease.add(listed.id)
             } else {
                 checkBoot(machine, now, types)
@@ -214,12 +197,12 @@
         for (machine in cluster.machines.values.toList()) {
             // Lists lag and can go backwards: only one asked for long after the machine was known proves its absence.
             if (machine.id !in present && machine.firstSeenAt < askedAt - timing.machineListAgeMs) {
-                cluster.removeMachine(machine.id, "no longer listed")
+                cluster.removeMachine(machine.id, RemovalReason.NOT_LISTED)
             }
         }
     }
 
-    /** Some machines never come up and are charged until they are returned. */
+    /** Some machines never come up and are charged until they are released. */
     private fun checkBoot(
         machine: Machine,
         now: Long,
@@ -227,12 +210,12 @@
     ) {
         val bootMs = (types[machine.type]?.bootS ?: return) * 1000.0
         if (machine.lastContactAt != null || machine.listed != MachineState.BOOTING) return
-        if (now - machine.rentedAt > settings.policy.bootPatience * bootMs) scheduleRelease(machine, "never came up")
+        if (now - machine.rentedAt > settings.policy.bootPatience * bootMs) {
+            scheduleRelease(machine, ReleaseReason.NEVER_BOOTED)
+        }
     }
 
     private companion object {
-        const val MAX_DOUBLINGS = 4
-        const val SCARCE_HALF_LIVES = 4
         val log = LoggerFactory.getLogger("rentals")
     }
 }
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -116,7 +116,7 @@
 
     private fun commands() = cluster.commands(cluster.machines.getValue(machine), clock.now)
 
-    private val isHeld: Boolean get() = 0 in job.live
+    private val isHeld: Boolean get() = 0 in job.attempts
 
     @Test
     fun `a job that waits for others is never placed`() {
@@ -139,9 +139,9 @@
         val needyJob = waiting.jobs.getValue(spec.id)
         assertThrows(IllegalStateException::class.java) { waiting.place(needyJob, 0, host) }
         state = DependencyState.READY
-        waiting.dependencyChanged(spec.id)
+        waiting.onDependencyChanged(spec.id)
         waiting.place(needyJob, 0, host)
-        assertEquals(setOf(0), needyJob.live.keys)
+        assertEquals(setOf(0), needyJob.attempts.keys)
     }
 
     @Test
@@ -191,8 +191,8 @@
             val host = here.machines.getValue(machine)
             assertEquals(case.isStarted, start in here.commands(host, clock.now), "limit of ${case.maxGpus}, at once")
             here.applyHeartbeat(report(2, tasks = listOf(other)), isHeartbeat = true)
-            assertEquals(case.isStarted, attempt in host.live, "limit of ${case.maxGpus}, settled")
-            assertTrue(other.attempt in host.live)
+            assertEquals(case.isStarted, attempt in host.attempts, "limit of ${case.maxGpus}, settled")
+            assertTrue(other.attempt in host.attempts)
         }
     }
 
@@ -250,7 +250,7 @@
     fun `a machine that the cloud took back takes its attempts along, and late reports of it don't count`() {
         take(record(), 7)
         hello(report(1, tasks = listOf(task(TaskState.RUNNING))))
-        cluster.removeMachine(machine, "returned")
+        cluster.removeMachine(machine, RemovalReason.RELEASED)
         assertFalse(isHeld)
         assertEquals(null, hello(report(2, tasks = listOf(task(TaskState.RUNNING)))))
     }
@@ -260,7 +260,7 @@
         take(record(), 7)
         hello(report(1))
         val host = cluster.machines.getValue(machine)
-        host.unresolved.add(attempt)
+        host.unresolvedStarts.add(attempt)
         take(record(phase = Phase.CANCELLED), 8)
         hello(report(2))
         assertTrue(isHeld)
@@ -273,7 +273,7 @@
         assertFalse(isHeld)
         assertEquals(emptyList<WorkerCommand>(), commands(), "never forgotten while a start may be on its way")
         hello(report(1, incarnation = 2))
-        assertEquals(0, host.unresolved.size)
+        assertEquals(0, host.unresolvedStarts.size)
     }
 
     @Test
@@ -344,8 +344,8 @@
         job.notWritten(job.begin("w2"), clock.now)
         take(record(write = "late"), 8)
         assertTrue(isHeld)
-        assertEquals(1, job.live.getValue(0).number)
-        assertTrue(attempt in cluster.machines.getValue(machine).live)
+        assertEquals(1, job.attempts.getValue(0).number)
+        assertTrue(attempt in cluster.machines.getValue(machine).attempts)
     }
 
     @Test
