--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -125,7 +125,15 @@
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
         val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
         if (mayBeOver) cluster.expire(machine, now)
-        val patienceMs = if (heartbeats.isCut(machine.zone)) timing.partitionedCancelPatienceMs else timing.cancelPatienceMs
+        val patienceMs =
+            if (heartbeats.isCut(
+                    machine.zone,
+                )
+            ) {
+                timing.partitionedCancelPatienceMs
+            } else {
+                timing.cancelPatienceMs
+            }
         for (attempt in machine.attempts.values) {
             val cancelledAt = attempt.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -120,7 +120,8 @@
         val now = clock.steadyMs()
         for (machine in cluster.machines.values) {
             val type = types[machine.type] ?: continue
-            val isReady = !machine.isReleasing && machine.lastContactAt?.let { now - it <= timing.missedHeartbeatsMs } ?: false
+            val isReady =
+                !machine.isReleasing && machine.lastContactAt?.let { now - it <= timing.missedHeartbeatsMs } ?: false
             if (isReady && !machine.spot) free += machine.free(type, availableMachines.unmanagedUsage(machine))
         }
         return (need * SPARE).fitsIn(free)
