--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -135,7 +135,7 @@
         watch.isAsking = true
         workers.status(endpoint) { report ->
             val answeredAt = clock.steadyMs()
-            watch.nextAt = answeredAt + timing.missedHeartbeatsMs
+            watch.nextAt = answeredAt + timing.heartbeatLateMs
             if (report == null || report.machine != machine) {
                 watch.isAsking = false
                 return@status
@@ -168,7 +168,7 @@
             watch.nextAt = clock.steadyMs()
             if (outcome is DirectOutcome.Answered && shown(outcome.report, attempts).isEmpty()) {
                 watch.saidClearOf(attempts, clock.steadyMs())
-                watch.nextAt = clock.steadyMs() + timing.missedHeartbeatsMs
+                watch.nextAt = clock.steadyMs() + timing.heartbeatLateMs
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -32,7 +32,7 @@
             val lastContactAt = host.lastContactAt
             if (lastContactAt == null && host.listed != MachineState.RUNNING) continue
             count.expected++
-            if (lastContactAt != null && now - lastContactAt <= timing.missedHeartbeatsMs) count.heard++
+            if (lastContactAt != null && now - lastContactAt <= timing.heartbeatLateMs) count.heard++
             if (host.isReleasing) continue
             count.known++
             // A leader elected during a cut has never heard the machines behind it.
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -43,7 +43,7 @@
         now: Long,
     ) = host.lastContactAt == null &&
         !host.isReleasing &&
-        now - host.firstSeenAt > timing.missedHeartbeatsMs &&
+        now - host.firstSeenAt > timing.heartbeatLateMs &&
         (host.listed == MachineState.RUNNING || host.live.isNotEmpty())
 
     private fun show(
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -294,15 +294,7 @@
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
         val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(host.zone, host.lease.countsFromMs ?: now)
         if (mayBeOver) cluster.expire(host, now)
-        val patienceMs =
-            if (heartbeats.isCut(
-                    host.zone,
-                )
-            ) {
-                timing.partitionedCancelPatienceMs
-            } else {
-                timing.cancelPatienceMs
-            }
+        val patienceMs = if (heartbeats.isCut(host.zone)) timing.partitionPatienceMs else timing.cancelPatienceMs
         for (placed in host.live.values) {
             val cancelledAt = placed.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
@@ -362,7 +354,7 @@
         val endpoint = host.endpoint ?: return true
         val lastContactAt = host.lastContactAt ?: return true
         if (!host.isSettled(cluster.token) ||
-            now - lastContactAt > timing.missedHeartbeatsMs ||
+            now - lastContactAt > timing.heartbeatLateMs ||
             now < host.directNotBefore
         ) {
             return true
@@ -380,7 +372,7 @@
             host.directInFlight = emptyList()
             when (outcome) {
                 is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.report, isHeartbeat = false)
-                DirectOutcome.NotSent -> host.directNotBefore = clock.steadyMs() + timing.missedHeartbeatsMs
+                DirectOutcome.NotSent -> host.directNotBefore = clock.steadyMs() + timing.heartbeatLateMs
                 DirectOutcome.Unanswered -> {
                     // It may be executed minutes later; from here on the answers to reports carry the commands.
                     host.unresolved.addAll(starts)
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -228,7 +228,7 @@
     ): Double? {
         val lastContactAt = host.lastContactAt
         if (lastContactAt != null) {
-            if (now - lastContactAt > timing.missedHeartbeatsMs) return null
+            if (now - lastContactAt > timing.heartbeatLateMs) return null
             return if (host.token == cluster.token) 0.0 else SOON_S
         }
         if (host.listed == MachineState.RUNNING) {
@@ -325,8 +325,7 @@
         val now = clock.steadyMs()
         for (host in cluster.machines.values) {
             val type = types[host.type] ?: continue
-            val isReady =
-                !host.isReleasing && host.lastContactAt?.let { now - it <= timing.missedHeartbeatsMs } ?: false
+            val isReady = !host.isReleasing && host.lastContactAt?.let { now - it <= timing.heartbeatLateMs } ?: false
             if (isReady && !host.spot) free += host.free(type, unmanagedUsage(host))
         }
         return (need * SPARE).fitsIn(free)
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -31,7 +31,7 @@
     val workerLeaseRawMs: Long = workerLeaseMs.toLong()
 
     /** A machine whose heartbeats are missing for this long is not given new work. */
-    val missedHeartbeatsMs: Long = (heartbeatMs * 2.5).toLong()
+    val heartbeatLateMs: Long = (heartbeatMs * 2.5).toLong()
 
     /** A machine whose heartbeats are missing for this long is likely to hang or to be dead. */
     val suspectMs: Long = (workerLeaseMs * 0.4).toLong()
@@ -60,7 +60,7 @@
     val cancelPatienceMs: Long = (settings.workers.cancelS * 500.0).toLong()
 
     /** A partitioned zone may come back in time, and its machines hold much other work. */
-    val partitionedCancelPatienceMs: Long = (settings.workers.cancelS * 850.0).toLong()
+    val partitionPatienceMs: Long = (settings.workers.cancelS * 850.0).toLong()
 
     /** Whoever leads has had this long to take a cancellation over. */
     val enforceAfterMs: Long = (settings.workers.cancelS * 200.0).toLong()
@@ -106,7 +106,7 @@
     val errorPauseMs: Long = workerLeaseRawMs / 2
     val errorPauseMaxMs: Long = workerLeaseRawMs * 3
 
-    /** A machine that didn't take what it was told isn't given more for as long as that took to show. */
+    /** A machine that didn't accept a command isn't given more for as long as that needed to show. */
     val unresponsiveMs: Long = workerLeaseRawMs * 2
     val refusedPauseMs: Long = heartbeatMs.toLong() * 3
 
@@ -160,14 +160,10 @@
      * Until the next machine may be emptied after one with replicas of [jobs] jobs. Each job is written twice for it,
      * and moves may use a quarter of the write rate: so a large fleet shrinks as fast as its rates allow.
      */
-    fun movePauseMs(jobs: Int): Long =
-        if (jobs ==
-            0
-        ) {
-            noDrainPauseMs
-        } else {
-            (jobs * 2 / (writeRps * 0.25) * 1000.0).toLong()
-        }
+    fun movePauseMs(jobs: Int): Long {
+        if (jobs == 0) return noDrainPauseMs
+        return (jobs * 2 / (writeRps * 0.25) * 1000.0).toLong()
+    }
 
     fun jitter(maxMs: Long): Long = if (maxMs <= 0) 0 else random.nextLong(maxMs + 1)
 
--- a/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
@@ -67,7 +67,7 @@
     }
 
     @Test
-    fun `that changes before a whole read are gone doesn't cause another one`() {
+    fun `that changes before a full resync are gone doesn't cause another one`() {
         cache.tick()
         cache.tick()
         assertEquals(1, watches.size)
@@ -85,7 +85,7 @@
     }
 
     @Test
-    fun `the renewal of a lease that was given back doesn't cut the pause short`() {
+    fun `the renewal of a lease that was released doesn't cut the pause short`() {
         tick()
         tick()
         assertEquals(1, touches.size)
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -30,7 +30,7 @@
 import kotlin.random.Random
 
 /**
- * A copy that is read in small pages while jobs are accepted, placed, cancelled and ended: whatever it says of a job at
+ * A state cache that is read in small pages while jobs are accepted, placed, cancelled and ended: whatever it says of a job at
  * a revision is what was stored at that revision.
  */
 internal class TornRecordTest {
@@ -155,21 +155,21 @@
         }
     }
 
-    private class Copied(
+    private class Applied(
         val id: JobId,
         val version: Long,
         val value: Map<String, Any?>,
     )
 
     private inner class Listener(
-        private val copied: MutableList<Copied>,
+        private val applied: MutableList<Applied>,
     ) : StateCacheListener by IgnoringListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
             value: Map<String, Any?>,
         ) {
-            copied.add(Copied(id, job.version, value))
+            applied.add(Applied(id, job.version, value))
         }
     }
 
@@ -179,13 +179,13 @@
             val store = SimStore(world)
             val writer = Writer(store, Random(seed), spec)
             repeat(WRITES_BEFORE) { writer.step() }
-            val copied = ArrayList<Copied>()
-            val cache = StateCache(Port(store, writer), clock, timing, Listener(copied))
+            val applied = ArrayList<Applied>()
+            val cache = StateCache(Port(store, writer), clock, timing, Listener(applied))
             cache.tick()
-            val atReset = copied.size
+            val atReset = applied.size
             cache.catchUp {}
-            assertTrue(copied.size > atReset, "changes were replayed")
-            for (one in copied) {
+            assertTrue(applied.size > atReset, "changes were replayed")
+            for (one in applied) {
                 val stored = writer.truth.getValue(one.id.value to one.version)
                 val what = "seed $seed, ${one.id} at ${one.version}"
                 val read = JobRecord.decode(one.value)
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -186,7 +186,7 @@
     ) {
         running.addAll(there.map(::attempt))
         cancelled(first)
-        pass(timing.missedHeartbeatsMs)
+        pass(timing.heartbeatLateMs)
         cancelled(second)
         pass(forMs)
     }
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -392,7 +392,7 @@
             cluster.applyHeartbeat(report(1).copy(machine = MachineId(name)), isHeartbeat = true)
         }
         assertTrue(planning.hasRoomFor(listOf(silent), types))
-        clock.now += timing.missedHeartbeatsMs + 1
+        clock.now += timing.heartbeatLateMs + 1
         assertFalse(planning.hasRoomFor(listOf(silent), types), "the others are silent too")
     }
 
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -219,7 +219,7 @@
             cluster.jobs
                 .getValue(JobId("big"))
                 .live.keys,
-            "its placements are taken back",
+            "its uncommitted attempts are withdrawn",
         )
         val tooLarge =
             sent.map { it.changes }.filter { changes ->
@@ -241,7 +241,7 @@
     }
 
     @Test
-    fun `the slow answer to one write isn't taken for that to the next one`() {
+    fun `the slow answer to one write doesn't count as that to the next one`() {
         lead(isSwitchedOn = true, record("job", 4))
         val waiting = ArrayList<Held>().also { held = it }
         place("job", 0..0)
--- a/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
@@ -75,7 +75,7 @@
     }
 
     @Test
-    fun `the view, delegates and members are read and written as before`() {
+    fun `the leadership record, delegates and members are read and written as before`() {
         val member = Member("n0", "x1")
         val leadership = LeadershipRecord.decode(Cbor.decode(bytes("view")), 3)
         assertEquals(LeadershipRecord(7, oxbowlug.wire.FencingToken(6), member, 3), leadership)
