--- a/src/main/kotlin/oxbowlug/cache/CachedJob.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJob.kt
@@ -1,5 +1,6 @@
 package oxbowlug.cache
 
+import oxbowlug.record.JobFields
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Phase
 import oxbowlug.record.TaskRanges
@@ -72,15 +73,15 @@
         ): CachedJob {
             val fields = value.fields()
             val phase = JobRecord.phaseOf(fields)
-            val done = TaskRanges.decode(fields.textOrNull("done", Int.MAX_VALUE).orEmpty()).cardinality()
-            val run = if (fields.has("run")) fields.map("run") else emptyMap()
+            val done = TaskRanges.decode(fields.textOrNull(JobFields.DONE, Int.MAX_VALUE).orEmpty()).cardinality()
+            val run = if (fields.has(JobFields.PLACEMENTS)) fields.map(JobFields.PLACEMENTS) else emptyMap()
             val placed =
                 run.values.sumOf { text ->
                     (text as String).split(';').sumOf { attempt ->
                         TaskRanges.decode(attempt.substring(attempt.indexOf(':') + 1)).cardinality()
                     }
                 }
-            val spec = fields.map("spec").fields()
+            val spec = fields.map(JobFields.SPEC).fields()
             val isValueKept = !phase.isFinal || placed > 0
             return CachedJob(
                 phase = phase,
--- a/src/main/kotlin/oxbowlug/record/JobRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -31,13 +31,13 @@
 ) {
     fun encode(): Map<String, Any?> {
         val map = LinkedHashMap<String, Any?>()
-        map["spec"] = JobSpecCodec.encode(spec)
-        map["at"] = submittedMs
-        map["phase"] = phase.wire
-        if (!done.isEmpty) map["done"] = TaskRanges.encode(done)
-        map["next"] = nextAttempt
-        if (placements.isNotEmpty()) map["run"] = encodePlacements()
-        map["by"] = write
+        map[JobFields.SPEC] = JobSpecCodec.encode(spec)
+        map[JobFields.SUBMITTED_AT] = submittedMs
+        map[JobFields.PHASE] = phase.wire
+        if (!done.isEmpty) map[JobFields.DONE] = TaskRanges.encode(done)
+        map[JobFields.NEXT_ATTEMPT] = nextAttempt
+        if (placements.isNotEmpty()) map[JobFields.PLACEMENTS] = encodePlacements()
+        map[JobFields.WRITE_ID] = write
         if (cancelledMs != null) map[CANCELLED_AT] = cancelledMs
         return map
     }
@@ -65,21 +65,29 @@
         fun decode(value: Map<String, Any?>): JobRecord {
             val fields = value.fields()
             return JobRecord(
-                spec = JobSpecCodec.decode(fields.map("spec")),
-                submittedMs = fields.count("at"),
+                spec = JobSpecCodec.decode(fields.map(JobFields.SPEC)),
+                submittedMs = fields.count(JobFields.SUBMITTED_AT),
                 phase = phaseOf(fields),
-                done = TaskRanges.decode(fields.textOrNull("done", Int.MAX_VALUE).orEmpty()),
-                nextAttempt = fields.count("next"),
-                placements = if (fields.has("run")) decodePlacements(fields.map("run")) else emptyMap(),
-                write = fields.text("by"),
+                done = TaskRanges.decode(fields.textOrNull(JobFields.DONE, Int.MAX_VALUE).orEmpty()),
+                nextAttempt = fields.count(JobFields.NEXT_ATTEMPT),
+                placements =
+                    if (fields.has(
+                            JobFields.PLACEMENTS,
+                        )
+                    ) {
+                        decodePlacements(fields.map(JobFields.PLACEMENTS))
+                    } else {
+                        emptyMap()
+                    },
+                write = fields.text(JobFields.WRITE_ID),
                 cancelledMs = if (fields.has(CANCELLED_AT)) fields.count(CANCELLED_AT) else null,
                 partCount = RecordLayout.partCount(value),
             )
         }
 
         fun phaseOf(fields: Fields): Phase {
-            val text = fields.text("phase")
-            return Phase.entries.firstOrNull { it.wire == text } ?: throw InvalidField("phase", "is unknown")
+            val text = fields.text(JobFields.PHASE)
+            return Phase.entries.firstOrNull { it.wire == text } ?: throw InvalidField(JobFields.PHASE, "is unknown")
         }
 
         private fun decodePlacements(map: Map<String, Any?>): Map<Int, Placement> {
--- a/src/main/kotlin/oxbowlug/record/RecordLayout.kt
+++ b/src/main/kotlin/oxbowlug/record/RecordLayout.kt
@@ -33,8 +33,8 @@
         if (whole.sizeAsJson() <= valueBytes) return StoredForm(whole, emptyList())
         val pieces = ArrayList<Piece>()
         val head = LinkedHashMap(whole)
-        head.remove(RUN)
-        head.remove(DONE)
+        head.remove(JobFields.PLACEMENTS)
+        head.remove(JobFields.DONE)
         if (head.sizeAsJson() + HEAD_RESERVE > valueBytes) moveSpecLists(head, pieces)
         if (head.sizeAsJson() + HEAD_RESERVE > valueBytes) return null
         addPlacements(whole, pieces)
@@ -50,8 +50,8 @@
      */
     fun headAlone(record: Map<String, Any?>): Map<String, Any?> {
         val head = LinkedHashMap(record)
-        head.remove(RUN)
-        head.remove(DONE)
+        head.remove(JobFields.PLACEMENTS)
+        head.remove(JobFields.DONE)
         if (head.sizeAsJson() > valueBytes) moveSpecLists(head, ArrayList())
         return head
     }
@@ -88,19 +88,19 @@
         head: LinkedHashMap<String, Any?>,
         pieces: ArrayList<Piece>,
     ) {
-        val spec = LinkedHashMap(head.fields().map(SPEC))
+        val spec = LinkedHashMap(head.fields().map(JobFields.SPEC))
         for (field in MOVABLE_SPEC_FIELDS) {
             val list = spec.remove(field) ?: continue
             pieces.add(Piece.MovedSpecField(field, list))
         }
-        head[SPEC] = spec
+        head[JobFields.SPEC] = spec
     }
 
     private fun addPlacements(
         whole: Map<String, Any?>,
         pieces: ArrayList<Piece>,
     ) {
-        val run = whole[RUN] as? Map<*, *> ?: return
+        val run = whole[JobFields.PLACEMENTS] as? Map<*, *> ?: return
         val prefix = commonPrefix(run.keys.map { it.toString() })
         for ((machine, attempts) in run) {
             for (text in attempts.toString().split(';')) {
@@ -118,7 +118,7 @@
         whole: Map<String, Any?>,
         pieces: ArrayList<Piece>,
     ) {
-        val done = whole[DONE] as? String ?: return
+        val done = whole[JobFields.DONE] as? String ?: return
         for (ranges in chunks(done)) pieces.add(Piece.DoneRanges(ranges))
     }
 
@@ -191,12 +191,12 @@
 
         fun build(): Map<String, Any?> {
             val part = LinkedHashMap<String, Any?>()
-            if (spec.isNotEmpty()) part[SPEC] = spec
+            if (spec.isNotEmpty()) part[JobFields.SPEC] = spec
             if (run.isNotEmpty()) {
                 part[PREFIX] = prefix
-                part[RUN] = run
+                part[JobFields.PLACEMENTS] = run
             }
-            if (done.isNotEmpty()) part[DONE] = done.toString()
+            if (done.isNotEmpty()) part[JobFields.DONE] = done.toString()
             return part
         }
     }
@@ -204,9 +204,6 @@
     companion object {
         /** The head's field that says how many parts there are; absent when there is none. */
         const val PARTS = "parts"
-        private const val SPEC = "spec"
-        private const val RUN = "run"
-        private const val DONE = "done"
         private const val PREFIX = "prefix"
         private val MOVABLE_SPEC_FIELDS = listOf(JobSpecCodec.DEPENDS_ON, JobSpecCodec.TYPES)
         private const val BYTES_PER_KB = 1024
@@ -240,19 +237,24 @@
         ): Map<String, Any?> {
             val count = partCount(head)
             if (count == 0) return head
-            val spec = LinkedHashMap(head.fields().map(SPEC))
+            val spec = LinkedHashMap(head.fields().map(JobFields.SPEC))
             val run = LinkedHashMap<String, Any?>()
             val done = ArrayList<String>()
             for (index in 0 until count) {
                 val fields = (part(index) ?: throw InvalidField("parts[$index]", "is missing")).fields()
-                if (fields.has(SPEC)) spec.putAll(fields.map(SPEC))
-                if (fields.has(RUN)) addRun(fields.textOrNull(PREFIX).orEmpty(), fields.map(RUN), run)
-                fields.textOrNull(DONE, Int.MAX_VALUE)?.let(done::add)
+                if (fields.has(JobFields.SPEC)) spec.putAll(fields.map(JobFields.SPEC))
+                if (fields.has(
+                        JobFields.PLACEMENTS,
+                    )
+                ) {
+                    addRun(fields.textOrNull(PREFIX).orEmpty(), fields.map(JobFields.PLACEMENTS), run)
+                }
+                fields.textOrNull(JobFields.DONE, Int.MAX_VALUE)?.let(done::add)
             }
             val whole = LinkedHashMap(head)
-            whole[SPEC] = spec
-            if (done.isNotEmpty()) whole[DONE] = done.joinToString(",")
-            if (run.isNotEmpty()) whole[RUN] = run
+            whole[JobFields.SPEC] = spec
+            if (done.isNotEmpty()) whole[JobFields.DONE] = done.joinToString(",")
+            if (run.isNotEmpty()) whole[JobFields.PLACEMENTS] = run
             return whole
         }
 
@@ -262,7 +264,7 @@
             run: LinkedHashMap<String, Any?>,
         ) {
             for ((machine, text) in part) {
-                val tasks = text as? String ?: throw InvalidField(RUN, "must hold texts")
+                val tasks = text as? String ?: throw InvalidField(JobFields.PLACEMENTS, "must hold texts")
                 run.merge(prefix + machine, tasks) { one, other -> "$one;$other" }
             }
         }
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -38,7 +38,8 @@
 
     /**
      * When the first machine of a partitioned zone becomes suspect, all others have been silent for this long: a
-     * heartbeat comes after up to 1.25 times the interval. Counted any later, a part of the zone would be given up first.
+     * heartbeat comes after up to 1.25 times the interval. Counted any later, a part of the zone would be given up
+     * first.
      */
     val zonePartitionSilenceMs: Long = suspectMs - (heartbeatMs * 1.25).toLong()
 
@@ -48,7 +49,7 @@
     /** Early enough for a successor to answer before the workers' leases are over. */
     val workersLostMs: Long = (workerLeaseMs * 0.35).toLong()
 
-    /** Alone for this long, a lease renewal delegate begins: workers that lost the leader need as long to come to it. */
+    /** Alone for this long, a delegate begins: workers that lost the leader need as long to come to it. */
     val delegateAfterMs: Long = (workerLeaseMs * 0.35).toLong()
 
     /** For this long after it heard from the leader, its delegate has surely not begun. */
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -30,8 +30,8 @@
 import kotlin.random.Random
 
 /**
- * A state cache that is read in small pages while jobs are accepted, placed, cancelled and ended: whatever it says of a job at
- * a revision is what was stored at that revision.
+ * A state cache that is read in small pages while jobs are accepted, placed, cancelled and ended: whatever it says of a
+ * job at a revision is what was stored at that revision.
  */
 internal class TornRecordTest {
     private val world = World(1)
