--- a/src/main/kotlin/oxbowlug/record/JobRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -70,15 +70,7 @@
                 phase = phaseOf(fields),
                 done = TaskRanges.decode(fields.textOrNull(JobFields.DONE, Int.MAX_VALUE).orEmpty()),
                 nextAttempt = fields.count(JobFields.NEXT_ATTEMPT),
-                placements =
-                    if (fields.has(
-                            JobFields.PLACEMENTS,
-                        )
-                    ) {
-                        decodePlacements(fields.map(JobFields.PLACEMENTS))
-                    } else {
-                        emptyMap()
-                    },
+                placements = decodePlacements(fields),
                 write = fields.text(JobFields.WRITE_ID),
                 cancelledMs = if (fields.has(CANCELLED_AT)) fields.count(CANCELLED_AT) else null,
                 partCount = RecordLayout.partCount(value),
@@ -90,9 +82,10 @@
             return Phase.entries.firstOrNull { it.wire == text } ?: throw InvalidField(JobFields.PHASE, "is unknown")
         }
 
-        private fun decodePlacements(map: Map<String, Any?>): Map<Int, Placement> {
+        private fun decodePlacements(fields: Fields): Map<Int, Placement> {
+            if (!fields.has(JobFields.PLACEMENTS)) return emptyMap()
             val result = LinkedHashMap<Int, Placement>()
-            for ((machine, text) in map) {
+            for ((machine, text) in fields.map(JobFields.PLACEMENTS)) {
                 for (part in (text as String).split(';')) {
                     val colon = part.indexOf(':')
                     val placement = Placement(MachineId(machine), part.substring(0, colon).toLong())
