--- a/src/main/kotlin/oxbowlug/record/RecordLayout.kt
+++ b/src/main/kotlin/oxbowlug/record/RecordLayout.kt
@@ -1,6 +1,7 @@
 package oxbowlug.record
 
 import oxbowlug.config.WriteLimits
+import oxbowlug.wire.Fields
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.fields
@@ -243,12 +244,7 @@
             for (index in 0 until count) {
                 val fields = (part(index) ?: throw InvalidField("parts[$index]", "is missing")).fields()
                 if (fields.has(JobFields.SPEC)) spec.putAll(fields.map(JobFields.SPEC))
-                if (fields.has(
-                        JobFields.PLACEMENTS,
-                    )
-                ) {
-                    addRun(fields.textOrNull(PREFIX).orEmpty(), fields.map(JobFields.PLACEMENTS), run)
-                }
+                if (fields.has(JobFields.PLACEMENTS)) addPlacementsOf(fields, run)
                 fields.textOrNull(JobFields.DONE, Int.MAX_VALUE)?.let(done::add)
             }
             val whole = LinkedHashMap(head)
@@ -258,12 +254,12 @@
             return whole
         }
 
-        private fun addRun(
-            prefix: String,
-            part: Map<String, Any?>,
+        private fun addPlacementsOf(
+            part: Fields,
             run: LinkedHashMap<String, Any?>,
         ) {
-            for ((machine, text) in part) {
+            val prefix = part.textOrNull(PREFIX).orEmpty()
+            for ((machine, text) in part.map(JobFields.PLACEMENTS)) {
                 val tasks = text as? String ?: throw InvalidField(JobFields.PLACEMENTS, "must hold texts")
                 run.merge(prefix + machine, tasks) { one, other -> "$one;$other" }
             }
