--- a/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
@@ -151,6 +151,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("state-cache")
+        val log = LoggerFactory.getLogger("cache")
     }
 }
--- a/src/main/kotlin/oxbowlug/cache/CachedJobs.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJobs.kt
@@ -120,6 +120,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("state-cache")
+        val log = LoggerFactory.getLogger("cache")
     }
 }
--- a/src/main/kotlin/oxbowlug/cache/FullResync.kt
+++ b/src/main/kotlin/oxbowlug/cache/FullResync.kt
@@ -109,6 +109,6 @@
     private companion object {
         /** No page has been answered yet; revisions aren't negative. */
         const val NO_REVISION = -1L
-        val log = LoggerFactory.getLogger("state-cache")
+        val log = LoggerFactory.getLogger("cache")
     }
 }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -114,7 +114,7 @@
         probe.isInFlight = true
         workers.status(endpoint) { heartbeat ->
             val answeredAt = clock.steadyMs()
-            probe.nextProbeAt = answeredAt + timing.missedHeartbeatsMs
+            probe.nextProbeAt = answeredAt + timing.heartbeatLateMs
             if (heartbeat == null || heartbeat.machine != machine) {
                 probe.isInFlight = false
                 return@status
@@ -147,7 +147,7 @@
             probe.nextProbeAt = clock.steadyMs()
             if (outcome is DirectOutcome.Answered && presentAttempts(outcome.heartbeat, attempts).isEmpty()) {
                 probe.recordAbsence(attempts, clock.steadyMs())
-                probe.nextProbeAt = clock.steadyMs() + timing.missedHeartbeatsMs
+                probe.nextProbeAt = clock.steadyMs() + timing.heartbeatLateMs
             }
         }
     }
@@ -183,6 +183,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("cancellations")
+        val log = LoggerFactory.getLogger("cancellation")
     }
 }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -174,6 +174,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("cancellations")
+        val log = LoggerFactory.getLogger("cancellation")
     }
 }
--- a/src/main/kotlin/oxbowlug/cancellation/PendingCancellation.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/PendingCancellation.kt
@@ -56,6 +56,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("cancellations")
+        val log = LoggerFactory.getLogger("cancellation")
     }
 }
--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -173,6 +173,6 @@
 
         /** Percentiles cover the last one to two windows, each so many times the replanning interval. */
         const val METRICS_WINDOW_REPLANS = 2
-        val log = LoggerFactory.getLogger("service")
+        val log = LoggerFactory.getLogger("cli")
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -211,6 +211,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("fleet")
+        val log = LoggerFactory.getLogger("cluster")
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -186,6 +186,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("fleet")
+        val log = LoggerFactory.getLogger("cluster")
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
@@ -127,6 +127,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("fleet")
+        val log = LoggerFactory.getLogger("cluster")
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -32,7 +32,7 @@
             val lastContactAt = machine.lastContactAt
             if (lastContactAt == null && machine.listed != MachineState.RUNNING) continue
             count.expected++
-            if (lastContactAt != null && now - lastContactAt <= timing.missedHeartbeatsMs) count.heard++
+            if (lastContactAt != null && now - lastContactAt <= timing.heartbeatLateMs) count.heard++
             if (machine.isReleasing) continue
             count.kept++
             // A leader elected during a cut has never heard the machines behind it.
--- a/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
@@ -58,6 +58,6 @@
 
     private companion object {
         const val PAUSES_PER_LEASE = 10
-        val log = LoggerFactory.getLogger("upgrade")
+        val log = LoggerFactory.getLogger("commit")
     }
 }
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -226,6 +226,6 @@
 
     private companion object {
         const val MAX_IN_FLIGHT = 3
-        val log = LoggerFactory.getLogger("commits")
+        val log = LoggerFactory.getLogger("commit")
     }
 }
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -81,7 +81,7 @@
             cache,
             peerHealth,
             peers,
-            ::isTerminationProven,
+            terms::isTerminationProven,
         )
     private val cancellationEnforcer =
         CancellationEnforcer(
@@ -249,20 +249,6 @@
             formerLeader::mayAnswer,
         )
 
-    /** Whether all attempts of a job are proven gone by the leader here; null: not its affair, or not known. */
-    private fun isTerminationProven(id: JobId): Boolean? =
-        when (election.role()) {
-            is LeadershipRole.Leader, is LeadershipRole.RenewalOnly -> {
-                val job =
-                    terms.latest
-                        ?.cluster
-                        ?.jobs
-                        ?.get(id)
-                job?.attempts?.isEmpty()
-            }
-            is LeadershipRole.Follower, LeadershipRole.Unknown -> null
-        }
-
     private inner class CacheListener : StateCacheListener {
         override fun onMembershipRead() = election.registerOrCampaign(clock.steadyMs())
 
--- a/src/main/kotlin/oxbowlug/controller/LeaderTerms.kt
+++ b/src/main/kotlin/oxbowlug/controller/LeaderTerms.kt
@@ -8,6 +8,7 @@
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
 import oxbowlug.record.WritableFormat
+import oxbowlug.wire.JobId
 
 /** Holds the term in which this controller leads, if it does, and [begin]s it when all that it needs is known. */
 internal class LeaderTerms(
@@ -39,6 +40,16 @@
         return begin(leadership).also { latest = it }
     }
 
+    /** Whether all attempts of a job are proven gone by the leader here; null: not its affair, or not known. */
+    fun isTerminationProven(id: JobId): Boolean? =
+        when (election.role()) {
+            is LeadershipRole.Leader, is LeadershipRole.RenewalOnly -> {
+                val job = latest?.cluster?.jobs?.get(id)
+                job?.attempts?.isEmpty()
+            }
+            is LeadershipRole.Follower, LeadershipRole.Unknown -> null
+        }
+
     private fun isOurs(leadership: LeadershipRecord): Boolean =
         leadership.leader == self &&
             election.role() !is LeadershipRole.Follower &&
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -224,6 +224,6 @@
         /** Before every reading of the steady clock; halved so that a difference to it cannot overflow. */
         const val NEVER_MS = Long.MIN_VALUE / 2
 
-        val log = LoggerFactory.getLogger("authority")
+        val log = LoggerFactory.getLogger("election")
     }
 }
--- a/src/main/kotlin/oxbowlug/invariant/Invariants.kt
+++ b/src/main/kotlin/oxbowlug/invariant/Invariants.kt
@@ -23,6 +23,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("invariants")
+        val log = LoggerFactory.getLogger("invariant")
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
+++ b/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
@@ -66,6 +66,6 @@
 
     private companion object {
         const val MS = 1_000_000
-        val log = LoggerFactory.getLogger("load")
+        val log = LoggerFactory.getLogger("leader")
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -38,7 +38,7 @@
         val endpoint = machine.endpoint ?: return true
         val lastContactAt = machine.lastContactAt ?: return true
         if (!machine.isSettled(cluster.token) ||
-            now - lastContactAt > timing.missedHeartbeatsMs ||
+            now - lastContactAt > timing.heartbeatLateMs ||
             now < machine.nextDirectCommandAt
         ) {
             return true
@@ -69,7 +69,7 @@
         machine.directStartsInFlight = emptyList()
         when (outcome) {
             is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
-            DirectOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.missedHeartbeatsMs
+            DirectOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.heartbeatLateMs
             DirectOutcome.Unanswered -> {
                 // It may be executed minutes later; from here on the answers to heartbeats carry the commands.
                 machine.unresolvedStarts.addAll(starts)
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -43,7 +43,7 @@
         now: Long,
     ) = machine.lastContactAt == null &&
         !machine.isReleasing &&
-        now - machine.firstSeenAt > timing.missedHeartbeatsMs &&
+        now - machine.firstSeenAt > timing.heartbeatLateMs &&
         (machine.listed == MachineState.RUNNING || machine.attempts.isNotEmpty())
 
     private fun showToken(
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -130,7 +130,7 @@
                     machine.zone,
                 )
             ) {
-                timing.partitionedCancelPatienceMs
+                timing.partitionPatienceMs
             } else {
                 timing.cancelPatienceMs
             }
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -130,6 +130,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("delegates")
+        val log = LoggerFactory.getLogger("lease")
     }
 }
--- a/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
@@ -42,7 +42,7 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("renewals")
+        val log = LoggerFactory.getLogger("lease")
     }
 }
 
--- a/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
@@ -97,7 +97,7 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("requests")
+        val log = LoggerFactory.getLogger("request")
         const val MAX_ATTEMPTS = 5
     }
 }
--- a/src/main/kotlin/oxbowlug/request/UserResponder.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponder.kt
@@ -93,7 +93,7 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("requests")
+        val log = LoggerFactory.getLogger("request")
         const val RETRY_AFTER_S = 1
     }
 }
--- a/src/main/kotlin/oxbowlug/scaling/CapacityRefusals.kt
+++ b/src/main/kotlin/oxbowlug/scaling/CapacityRefusals.kt
@@ -54,6 +54,6 @@
     private companion object {
         const val MAX_DOUBLINGS = 4
         const val SCARCE_HALF_LIVES = 4
-        val log = LoggerFactory.getLogger("rentals")
+        val log = LoggerFactory.getLogger("scaling")
     }
 }
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -216,6 +216,6 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("rentals")
+        val log = LoggerFactory.getLogger("scaling")
     }
 }
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -68,7 +68,7 @@
     ): Double? {
         val lastContactAt = machine.lastContactAt
         if (lastContactAt != null) {
-            if (now - lastContactAt > timing.missedHeartbeatsMs) return null
+            if (now - lastContactAt > timing.heartbeatLateMs) return null
             return if (machine.token == cluster.token) 0.0 else SOON_S
         }
         if (machine.listed == MachineState.RUNNING) {
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -121,7 +121,7 @@
         for (machine in cluster.machines.values) {
             val type = types[machine.type] ?: continue
             val isReady =
-                !machine.isReleasing && machine.lastContactAt?.let { now - it <= timing.missedHeartbeatsMs } ?: false
+                !machine.isReleasing && machine.lastContactAt?.let { now - it <= timing.heartbeatLateMs } ?: false
             if (isReady && !machine.spot) free += machine.free(type, availableMachines.unmanagedUsage(machine))
         }
         return (need * SPARE).fitsIn(free)
