--- a/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
@@ -73,7 +73,7 @@
         record: JobRecord,
         now: Long,
     ) {
-        if (job.spec.dependsOn.isEmpty()) cluster.forecast.leave(job.spec, clock.wallMs())
+        if (job.spec.dependsOn.isEmpty()) cluster.forecast.remove(job.spec, clock.wallMs())
         val since = cancelledAt(record, now)
         job.cancelledAt = since
         log.info(
--- a/src/main/kotlin/oxbowlug/forecast/DemandForecast.kt
+++ b/src/main/kotlin/oxbowlug/forecast/DemandForecast.kt
@@ -23,19 +23,19 @@
         val tasks: Int,
     )
 
-    private class Followed(
+    private class FollowedClass(
         val objective: Objective.Wait,
     ) {
         val changes = ArrayDeque<Change>()
         var example: JobSpec? = null
     }
 
-    private val followed = HashMap<ClassName, Followed>()
+    private val followed = HashMap<ClassName, FollowedClass>()
     private var firstMs = Long.MAX_VALUE
 
     init {
         for (objective in settings.objectives) {
-            if (objective is Objective.Wait) followed[objective.className] = Followed(objective)
+            if (objective is Objective.Wait) followed[objective.className] = FollowedClass(objective)
         }
     }
 
@@ -44,12 +44,12 @@
         atMs: Long,
     ) {
         firstMs = minOf(firstMs, atMs)
-        val kind = followed[spec.className] ?: return
-        kind.changes.addLast(Change(atMs, spec.tasks))
-        kind.example = spec
+        val followedClass = followed[spec.className] ?: return
+        followedClass.changes.addLast(Change(atMs, spec.tasks))
+        followedClass.example = spec
     }
 
-    fun leave(
+    fun remove(
         spec: JobSpec,
         atMs: Long,
     ) {
@@ -59,20 +59,20 @@
     /** An example of each class with the number of its tasks that should find room at once. */
     fun expected(
         nowMs: Long,
-        leadS: (JobSpec) -> Double,
+        bootS: (JobSpec) -> Double,
     ): List<Pair<JobSpec, Int>> {
         val result = ArrayList<Pair<JobSpec, Int>>()
         // Jobs that came before this leader count for their own time, not for its short one.
         val seenS = (minOf(windowMs, nowMs - firstMs) / 1000.0).coerceAtLeast(MIN_SEEN_S)
-        for (kind in followed.values) {
-            kind.changes.removeIf { it.atMs < nowMs - windowMs }
-            val example = kind.example ?: continue
-            if (kind.changes.none { it.tasks > 0 }) continue
-            val growth = kind.changes.sumOf { it.tasks }.coerceAtLeast(0)
-            val squares = kind.changes.sumOf { it.tasks.toDouble() * it.tasks }
-            val lead = leadS(example) / seenS
+        for (followedClass in followed.values) {
+            followedClass.changes.removeIf { it.atMs < nowMs - windowMs }
+            val example = followedClass.example ?: continue
+            if (followedClass.changes.none { it.tasks > 0 }) continue
+            val growth = followedClass.changes.sumOf { it.tasks }.coerceAtLeast(0)
+            val squares = followedClass.changes.sumOf { it.tasks.toDouble() * it.tasks }
+            val lead = bootS(example) / seenS
             // The spread of a compound Poisson count; the objective's share says how far out to go.
-            val sigmas = -ln((1.0 - kind.objective.share).coerceAtLeast(1e-3)) / 2.0
+            val sigmas = -ln((1.0 - followedClass.objective.share).coerceAtLeast(1e-3)) / 2.0
             val count = ceil(growth * lead + sigmas * sqrt(squares * lead)).toInt()
             if (count > 0) result.add(example to count)
         }
--- a/src/test/kotlin/oxbowlug/forecast/DemandForecastTest.kt
+++ b/src/test/kotlin/oxbowlug/forecast/DemandForecastTest.kt
@@ -58,7 +58,7 @@
         for (case in cases) {
             val forecast = DemandForecast(SettingsFile.parse(SampleSettings.valid), 90_000)
             repeat(case.came) { forecast.add(spec(1), 0) }
-            repeat(case.left) { forecast.leave(spec(1), 1_000) }
+            repeat(case.left) { forecast.remove(spec(1), 1_000) }
             val expected = forecast.expected(case.nowS * 1000) { 30.0 }
             assertEquals(case.room, expected.sumOf { it.second }, case.name)
         }
