--- a/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
@@ -8,6 +8,7 @@
     private const val MACHINES_TO_SUSPECT_JOB = 3
     private const val MAX_DOUBLINGS = 6
 
+    /** A task of [job] failed on [machine]. */
     fun onError(
         machine: Machine,
         job: Job,
@@ -25,6 +26,7 @@
         }
     }
 
+    /** [machine] refused or lost a task of [job] for a reason that isn't the task's own. */
     fun onRefused(
         machine: Machine,
         job: Job,
--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -72,6 +72,7 @@
 
     val remaining: Int get() = spec.tasks - done.cardinality()
 
+    /** Replaces the attempts by those of a stored record, which this leader or an earlier one committed. */
     fun restoreAttempts(record: JobRecord) {
         attempts.clear()
         for ((task, placement) in record.placements) {
@@ -83,6 +84,7 @@
         }
     }
 
+    /** A new attempt of [task], which is not to be started before its record is stored. */
     fun place(
         task: Int,
         machine: MachineId,
@@ -99,6 +101,7 @@
         nextAttempt++
     }
 
+    /** The task's result counts, whatever happens to its attempts. */
     fun markDone(
         task: Int,
         now: Long,
@@ -109,6 +112,7 @@
         markDirty(now, urgent = complete)
     }
 
+    /** Removes the attempt of [task]. Only [ClusterState.remove] may call it, for a proof. */
     fun drop(
         task: Int,
         now: Long,
@@ -139,6 +143,7 @@
         return if (count == result.size) result else result.copyOf(count)
     }
 
+    /** Whether the stored record, or the one that is being written, names [attempt]. */
     fun isStored(attempt: AttemptId): Boolean =
         holds(stored, attempt) ||
             pendingRecord?.let {
@@ -171,6 +176,7 @@
         return BitSet().apply { set(0, done.cardinality()) }
     }
 
+    /** [record] is sent to the state service; [parts] are its parts if it is divided. */
     fun beginWrite(
         record: JobRecord,
         parts: List<Map<String, Any?>>,
--- a/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -6,6 +6,7 @@
 import oxbowlug.wire.TaskId
 import oxbowlug.wire.TaskState
 
+/** Why a task that may still run is stopped: for a more urgent one, or to leave its machine. */
 internal enum class StopReason { PREEMPTED, DRAINED }
 
 /** One attempt that is, or may be, on a machine. It counts for every limit until it is proven gone. */
@@ -48,6 +49,7 @@
         if (firstSentAt == null) firstSentAt = now
     }
 
+    /** A start was first sent more than [patienceMs] ago. */
     fun isOverdue(
         now: Long,
         patienceMs: Long,
--- a/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
@@ -16,6 +16,7 @@
     private val used = HashMap<TeamName, Resources>()
     private var countedAt = Long.MIN_VALUE
 
+    /** Whether the team's attempts, as counted at most a tick ago, exceed its quota. */
     fun isOverQuota(
         name: TeamName,
         jobs: Collection<Job>,
@@ -40,6 +41,7 @@
         return sum.cores > team.maxCores + ROUNDING || sum.gpus > team.maxGpus + ROUNDING
     }
 
+    /** An attempt of the team was removed. */
     fun freed(
         name: TeamName,
         need: Resources,
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -45,6 +45,7 @@
     /** If most of a zone is silent, releasing its machines would make it worse. */
     fun isMajorityAlive(zone: Zone?): Boolean = zones[zone]?.let { it.heard * 2 > it.expected } ?: false
 
+    /** So many machines of the zone are silent that a network partition is likelier than their deaths. */
     fun isCut(zone: Zone?): Boolean = zones[zone]?.let { it.silent > maxOf(1, it.kept / CUT_DIVISOR) } ?: false
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/forecast/DemandForecast.kt
+++ b/src/main/kotlin/oxbowlug/forecast/DemandForecast.kt
@@ -39,6 +39,7 @@
         }
     }
 
+    /** A job came at [atMs], by the time of day. */
     fun add(
         spec: JobSpec,
         atMs: Long,
@@ -49,6 +50,7 @@
         followedClass.example = spec
     }
 
+    /** A job left without running to its end: cancelled at [atMs], by the time of day. */
     fun remove(
         spec: JobSpec,
         atMs: Long,
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -25,6 +25,7 @@
     private var inFlight = 0
     private var nextRoundAt = 0L
 
+    /** Shows the token to some of the machines that are due for it. */
     fun tick(now: Long) {
         if (now - startedAt < timing.propagateTokenAfterMs || now < nextRoundAt || !mayBeAnswered()) return
         nextRoundAt = now + timing.peerHeartbeatMs
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -145,6 +145,7 @@
         return commands
     }
 
+    /** One periodic step, in this order: leases end before machines are released and work is placed. */
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
         delegates.tick(now)
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -58,12 +58,14 @@
         }
     }
 
+    /** Sends the next batch of releases if none is in flight. */
     fun releaseDue() {
         val now = clock.steadyMs()
         val isDue = !isReleaseInFlight && toRelease.isNotEmpty() && now >= nextReleaseAt
         if (isDue && budget.tryTake(1.0, now)) releaseBatch()
     }
 
+    /** Orders machines. An order is repeated under its request id until it is answered or too old. */
     fun rent(
         kind: MachineKind,
         count: Int,
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -41,6 +41,7 @@
     private val pendingJobs = PendingJobs(cluster, clock, weights, recordRoom)
     private val availableMachines = AvailableMachines(cluster, timing, weights, startedAt)
 
+    /** What the planner needs of the present state. [mayMove] allows moves that only consolidate. */
     fun snapshot(
         types: Map<TypeName, MachineType>,
         mayMove: Boolean,
