--- a/src/main/kotlin/oxbowlug/cluster/RecordSize.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordSize.kt
@@ -1,7 +1,6 @@
-package oxbowlug.cluster
+package oxbowlug.record
 
-import oxbowlug.record.JobRecord
-import oxbowlug.record.TaskRanges
+import oxbowlug.cluster.Job
 
 /** An upper bound of a record's size as a single value, in the form in which the state service counts it. */
 internal object RecordSize {
--- a/src/test/kotlin/oxbowlug/record/RecordsTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordsTest.kt
@@ -4,7 +4,6 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import oxbowlug.cluster.Job
-import oxbowlug.cluster.RecordSize
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.JobSpecCodec
 import oxbowlug.wire.JobSpecCodecTest
