--- a/src/main/kotlin/oxbowlug/cache/CachedJobs.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJobs.kt
@@ -35,8 +35,8 @@
         }
 
     /**
-     * Prepares for a full resync at revision [from] that found the keys [present]: all parts are forgotten, and the jobs
-     * that are gone.
+     * Prepares for a full resync at revision [from] that found the keys [present]: all parts are forgotten, and the
+     * jobs that are gone.
      */
     fun retain(
         present: Set<String>,
--- a/src/main/kotlin/oxbowlug/cache/FullResync.kt
+++ b/src/main/kotlin/oxbowlug/cache/FullResync.kt
@@ -42,7 +42,9 @@
     var count = 0L
         private set
 
-    /** Begins unless one is under way or the pause after a failure isn't over. For as long as the cache isn't synced. */
+    /**
+     * Begins unless one is under way or the pause after a failure isn't over. For as long as the cache isn't synced.
+     */
     fun tick(now: Long) {
         if (!isReading && now >= nextAttemptAt) read()
     }
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -179,7 +179,8 @@
                 nextWriteAt = now + timing.retryMs()
             }
             CommitOutcome.Invalid, CommitOutcome.LeaseOver -> handleTooLarge(batch, now)
-            // It may have been applied, or may be later: read, then write again with the same compare-and-swap versions.
+            // It may have been applied, or may be later: read, then write again with the same compare-and-swap
+            // versions.
             CommitOutcome.Unanswered -> cache.catchUp { requeue(batch, clock.steadyMs()) }
         }
     }
@@ -207,7 +208,10 @@
         for (prepared in batch) prepared.job.notWritten(prepared.record, now)
     }
 
-    /** Sent again unchanged it would be refused for ever: first each job alone, then without the attempts that can be withdrawn. */
+    /**
+     * Sent again unchanged it would be refused for ever: first each job alone, then without the attempts that can be
+     * withdrawn.
+     */
     private fun handleTooLarge(
         batch: List<PreparedWrite>,
         now: Long,
--- a/src/scale/kotlin/oxbowlug/scale/Wire.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Wire.kt
@@ -38,7 +38,10 @@
     )
 
     fun decodeAnswer(status: Int, body: Map<String, Any?>): HeartbeatResponse = when (status) {
-        Status.OK -> HeartbeatResponse.Renewed(FencingToken(body.fields().countOr("brand", 0)), decodeCommands(body.fields()))
+        Status.OK -> {
+            val fields = body.fields()
+            HeartbeatResponse.Renewed(FencingToken(fields.countOr("brand", 0)), decodeCommands(fields))
+        }
         Status.REDIRECT -> HeartbeatResponse.Redirect(body.fields().textOrNull("drover"))
         else -> HeartbeatResponse.Unavailable
     }
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -40,7 +40,10 @@
         for (fault in schedule.faults) world.after(fault.atMs) { begin(fault) }
     }
 
-    private fun leaderLabel(): String? = store.entry(Keys.LEADERSHIP)?.let { LeadershipRecord.decode(it.value, it.version).leader.label }
+    private fun leaderLabel(): String? {
+        val entry = store.entry(Keys.LEADERSHIP) ?: return null
+        return LeadershipRecord.decode(entry.value, entry.version).leader.label
+    }
 
     private fun leader(): ControllerProcess =
         leaderLabel().let { label -> controllers.firstOrNull { it.place.label == label } ?: controllers[0] }
--- a/src/scale/kotlin/oxbowlug/standin/Rules.kt
+++ b/src/scale/kotlin/oxbowlug/standin/Rules.kt
@@ -149,7 +149,8 @@
         if (answer is UserResponse.Accepted || answer is UserResponse.Known) job?.answeredAt = world.nowMs
         when (answer) {
             is UserResponse.Accepted -> toldAccepted(id, jobs.getValue(id), askedMs)
-            is UserResponse.Known -> if (job == null) fail("invented", id) else toldState(id, job, answer.status, askedMs)
+            is UserResponse.Known ->
+                if (job == null) fail("invented", id) else toldState(id, job, answer.status, askedMs)
             UserResponse.NotFound -> if (isKnown(job, askedMs)) fail("forgotten", "$id is answered 404")
             is UserResponse.Rejected -> if (isKnown(job, askedMs)) fail("forgotten", "$id is answered 422")
             is UserResponse.Malformed -> if (isKnown(job, askedMs)) fail("forgotten", "$id is answered 400")
--- a/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
@@ -232,7 +232,8 @@
         when (answer) {
             is HeartbeatResponse.Renewed -> {
                 if (world.nowMs > leaseFrom + leaseMs) expire()
-                if (answer.token < token || message.incarnation != incarnation || world.nowMs > sentAt + ANSWER_MS) return
+                val isLate = world.nowMs > sentAt + ANSWER_MS
+                if (answer.token < token || message.incarnation != incarnation || isLate) return
                 see(answer.token)
                 leaseFrom = sentAt
                 answer.commands.forEach(::execute)
@@ -258,11 +259,16 @@
     )
 
     /** A direct command, which a hanging machine executes when it goes on. Null: nobody answers. */
-    fun direct(given: FencingToken, inSession: Long, commands: List<WorkerCommand>, answer: (WorkerHeartbeat, Boolean) -> Unit) {
+    fun direct(
+        given: FencingToken,
+        forIncarnation: Long,
+        commands: List<WorkerCommand>,
+        answer: (WorkerHeartbeat, Boolean) -> Unit,
+    ) {
         whenAwake {
             if (world.nowMs >= unresponsiveUntil) {
                 if (world.nowMs > leaseFrom + leaseMs) expire()
-                val valid = given >= token && inSession == incarnation
+                val valid = given >= token && forIncarnation == incarnation
                 if (valid) {
                     see(given)
                     commands.forEach(::execute)
@@ -272,7 +278,8 @@
         }
     }
 
-    fun status(answer: (WorkerHeartbeat) -> Unit) = whenAwake { if (world.nowMs >= unresponsiveUntil) answer(account()) }
+    fun status(answer: (WorkerHeartbeat) -> Unit) =
+        whenAwake { if (world.nowMs >= unresponsiveUntil) answer(account()) }
 
     private fun execute(command: WorkerCommand) {
         when (command) {
--- a/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
@@ -382,8 +382,8 @@
 
     @Test
     fun `spot work leaves ordinary room that can't be had again to those who need it`() {
-        // Found on the bench: all ordinary machines were rented, arrays filled them, and replicas waited for stops while
-        // spot machines could be had.
+        // Found on the bench: all ordinary machines were rented, arrays filled them, and replicas waited for stops
+        // while spot machines could be had.
         val array = spec("run-1", JobKind.ARRAY, Priority.NORMAL, tasks = 8).copy(spot = true, estimateS = 100.0)
         val refused =
             listOf(a, b).associate {
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -44,7 +44,9 @@
     /** Shares of transactions that get no answer: carried out at once, or 2 to 12 s later, after newer ones. */
     var unansweredWrites = 0.0
 
-    /** Share of the answered transactions whose answer takes 50 ms to 1.5 s, while the watch brings the change at once. */
+    /**
+     * Share of the answered transactions whose answer takes 50 ms to 1.5 s, while the watch brings the change at once.
+     */
     var slowAnswers = 0.0
 
     /** How long each page of a read takes, beside its way; null: no longer. */
--- a/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
@@ -10,8 +10,8 @@
 import oxbowlug.wire.TypeName
 
 /**
- * A worker that hears no answers begins a new incarnation, of which its leader learns by a direct command's answer alone,
- * starts tasks in it, and doesn't hear from it for the rest of a lease (docs/incidents/broke-at-size-2.md).
+ * A worker that hears no answers begins a new incarnation, of which its leader learns by a direct command's answer
+ * alone, starts tasks in it, and doesn't hear from it for the rest of a lease (docs/incidents/broke-at-size-2.md).
  */
 internal class UnobservedIncarnationTest {
     private class Day(
@@ -56,7 +56,8 @@
             at(BASE_JOB_MS) { submitSpread("base", BASE_GPUS) }
             simulation.run(CALM_MS)
             worker = simulation.cloud.workers.first()
-            // Its reports arrive and are answered; it hears nothing until its incarnation is over, and then reports nothing.
+            // Its reports arrive and are answered; it hears nothing until its incarnation is over, and then reports
+            // nothing.
             val over = worker.leaseFrom + LEASE_MS + WORKER_TICK_MS
             worker.unresponsiveUntil = over
             at(over - MUTE_BEFORE_MS) { worker.muteUntil = over + LEASE_MS - BACK_BEFORE_MS }
