--- a/src/main/kotlin/oxbowlug/api/ClientServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ClientServer.kt
@@ -44,7 +44,7 @@
     private fun route(request: HttpServerRequest) {
         val path = request.path()
         when {
-            path == "/hello" -> withBody(request, HttpMethod.POST, ::report)
+            path == "/hello" -> withBody(request, HttpMethod.POST, ::heartbeat)
             path == "/work" -> withBody(request, HttpMethod.POST, ::submit)
             path == "/healthz" -> reply(request, if (controller.isHealthy()) 200 else 503, emptyMap())
             path == "/metrics" -> request.response().putHeader("content-type", "text/plain").end(metrics())
@@ -82,14 +82,14 @@
         offer(request, command)
     }
 
-    private fun report(
+    private fun heartbeat(
         request: HttpServerRequest,
         body: Map<String, Any?>,
     ) {
-        val report = WorkerCodec.decodeHeartbeat(body)
+        val heartbeat = WorkerCodec.decodeHeartbeat(body)
         offer(
             request,
-            ControllerEvent.Heartbeat(report) { answer ->
+            ControllerEvent.Heartbeat(heartbeat) { answer ->
                 when (answer) {
                     is HeartbeatResponse.Renewed ->
                         reply(request, 200, WorkerCodec.encodeAnswer(answer.token, answer.commands))
--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -133,9 +133,9 @@
 
     /** See [HeartbeatReconciliation.apply]. */
     fun applyHeartbeat(
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         isHeartbeat: Boolean,
-    ): Machine? = reconciliation.apply(report, isHeartbeat)
+    ): Machine? = reconciliation.apply(heartbeat, isHeartbeat)
 
     /** See [WorkerCommands.of]. */
     fun commands(
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -28,17 +28,17 @@
      * lease. Returns the machine that sent it, or null if the machine was removed.
      */
     fun apply(
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         isHeartbeat: Boolean,
     ): Machine? {
-        val machine = cluster.machine(report.machine) ?: return null
+        val machine = cluster.machine(heartbeat.machine) ?: return null
         val now = clock.steadyMs()
-        val position = HeartbeatPosition(report.incarnation, report.sequence)
-        if (machine.lease.hasEnded(report.incarnation)) {
-            log.info("heartbeat of an ended incarnation: machine={} incarnation={}", machine.id, report.incarnation)
+        val position = HeartbeatPosition(heartbeat.incarnation, heartbeat.sequence)
+        if (machine.lease.hasEnded(heartbeat.incarnation)) {
+            log.info("heartbeat of an ended incarnation: machine={} incarnation={}", machine.id, heartbeat.incarnation)
             return machine
         }
-        machine.lease.onIncarnationObserved(report.incarnation, now)
+        machine.lease.onIncarnationObserved(heartbeat.incarnation, now)
         if (isHeartbeat) {
             // A duplicate of an older heartbeat renews nothing and proves nothing.
             if (position <= machine.lastHeartbeat) return machine
@@ -46,12 +46,12 @@
             machine.lease.renewed(now)
         }
         if (position <= machine.position) return machine
-        if (report.incarnation > machine.position.incarnation || report.token > machine.token) {
+        if (heartbeat.incarnation > machine.position.incarnation || heartbeat.token > machine.token) {
             // Direct commands carry incarnation and token, so those of an earlier one can't be executed any more.
             machine.unresolvedStarts.clear()
         }
         val firstHeard = machine.lastContactAt == null
-        update(machine, report, position, now)
+        update(machine, heartbeat, position, now)
         if (firstHeard) cluster.planWanted = true
         applyTasks(machine, position, isHeartbeat, now)
         return machine
@@ -59,20 +59,20 @@
 
     private fun update(
         machine: Machine,
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         position: HeartbeatPosition,
         now: Long,
     ) {
         machine.position = position
-        machine.token = report.token
+        machine.token = heartbeat.token
         machine.lastContactAt = now
         machine.isLeaseExpired = false
-        machine.type = report.type
-        machine.zone = report.zone
-        machine.spot = report.spot
-        machine.endpoint = Address.parse(report.endpoint)
-        machine.noticeUntil = report.noticeS?.let { now + (it * 1000).toLong() }
-        machine.tasks = report.tasks.associateBy { it.attempt }
+        machine.type = heartbeat.type
+        machine.zone = heartbeat.zone
+        machine.spot = heartbeat.spot
+        machine.endpoint = Address.parse(heartbeat.endpoint)
+        machine.noticeUntil = heartbeat.noticeS?.let { now + (it * 1000).toLong() }
+        machine.tasks = heartbeat.tasks.associateBy { it.attempt }
     }
 
     private fun applyTasks(
@@ -100,7 +100,7 @@
         }
     }
 
-    /** The machine's newest report doesn't name [attempt]: gone, not yet started, or its start was lost. */
+    /** The machine's newest heartbeat doesn't name [attempt]: gone, not yet started, or its start was lost. */
     private fun applyAbsence(
         machine: Machine,
         attempt: TaskAttempt,
@@ -112,7 +112,7 @@
         val isAbsent = settled && attempt.isInherited
         if (settled) attempt.isInherited = false
         val answered = attempt.startAnsweredAt
-        // One report is in flight at a time: after a newer one, an older answer is executed or dropped for good.
+        // One heartbeat is in flight at a time: after a newer one, an older answer is executed or dropped for good.
         if (isHeartbeat && answered != null && position > answered) attempt.startAnsweredAt = null
         attempt.workerState = null
         if (machine.mayBeThere(attempt, cluster.token)) return
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -54,7 +54,7 @@
         result: ArrayList<WorkerCommand>,
     ) {
         if (attempt.isWanted) {
-            // Its next report will show our token, and then it is settled whether this one is still to run.
+            // Its next heartbeat will show our token, and then it is settled whether this one is still to run.
             val waits = attempt.isInherited && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)
             if (!waits) result.add(WorkerCommand.Start(attempt.id))
             return
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -46,7 +46,7 @@
     fun isMajorityAlive(zone: Zone?): Boolean = zones[zone]?.let { it.heard * 2 > it.expected } ?: false
 
     /** So many machines of the zone are silent that a network partition is likelier than their deaths. */
-    fun isCut(zone: Zone?): Boolean = zones[zone]?.let { it.silent > maxOf(1, it.kept / CUT_DIVISOR) } ?: false
+    fun isPartitioned(zone: Zone?): Boolean = zones[zone]?.let { it.silent > maxOf(1, it.kept / CUT_DIVISOR) } ?: false
 
     private companion object {
         /** More than one in so many of a zone's machines don't hang or die at a time. */
--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -16,12 +16,15 @@
 ) {
     /** The cluster state and the state cache have to agree on what is cancelled, or one of them lacks it. */
     fun requireStops(
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         commands: List<WorkerCommand>,
     ) {
-        val missing = cache.cancelledWork(report).notAmong(commands)
+        val missing = cache.cancelledWork(heartbeat).notAmong(commands)
         if (missing.isEmpty()) return
-        invariants.violated(Invariant.CANCELLED_WORK_IS_STOPPED, "${missing.map { it.attempt }} on ${report.machine}")
+        invariants.violated(
+            Invariant.CANCELLED_WORK_IS_STOPPED,
+            "${missing.map { it.attempt }} on ${heartbeat.machine}",
+        )
     }
 
     /** All starts pass here on their way out: those that no stored record names are dropped. */
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -54,11 +54,11 @@
         val endpoint = machine.endpoint ?: return
         inFlight++
         nextAt[machine] = now + timing.suspectMs
-        workers.status(endpoint) { report ->
-            if (report == null || report.machine != machine.id || report.token >= cluster.token) {
+        workers.status(endpoint) { heartbeat ->
+            if (heartbeat == null || heartbeat.machine != machine.id || heartbeat.token >= cluster.token) {
                 inFlight--
             } else {
-                workers.command(endpoint, cluster.token, report.incarnation, emptyList()) { inFlight-- }
+                workers.command(endpoint, cluster.token, heartbeat.incarnation, emptyList()) { inFlight-- }
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -126,18 +126,18 @@
      * The commands for a heartbeat under our lead, to which [WorkerLeaseRenewals] adds the stops of cancelled work.
      * Null: the machine or its incarnation is gone, and nothing may renew it.
      */
-    fun onHeartbeat(report: WorkerHeartbeat): List<WorkerCommand>? {
-        val machine = cluster.applyHeartbeat(report, isHeartbeat = true) ?: return null
+    fun onHeartbeat(heartbeat: WorkerHeartbeat): List<WorkerCommand>? {
+        val machine = cluster.applyHeartbeat(heartbeat, isHeartbeat = true) ?: return null
         lastHeartbeatAt = clock.steadyMs()
         // A duplicate that came late, or our proof was wrong: renewed, the incarnation would live on with all attempts
         // that were removed with it and that nobody stops there.
-        if (machine.lease.hasEnded(report.incarnation)) return null
+        if (machine.lease.hasEnded(heartbeat.incarnation)) return null
         if (!decisions.mayLead) return emptyList()
-        val position = HeartbeatPosition(report.incarnation, report.sequence)
+        val position = HeartbeatPosition(heartbeat.incarnation, heartbeat.sequence)
         // The answer to a duplicate goes nowhere; it must not look as if the worker had been told.
         if (position < machine.lastHeartbeat) return emptyList()
         val commands = checks.storedOnly(machine, cluster.commands(machine, clock.steadyMs()))
-        if (position == machine.position) checks.requireStops(report, commands)
+        if (position == machine.position) checks.requireStops(heartbeat, commands)
         for (command in commands) {
             if (command !is WorkerCommand.Start) continue
             machine.attempts[command.attempt]?.sentInAnswer(position, clock.steadyMs())
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -38,17 +38,17 @@
         reserved: Set<MachineId>,
         now: Long,
     ) {
-        val heartbeats = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
-        val hasRoom by lazy(LazyThreadSafetyMode.NONE) { round.hasRoomFor(heartbeats.suspects, types) }
+        val liveness = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
+        val hasRoom by lazy(LazyThreadSafetyMode.NONE) { round.hasRoomFor(liveness.suspects, types) }
         for (machine in cluster.machines.values.toList()) {
-            supervise(machine, now, types, reserved, heartbeats) { hasRoom }
+            supervise(machine, now, types, reserved, liveness) { hasRoom }
         }
     }
 
     /** The part of [tick] that needs no right to decide. */
     fun endCancelledWork(now: Long) {
-        val heartbeats = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
-        for (machine in cluster.machines.values.toList()) endCancelled(machine, now, heartbeats)
+        val liveness = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
+        for (machine in cluster.machines.values.toList()) endCancelled(machine, now, liveness)
     }
 
     private fun supervise(
@@ -56,10 +56,10 @@
         now: Long,
         types: Map<TypeName, MachineType>,
         reserved: Set<MachineId>,
-        heartbeats: ZoneLiveness,
+        liveness: ZoneLiveness,
         hasRoom: () -> Boolean,
     ) {
-        endCancelled(machine, now, heartbeats)
+        endCancelled(machine, now, liveness)
         drain(machine, now)
         if (machine.isReleasing) return
         // Where no other can be had, a machine that may go on is worth more than the rent of its silence.
@@ -67,11 +67,11 @@
         val silentMs = (settings.policy.silentLeases * timing.workerLeaseRawMs).toLong() * patience
         val lastHeard = machine.lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
         val expected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
-        if (expected && now - lastHeard > silentMs && heartbeats.isMajorityAlive(machine.zone)) {
+        if (expected && now - lastHeard > silentMs && liveness.isMajorityAlive(machine.zone)) {
             scaler.scheduleRelease(machine, ReleaseReason.SILENT)
         }
         if (isWorthReleasing(machine, now, types) &&
-            !heartbeats.isCut(machine.zone) &&
+            !liveness.isPartitioned(machine.zone) &&
             (!scaler.isScarce(machine, now) || hasRoom())
         ) {
             scaler.scheduleRelease(machine, ReleaseReason.SILENT_WITH_REPLICAS)
@@ -120,20 +120,13 @@
     private fun endCancelled(
         machine: Machine,
         now: Long,
-        heartbeats: ZoneLiveness,
+        liveness: ZoneLiveness,
     ) {
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
         val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
         if (mayBeOver) cluster.expire(machine, now)
-        val patienceMs =
-            if (heartbeats.isCut(
-                    machine.zone,
-                )
-            ) {
-                timing.partitionPatienceMs
-            } else {
-                timing.cancelPatienceMs
-            }
+        val isPartitioned = liveness.isPartitioned(machine.zone)
+        val patienceMs = if (isPartitioned) timing.partitionPatienceMs else timing.cancelPatienceMs
         for (attempt in machine.attempts.values) {
             val cancelledAt = attempt.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
--- a/src/main/kotlin/oxbowlug/plan/Consolidation.kt
+++ b/src/main/kotlin/oxbowlug/plan/Consolidation.kt
@@ -102,7 +102,7 @@
         return (use[host.zone] ?: 0) < spec.zoneCap
     }
 
-    /** A moved replica is down for about a report, a plan and a start. */
+    /** A moved replica is down for about a heartbeat, a plan and a start. */
     private const val MOVE_S = 3.0
 
     /** In a full fleet nothing fits elsewhere, and trying every machine against every other is its square. */
--- a/src/main/kotlin/oxbowlug/plan/Offers.kt
+++ b/src/main/kotlin/oxbowlug/plan/Offers.kt
@@ -281,7 +281,7 @@
         /** Refusals longer ago than some half-lives of their price don't count any more. */
         const val SCARCE = 0.1
 
-        /** Room that is coming free is there after about a report and a plan. */
+        /** Room that is coming free is there after about a heartbeat and a plan. */
         const val COMING_S = 2.0
     }
 }
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -434,7 +434,7 @@
                     }
                 }
             val heartbeats = ZoneLiveness(hosts, timing, clock.now - silent, clock.now)
-            assertEquals(case.isCut, heartbeats.isCut(Zone("a")), case.name)
+            assertEquals(case.isCut, heartbeats.isPartitioned(Zone("a")), case.name)
             assertEquals(case.suspects, heartbeats.suspects.size, case.name)
         }
     }
