--- a/src/main/kotlin/oxbowlug/api/ClientServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ClientServer.kt
@@ -11,8 +11,8 @@
 import oxbowlug.config.Settings
 import oxbowlug.controller.Command
 import oxbowlug.controller.Core
-import oxbowlug.lease.ReportAnswer
-import oxbowlug.request.UserAnswer
+import oxbowlug.lease.HeartbeatResponse
+import oxbowlug.request.UserResponse
 import oxbowlug.wire.AnswerCodec
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.InvalidField
@@ -73,34 +73,34 @@
     }
 
     private fun report(request: HttpServerRequest, body: Map<String, Any?>) {
-        val report = WorkerCodec.decodeReport(body)
+        val report = WorkerCodec.decodeHeartbeat(body)
         offer(
             request,
-            Command.Report(report) { answer ->
+            Command.Heartbeat(report) { answer ->
                 when (answer) {
-                    is ReportAnswer.Taken ->
+                    is HeartbeatResponse.Renewed ->
                         reply(request, 200, WorkerCodec.encodeAnswer(answer.token, answer.commands))
-                    is ReportAnswer.Redirect -> reply(request, 421, AnswerCodec.redirect(answer.label))
-                    ReportAnswer.Unavailable -> reply(request, 503, emptyMap())
+                    is HeartbeatResponse.Redirect -> reply(request, 421, AnswerCodec.redirect(answer.label))
+                    HeartbeatResponse.Unavailable -> reply(request, 503, emptyMap())
                 }
             }
         )
     }
 
-    private fun answer(request: HttpServerRequest, answer: UserAnswer) {
+    private fun answer(request: HttpServerRequest, answer: UserResponse) {
         when (answer) {
-            is UserAnswer.Accepted -> reply(request, 201, AnswerCodec.accepted(answer.status))
-            is UserAnswer.Known -> reply(request, 200, AnswerCodec.polled(answer.status))
-            is UserAnswer.Malformed -> reply(request, 400, AnswerCodec.problem(answer.problem))
-            is UserAnswer.Rejected -> reply(request, 422, AnswerCodec.problem(answer.problem))
-            UserAnswer.NotFound -> reply(request, 404, AnswerCodec.problem("no such job"))
-            is UserAnswer.Unavailable -> later(request, 503, answer.retryAfterS, answer.why)
-            is UserAnswer.Overloaded -> later(request, 429, answer.retryAfterS, "more is asked than can be done")
+            is UserResponse.Accepted -> reply(request, 201, AnswerCodec.accepted(answer.status))
+            is UserResponse.Known -> reply(request, 200, AnswerCodec.polled(answer.status))
+            is UserResponse.Malformed -> reply(request, 400, AnswerCodec.problem(answer.problem))
+            is UserResponse.Rejected -> reply(request, 422, AnswerCodec.problem(answer.problem))
+            UserResponse.NotFound -> reply(request, 404, AnswerCodec.problem("no such job"))
+            is UserResponse.Unavailable -> later(request, 503, answer.retryAfterS, answer.why)
+            is UserResponse.Overloaded -> later(request, 429, answer.retryAfterS, "more is asked than can be done")
         }
     }
 
-    private fun answerCancel(request: HttpServerRequest, answer: UserAnswer) {
-        if (answer !is UserAnswer.Known) return answer(request, answer)
+    private fun answerCancel(request: HttpServerRequest, answer: UserResponse) {
+        if (answer !is UserResponse.Known) return answer(request, answer)
         reply(request, 200, AnswerCodec.accepted(answer.status))
     }
 
--- a/src/main/kotlin/oxbowlug/cache/CancelledWork.kt
+++ b/src/main/kotlin/oxbowlug/cache/CancelledWork.kt
@@ -3,9 +3,9 @@
 import oxbowlug.record.Phase
 import oxbowlug.wire.TaskState
 import oxbowlug.wire.WorkerCommand
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 
 /** What has to be stopped whoever leads: tasks of jobs that are cancelled for good. */
-fun StateCache.cancelledWork(report: WorkerReport): List<WorkerCommand.Stop> = report.tasks
+fun StateCache.cancelledWork(report: WorkerHeartbeat): List<WorkerCommand.Stop> = report.tasks
     .filter { it.state != TaskState.EXITED && job(it.attempt.task.job)?.phase == Phase.CANCELLED }
     .map { WorkerCommand.Stop(it.attempt, 0.0) }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -17,7 +17,7 @@
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.TaskState
 import oxbowlug.wire.WorkerCommand
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 
 /**
  * What a controller that doesn't lead does about cancelled work that nobody entitled sees to: it asks the machine,
@@ -30,7 +30,7 @@
     private val clock: Clock,
     private val timing: Timing,
     private val cache: StateCache,
-    private val cancellations: Cancellations,
+    private val cancellations: CancellationTracker,
     private val peerHealth: PeerHealth,
     private val cloud: CloudPort,
     private val workers: WorkerPort,
@@ -72,9 +72,9 @@
     }
 
     /** The leader knows of it and is heard: it has until the last moment. */
-    private fun isInGoodHands(pending: Cancellations.PendingCancellation): Boolean {
+    private fun isHandledByLeader(pending: CancellationTracker.PendingCancellation): Boolean {
         val leader = cache.leadership?.leader ?: return false
-        val isAlive = peerHealth.lifeOf(leader.label) == leader && peerHealth.isHeard(leader.label)
+        val isAlive = peerHealth.incarnationOf(leader.label) == leader && peerHealth.isAlive(leader.label)
         return isAlive && leader in pending.acknowledged
     }
 
@@ -86,20 +86,20 @@
         }
         val now = clock.steadyMs()
         val rank = rank().coerceAtLeast(0)
-        val due = cancellations.open.filter { !it.hasEnded && isDue(it, now, rank) }
+        val due = cancellations.open.filter { !it.isTerminationProven && isDue(it, now, rank) }
         for ((machine, attempts) in attemptsByMachine(due)) look(machine, attempts, now)
         val toReturn = due.filter { now - it.confirmedAt > timing.enforceByReturnMs + rank * callMs }
             .flatMapTo(LinkedHashSet()) { pending -> pending.attempts.filter { !isClear(it, now) }.keys }
         if (toReturn.isNotEmpty()) returnMachines(toReturn.take(CloudCodec.MAX_RETURNED), now)
     }
 
-    private fun isDue(pending: Cancellations.PendingCancellation, now: Long, rank: Int): Boolean {
-        val fromMs = if (isInGoodHands(pending)) timing.enforceByReturnMs * 3 / 4 else timing.enforceAfterMs
+    private fun isDue(pending: CancellationTracker.PendingCancellation, now: Long, rank: Int): Boolean {
+        val fromMs = if (isHandledByLeader(pending)) timing.enforceByReturnMs * 3 / 4 else timing.enforceAfterMs
         return now - pending.confirmedAt >= fromMs + rank * timing.enforceStepMs
     }
 
     /** All at once: asked about one job after the other, a machine that holds many would be asked about the first. */
-    private fun attemptsByMachine(due: List<Cancellations.PendingCancellation>): Map<MachineId, Set<AttemptId>> {
+    private fun attemptsByMachine(due: List<CancellationTracker.PendingCancellation>): Map<MachineId, Set<AttemptId>> {
         val result = LinkedHashMap<MachineId, HashSet<AttemptId>>()
         for (pending in due) {
             for ((machine, attempts) in pending.attempts) result.getOrPut(machine, ::HashSet).addAll(attempts)
@@ -130,12 +130,12 @@
     }
 
     /** Those of the attempts that are there, or that a start is about to bring there. */
-    private fun shown(report: WorkerReport, attempts: Set<AttemptId>): List<AttemptId> =
+    private fun shown(report: WorkerHeartbeat, attempts: Set<AttemptId>): List<AttemptId> =
         report.tasks.filter { it.attempt in attempts && it.state != TaskState.EXITED }.map { it.attempt }
 
     private fun stop(
         endpoint: Address,
-        report: WorkerReport,
+        report: WorkerHeartbeat,
         watch: Watched,
         attempts: Set<AttemptId>,
         left: List<AttemptId>,
@@ -143,7 +143,7 @@
         log.info("stopping {} on {}, since nobody else does", left, report.machine)
         // With the token that it knows already, so that nobody's authority is touched.
         val commands = left.map { WorkerCommand.Stop(it, 0.0) }
-        workers.command(endpoint, report.token, report.session, commands) { outcome ->
+        workers.command(endpoint, report.token, report.incarnation, commands) { outcome ->
             watch.isAsking = false
             watch.nextAt = clock.steadyMs()
             if (outcome is DirectOutcome.Answered && shown(outcome.report, attempts).isEmpty()) {
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -23,51 +23,51 @@
     private val timing: Timing,
     private val cache: StateCache,
 ) {
-    private class Word(val life: Member) {
+    private class PeerConfirmations(val life: Member) {
         /** All that it confirmed up to then is known here. */
-        var sureAt = Long.MIN_VALUE / 2
+        var knownUpToMs = Long.MIN_VALUE / 2
         var lastContactAt = 0L
-        var itsMs = Long.MIN_VALUE
+        var senderMs = Long.MIN_VALUE
         var mayConfirm = true
     }
 
-    private val words = HashMap<String, Word>()
+    private val confirmationsByPeer = HashMap<String, PeerConfirmations>()
 
     /** Ended after a silence in which they may have confirmed something; the latest moment of doubt by label. */
     private val doubts = HashMap<String, Long>()
 
-    fun hear(heartbeat: PeerHeartbeat) {
+    fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val now = clock.steadyMs()
         val label = heartbeat.sender.label
-        val present = words[label]
-        if (present != null && present.life == heartbeat.sender && heartbeat.atMs < present.itsMs) return
-        val word = if (present?.life == heartbeat.sender) present else Word(heartbeat.sender).also { words[label] = it }
-        if (present != null && word !== present) ended(label, present, now)
-        word.lastContactAt = now
-        word.itsMs = heartbeat.atMs
-        word.mayConfirm = heartbeat.mayConfirm
+        val present = confirmationsByPeer[label]
+        if (present != null && present.life == heartbeat.sender && heartbeat.atMs < present.senderMs) return
+        val confirmations = if (present?.life == heartbeat.sender) present else PeerConfirmations(heartbeat.sender).also { confirmationsByPeer[label] = it }
+        if (present != null && confirmations !== present) ended(label, present, now)
+        confirmations.lastContactAt = now
+        confirmations.senderMs = heartbeat.atMs
+        confirmations.mayConfirm = heartbeat.mayConfirm
         val echo = heartbeat.echo
         // It wrote this after it had our word of that time, and had confirmed nothing by then that we don't know.
-        if (!heartbeat.hasUnacknowledged && echo != null && echo.of == self) word.sureAt = maxOf(word.sureAt, echo.atMs)
+        if (!heartbeat.hasUnacknowledged && echo != null && echo.of == self) confirmations.knownUpToMs = maxOf(confirmations.knownUpToMs, echo.atMs)
     }
 
     /** Heard until shortly before it was back, it told what it confirmed: its words came over one connection. */
-    private fun ended(label: String, former: Word, now: Long) {
+    private fun ended(label: String, former: PeerConfirmations, now: Long) {
         val wasCutOff = now - former.lastContactAt > timing.workerLeaseRawMs
         if (former.mayConfirm && wasCutOff) doubts[label] = now
     }
 
     /** Whether leases may be renewed here although the state service is out of reach. */
-    fun isSure(): Boolean {
+    fun mayRenewLeases(): Boolean {
         val limit = clock.steadyMs() - timing.blindRenewalMs
         val readUpTo = cache.freshAsOfMs
         if (readUpTo >= limit) return true
         doubts.values.removeIf { it <= readUpTo }
         if (doubts.isNotEmpty()) return false
         val there = cache.members().mapTo(HashSet()) { it.label }
-        val expected = settings.peers.filter { it.label in words || it.label in there }
+        val expected = settings.peers.filter { it.label in confirmationsByPeer || it.label in there }
         if (expected.isEmpty()) return true
-        val (heard, silent) = expected.partition { (words[it.label]?.sureAt ?: limit) >= limit }
+        val (heard, silent) = expected.partition { (confirmationsByPeer[it.label]?.knownUpToMs ?: limit) >= limit }
         if (heard.isEmpty()) return false
         val near = heard.mapTo(hashSetOf(settings.zone)) { it.zone }
         return silent.none { it.zone in near }
--- a/src/main/kotlin/oxbowlug/cancellation/Cancellations.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -26,7 +26,7 @@
  * confirms one tells the others before the user, until each has said that it knows; whoever learns of one passes it on
  * to those that may have missed it; and what nobody entitled takes over ends by [CancellationEnforcer].
  */
-class Cancellations(
+class CancellationTracker(
     private val self: Member,
     private val settings: Settings,
     private val clock: Clock,
@@ -35,12 +35,12 @@
     private val peerHealth: PeerHealth,
     private val peers: PeerPort,
     /** What the leader here, if there is one, knows of the job's attempts; null: not its affair, or not known. */
-    private val hasEndedHere: (JobId) -> Boolean?,
+    private val isTerminationProvenHere: (JobId) -> Boolean?,
 ) {
     class PendingCancellation(
         var cancellation: Cancellation,
-        var isOwn: Boolean,
-        val learnedAt: Long,
+        var isConfirmedHere: Boolean,
+        val observedAt: Long,
         val confirmedAt: Long
     ) {
         val acknowledged = HashSet<Member>()
@@ -63,69 +63,69 @@
         }
 
         /** Somebody entitled has proven it. */
-        var hasEnded = false
+        var isTerminationProven = false
             private set
 
         /** From here on nobody looks for it or gives machines back for it, so the log says by whose word. */
-        fun ended(by: Member) {
-            if (!hasEnded) log.info("{} at {} has ended, by {}", cancellation.id, cancellation.version, by.label)
-            hasEnded = true
+        fun markTerminated(by: Member) {
+            if (!isTerminationProven) log.info("{} at {} has ended, by {}", cancellation.id, cancellation.version, by.label)
+            isTerminationProven = true
         }
     }
 
     private val pendingById = LinkedHashMap<JobId, PendingCancellation>()
-    private var nextTellAt = 0L
+    private var nextNoticeAt = 0L
 
     val open: Collection<PendingCancellation> get() = pendingById.values
 
     /** Whether the leader doesn't yet know of one that was confirmed here. */
     fun hasUnacknowledged(): Boolean {
         val leader = cache.leadership?.leader ?: return false
-        return leader != self && pendingById.values.any { it.isOwn && !it.hasEnded && leader !in it.acknowledged }
+        return leader != self && pendingById.values.any { it.isConfirmedHere && !it.isTerminationProven && leader !in it.acknowledged }
     }
 
     /** Committed here, and about to be told to its user: an end of this process right after must not lose it. */
     fun confirmed(id: JobId, version: Long, value: Map<String, Any?>) {
-        take(Cancellation(id, version, value), isOwn = true)
+        take(Cancellation(id, version, value), isConfirmedHere = true)
         cache.applyRecord(id, version, value)
     }
 
     /** The copy has a newer record of a job, by whatever road it came. */
-    fun learned(id: JobId, stored: CachedJob, value: Map<String, Any?>) {
+    fun onRecordChanged(id: JobId, stored: CachedJob, value: Map<String, Any?>) {
         if (!stored.phase.isFinal) return
         if (stored.phase == Phase.CANCELLED && stored.placed > 0) {
-            take(Cancellation(id, stored.version, value), isOwn = false)
+            take(Cancellation(id, stored.version, value), isConfirmedHere = false)
         } else {
             pendingById.remove(id)
         }
     }
 
-    private fun take(cancellation: Cancellation, isOwn: Boolean) {
+    private fun take(cancellation: Cancellation, isConfirmedHere: Boolean) {
         val present = pendingById[cancellation.id]
         if (present != null) {
             if (cancellation.version > present.cancellation.version) present.cancellation = cancellation
             // The watch may have brought our own write before its answer came.
-            if (isOwn) announce(present)
+            if (isConfirmedHere) announce(present)
             return
         }
         val record = JobRecord.decode(cancellation.value)
         if (record.placements.isEmpty()) return
         val now = clock.steadyMs()
         val ageMs = record.cancelledMs?.let { clock.wallMs() - it + settings.skewMs.toLong() } ?: 0
-        val pending = PendingCancellation(cancellation, isOwn, now, now - ageMs.coerceIn(0, timing.cancelMs))
+        val pending = PendingCancellation(cancellation, isConfirmedHere, now, now - ageMs.coerceIn(0, timing.cancelMs))
         pendingById[cancellation.id] = pending
-        if (isOwn) sendToAll(pending)
+        if (isConfirmedHere) sendToAll(pending)
     }
 
     /** A user is about to be told of it from what was read here, which confirms it just as well. */
-    fun told(id: JobId) {
+    fun onUserInformed(id: JobId) {
         pendingById[id]?.let(::announce)
     }
 
     private fun announce(pending: PendingCancellation) {
         val leader = cache.leadership?.leader
-        if (pending.isOwn || pending.hasEnded || leader in pending.acknowledged) return
-        pending.isOwn = true
+        if (pending.isConfirmedHere || pending.isTerminationProven || leader in pending.acknowledged) return
+        pending.isConfirmedHere = true
         sendToAll(pending)
     }
 
@@ -135,52 +135,52 @@
 
     fun tick() {
         val now = clock.steadyMs()
-        if (pendingById.isEmpty() || now < nextTellAt) return
-        nextTellAt = now + timing.peerHeartbeatMs
+        if (pendingById.isEmpty() || now < nextNoticeAt) return
+        nextNoticeAt = now + timing.peerHeartbeatMs
         for (pending in pendingById.values) {
-            if (hasEndedHere(pending.cancellation.id) == true) pending.ended(by = self)
-            if (!pending.hasEnded) tell(pending, now)
+            if (isTerminationProvenHere(pending.cancellation.id) == true) pending.markTerminated(by = self)
+            if (!pending.isTerminationProven) sendNotice(pending, now)
         }
     }
 
-    private fun tell(pending: PendingCancellation, now: Long) {
+    private fun sendNotice(pending: PendingCancellation, now: Long) {
         for (peer in settings.peers) {
-            val present = peerHealth.lifeOf(peer.label)
+            val present = peerHealth.incarnationOf(peer.label)
             val knows = present != null && present in pending.acknowledged
             val isLeader = cache.leadership?.leader?.label == peer.label
             val due = when {
                 // The leader is asked again whether it has ended: only then need nobody else see to it.
-                knows -> isLeader && now - pending.learnedAt > timing.enforceAfterMs
-                pending.isOwn -> true
+                knows -> isLeader && now - pending.observedAt > timing.enforceAfterMs
+                pending.isConfirmedHere -> true
                 // By the watch all learn of it in time; one that lost the state service, or was started since, doesn't.
-                else -> now - pending.learnedAt > timing.enforceAfterMs || peerHealth.isWithoutState(peer.label)
+                else -> now - pending.observedAt > timing.enforceAfterMs || peerHealth.isWithoutState(peer.label)
             }
             if (due) peers.send(peer.label, CancellationNotice.Cancelled(self, pending.cancellation))
         }
     }
 
-    fun hear(word: CancellationNotice) {
-        when (word) {
-            is CancellationNotice.Cancelled -> hearCancelled(word)
-            is CancellationNotice.Acknowledged -> for (item in word.items) {
+    fun onNotice(notice: CancellationNotice) {
+        when (notice) {
+            is CancellationNotice.Cancelled -> onCancelled(notice)
+            is CancellationNotice.Acknowledged -> for (item in notice.items) {
                 val pending = pendingById[item.id] ?: continue
-                pending.acknowledged.add(word.sender)
-                if (item.hasEnded && word.sender == cache.leadership?.leader) pending.ended(by = word.sender)
+                pending.acknowledged.add(notice.sender)
+                if (item.isTerminationProven && notice.sender == cache.leadership?.leader) pending.markTerminated(by = notice.sender)
             }
         }
     }
 
-    private fun hearCancelled(word: CancellationNotice.Cancelled) {
-        val said = word.cancellation
+    private fun onCancelled(notice: CancellationNotice.Cancelled) {
+        val said = notice.cancellation
         val present = cache.job(said.id)
         val isFinal = JobRecord.phaseOf(said.value.fields()) == Phase.CANCELLED
         if (!isFinal || present?.phase == Phase.DONE) {
-            log.error("refused a cancellation of {} by {}", said.id, word.sender.label)
+            log.error("refused a cancellation of {} by {}", said.id, notice.sender.label)
             return
         }
         cache.applyRecord(said.id, said.version, said.value)
-        val hasEnded = cache.job(said.id)?.placed == 0 || hasEndedHere(said.id) == true
-        peers.send(word.sender.label, CancellationNotice.Acknowledged(self, listOf(Acknowledgement(said.id, hasEnded))))
+        val isTerminationProven = cache.job(said.id)?.placed == 0 || isTerminationProvenHere(said.id) == true
+        peers.send(notice.sender.label, CancellationNotice.Acknowledged(self, listOf(Acknowledgement(said.id, isTerminationProven))))
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -66,7 +66,7 @@
         )
         // Each machine already holds a connection for its reports. Those for commands are closed after some reports'
         // time, or twice as many sockets as machines would be open at once.
-        val commandIdleS = ceil(settings.workers.reportS * 2).toInt()
+        val commandIdleS = ceil(settings.workers.heartbeatS * 2).toInt()
         val workers = WorkerClient(HttpCaller(vertx, 1, commandIdleS), scope, leaseMs / 5, settle)
         val random = Random(seed())
         val self = Member(settings.label, random.nextLong().toULong().toString(36))
@@ -75,8 +75,8 @@
         val peers = PeerLink(vertx, settings, Timing(settings, random).peerHeartbeatMs, heartbeat, images) { message ->
             when (message) {
                 is PeerMessage.Heartbeat -> core.offer(Command.PeerHeartbeatReceived(message.heartbeat))
-                is PeerMessage.Word -> core.offer(Command.CancellationNoticeReceived(message.word))
-                is PeerMessage.Images -> core.offer(Command.HeardImages(message.images, message.isFirst))
+                is PeerMessage.Notice -> core.offer(Command.CancellationNoticeReceived(message.notice))
+                is PeerMessage.Images -> core.offer(Command.ImagesReceived(message.images, message.isFirst))
             }
         }
         core = Core(settings, self, state, cloud, workers, SystemClock, metrics, random, peers) {
--- a/src/main/kotlin/oxbowlug/cli/StandInServices.kt
+++ b/src/main/kotlin/oxbowlug/cli/StandInServices.kt
@@ -83,7 +83,7 @@
             "pull_gb_per_s" to 1.0, "price" to 20.0, "low_price" to 8.0, "ready_s" to 60.0, "paddocks" to listOf(ZONE),
         )
 
-        /** A worker's report, the [number]th of its session. */
+        /** A worker's report, the [number]th of its incarnation. */
         fun report(number: Int, port: Int): Map<String, Any?> = mapOf(
             "beast" to MACHINE, "endpoint" to "127.0.0.1:$port", "breed" to TYPE, "paddock" to ZONE, "stray" to false,
             "shift" to 1L, "tally" to number.toLong(), "brand" to 0L, "whistle_s" to null,
--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -18,12 +18,12 @@
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
-import oxbowlug.wire.ReportedTask
 import oxbowlug.wire.TaskState
+import oxbowlug.wire.TaskStatus
 import oxbowlug.wire.TeamName
 import oxbowlug.wire.Token
 import oxbowlug.wire.WorkerCommand
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 
 /**
  * Jobs and machines as their leader knows them, kept in step. An attempt leaves the account only by one of the
@@ -180,25 +180,25 @@
         planWanted = true
     }
 
-    /** Proof 1: what the worker itself says. [hello] is false for the answers of direct commands. */
-    fun hear(report: WorkerReport, hello: Boolean): Machine? {
+    /** Proof 1: what the worker itself says. [isHeartbeat] is false for the answers of direct commands. */
+    fun applyHeartbeat(report: WorkerHeartbeat, isHeartbeat: Boolean): Machine? {
         val host = machine(report.machine) ?: return null
         val now = clock.steadyMs()
-        val position = HeartbeatPosition(report.session, report.sequence)
-        if (host.lease.hasEnded(report.session)) {
-            log.info("{} is heard in session {}, which has ended", host.id, report.session)
+        val position = HeartbeatPosition(report.incarnation, report.sequence)
+        if (host.lease.hasEnded(report.incarnation)) {
+            log.info("{} is heard in incarnation {}, which has ended", host.id, report.incarnation)
             return host
         }
-        host.lease.sessionShown(report.session, now)
-        if (hello) {
+        host.lease.onIncarnationObserved(report.incarnation, now)
+        if (isHeartbeat) {
             // A copy of an older report renews nothing and proves nothing.
             if (position <= host.lastHeartbeat) return host
             host.lastHeartbeat = position
             host.lease.renewed(now)
         }
         if (position <= host.position) return host
-        if (report.session > host.position.session || report.token > host.token) {
-            // Direct commands carry session and token, so those of an earlier one can't be executed any more.
+        if (report.incarnation > host.position.incarnation || report.token > host.token) {
+            // Direct commands carry incarnation and token, so those of an earlier one can't be executed any more.
             host.unresolved.clear()
         }
         val firstHeard = host.lastContactAt == null
@@ -213,11 +213,11 @@
         host.noticeUntil = report.noticeS?.let { now + (it * 1000).toLong() }
         host.tasks = report.tasks.associateBy { it.attempt }
         if (firstHeard) planWanted = true
-        applyTasks(host, position, hello, now)
+        applyTasks(host, position, isHeartbeat, now)
         return host
     }
 
-    private fun applyTasks(host: Machine, position: HeartbeatPosition, hello: Boolean, now: Long) {
+    private fun applyTasks(host: Machine, position: HeartbeatPosition, isHeartbeat: Boolean, now: Long) {
         val settled = host.isSettled(token)
         for (placed in host.live.values.toList()) {
             val seen = host.tasks[placed.attempt]
@@ -232,13 +232,13 @@
             if (settled) placed.inherited = false
             val answered = placed.answeredAt
             // One report is in flight at a time: after a newer one, an older answer is executed or dropped for good.
-            if (hello && answered != null && position > answered) placed.answeredAt = null
+            if (isHeartbeat && answered != null && position > answered) placed.answeredAt = null
             placed.seen = null
             if (host.mayBeThere(placed, token)) continue
             if (!placed.isWanted || isAbsent && limits.isOverQuota(placed.job.spec.team, jobs.values, now)) {
                 // The former leader saw it end and gave its room away, but ended before it had stored the end.
                 remove(placed)
-            } else if (hello && placed.isOverdue(now, timing.workerLeaseRawMs)) {
+            } else if (isHeartbeat && placed.isOverdue(now, timing.workerLeaseRawMs)) {
                 // Its reports arrive, but what we say does not: the work goes elsewhere.
                 log.info("{} does not take {}", host.id, placed.attempt)
                 host.unresponsiveUntil = now + timing.unresponsiveMs
@@ -253,7 +253,7 @@
     }
 
     /** What the account gave up, by a proof, must not turn up beside the attempt that was placed after it. */
-    private fun requireOnePlace(host: Machine, task: ReportedTask) {
+    private fun requireOnePlace(host: Machine, task: TaskStatus) {
         if (task.state != TaskState.RUNNING) return
         val placed = jobs[task.attempt.task.job]?.live?.get(task.attempt.task.index) ?: return
         if (placed.machine == host.id || placed.seen != TaskState.RUNNING) return
@@ -261,7 +261,7 @@
         invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
     }
 
-    private fun applyTaskStatus(host: Machine, placed: TaskAttempt, seen: ReportedTask, now: Long) {
+    private fun applyTaskStatus(host: Machine, placed: TaskAttempt, seen: TaskStatus, now: Long) {
         val job = placed.job
         if (seen.state == TaskState.RUNNING && placed.seen != TaskState.RUNNING) {
             placed.seenRunningAt = now
@@ -290,7 +290,7 @@
     }
 
     /** A result of an attempt that we had given up: it counts if its task isn't placed again. */
-    private fun adoptUnknownResult(task: ReportedTask, now: Long) {
+    private fun adoptUnknownResult(task: TaskStatus, now: Long) {
         if (task.state != TaskState.EXITED || task.cause != ExitCause.DONE) return
         val job = jobs[task.attempt.task.job] ?: return
         val index = task.attempt.task.index
@@ -342,7 +342,7 @@
         }
     }
 
-    private fun stop(placed: TaskAttempt, seen: ReportedTask): WorkerCommand? {
+    private fun stop(placed: TaskAttempt, seen: TaskStatus): WorkerCommand? {
         val spec = placed.job.spec
         if (placed.job.phase != Phase.ACTIVE) return WorkerCommand.Stop(placed.attempt, 0.0)
         if (seen.state == TaskState.SAVING) return null
@@ -356,12 +356,12 @@
         return !job.isStored(attempt)
     }
 
-    /** Proof 4: the present session's lease is over, and no other token can have renewed it. */
+    /** Proof 4: the present incarnation's lease is over, and no other token can have renewed it. */
     fun expire(host: Machine, now: Long): Boolean {
         if (host.isLeaseExpired || host.token != token || !host.lease.isExpired(now, timing.workerExpiryMs)) return false
         log.info(
-            "{} is silent and its lease in session {} is over, counted for {} ms, {} attempts are gone",
-            host.id, host.position.session, host.lease.countsFromMs?.let { now - it }, host.live.size,
+            "{} is silent and its lease in incarnation {} is over, counted for {} ms, {} attempts are gone",
+            host.id, host.position.incarnation, host.lease.countsFromMs?.let { now - it }, host.live.size,
         )
         host.isLeaseExpired = true
         host.lease.end()
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -9,8 +9,8 @@
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MachineState
 import oxbowlug.wire.MachineType
-import oxbowlug.wire.ReportedTask
 import oxbowlug.wire.TaskState
+import oxbowlug.wire.TaskStatus
 import oxbowlug.wire.Token
 import oxbowlug.wire.TypeName
 import oxbowlug.wire.Zone
@@ -29,7 +29,7 @@
     var position = HeartbeatPosition(0, 0)
     var lastHeartbeat = HeartbeatPosition(0, 0)
     var token = Token(0)
-    var tasks: Map<AttemptId, ReportedTask> = emptyMap()
+    var tasks: Map<AttemptId, TaskStatus> = emptyMap()
     var lastContactAt: Long? = null
 
     val lease = WorkerLease()
--- a/src/main/kotlin/oxbowlug/config/Settings.kt
+++ b/src/main/kotlin/oxbowlug/config/Settings.kt
@@ -41,7 +41,7 @@
     data class Guarantee(val withinS: Double, val share: Double) : Objective
 }
 
-data class WorkerSettings(val reportS: Double, val leaseS: Double, val cancelS: Double)
+data class WorkerSettings(val heartbeatS: Double, val leaseS: Double, val cancelS: Double)
 
 /** What the state service takes: puts and deletes a second, the size of a value, and changes in one transaction. */
 data class WriteLimits(val writeRps: Double, val valueKb: Double, val txnOps: Int) {
--- a/src/main/kotlin/oxbowlug/controller/Core.kt
+++ b/src/main/kotlin/oxbowlug/controller/Core.kt
@@ -7,7 +7,7 @@
 import oxbowlug.cache.StateCacheListener
 import oxbowlug.cancellation.CancellationEnforcer
 import oxbowlug.cancellation.CancellationFreshness
-import oxbowlug.cancellation.Cancellations
+import oxbowlug.cancellation.CancellationTracker
 import oxbowlug.commit.FormatUpgrade
 import oxbowlug.config.Settings
 import oxbowlug.election.LeaderElection
@@ -16,9 +16,9 @@
 import oxbowlug.invariant.Invariants
 import oxbowlug.leader.Leader
 import oxbowlug.leader.Load
-import oxbowlug.lease.LeaseRenewals
-import oxbowlug.lease.RenewalDelegate
-import oxbowlug.lease.ReportAnswer
+import oxbowlug.lease.HeartbeatResponse
+import oxbowlug.lease.LeaseRenewalDelegate
+import oxbowlug.lease.WorkerLeaseRenewals
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
@@ -40,7 +40,7 @@
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.TypeName
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 import kotlin.random.Random
 
 /**
@@ -66,7 +66,7 @@
     private val election = LeaderElection(self, state, clock, timing, cache, settings.state.lowest.txnOps)
     private val decisions = LeadershipDecisionContext(clock, election, cache)
     private val invariants = Invariants(decisions, meters)
-    private val renewals = LeaseRenewals(cache, decisions)
+    private val renewals = WorkerLeaseRenewals(cache, decisions)
     private val formatUpgrade = FormatUpgrade(settings, state, clock, timing, cache)
 
     // Half of the write rate is for accepting and cancelling. A controller may use all of that half, since users are
@@ -75,10 +75,10 @@
     private val ownWrites = RateBudget(settings.state.writeRps * (1 - LEADER_SHARE))
     private val cloudBudget = RateBudget(settings.cloud.rps * 0.8)
     private val names = RequestIds(self)
-    private val delegate = RenewalDelegate(self, settings.zone, settings.policy.regions, clock, timing, cache)
+    private val delegate = LeaseRenewalDelegate(self, settings.zone, settings.policy.regions, clock, timing, cache)
     private val peerHealth = PeerHealth(settings.peers.size, clock, timing)
-    private val cancellations = Cancellations(
-        self, settings, clock, timing, cache, peerHealth, peers, ::hasEnded,
+    private val cancellations = CancellationTracker(
+        self, settings, clock, timing, cache, peerHealth, peers, ::isTerminationProven,
     )
     private val cancellationEnforcer = CancellationEnforcer(
         self, settings, clock, timing, cache, cancellations, peerHealth, cloud, workers, cloudBudget,
@@ -86,7 +86,7 @@
     private val freshness = CancellationFreshness(self, settings, clock, timing, cache)
     private val jobRequests = JobRequests(
         names, settings, state, clock, timing, cache, ownWrites, meters, cancellations::confirmed,
-        cancellations::told, decisions,
+        cancellations::onUserInformed, decisions,
     )
     private var types: Map<TypeName, MachineType> = emptyMap()
     private var fetchingTypes = false
@@ -94,7 +94,7 @@
     private var leader: Leader? = null
     private var loggedRole: LeadershipRole = LeadershipRole.Unknown
     private var leaderChanged = false
-    private val waitingReports = ArrayDeque<WaitingReport>()
+    private val waitingHeartbeats = ArrayDeque<WaitingHeartbeat>()
     private var rememberedImages: Map<MachineId, List<ImageName>> = emptyMap()
 
     val queueDepth: Int get() = queue.size
@@ -105,7 +105,7 @@
     val machineCount: Int get() = leader?.cluster?.machines?.size ?: 0
     val writesLeft: Double get() = leaderWrites.available(clock.steadyMs())
     val cloudCallsLeft: Double get() = cloudBudget.available(clock.steadyMs())
-    val openCancellations: Int get() = cancellations.open.count { !it.hasEnded }
+    val openCancellations: Int get() = cancellations.open.count { !it.isTerminationProven }
     val epoch: Long get() = cache.leadership?.epoch ?: 0
     val isLeading: Boolean get() = election.role() is LeadershipRole.Leader
     val leaseRemainingMs: Long get() = election.leaseRemainingMs()
@@ -156,7 +156,7 @@
     )
 
     /** Whether all attempts of a job are proven gone, as far as this controller has it in its account. */
-    private fun hasEnded(id: JobId): Boolean? = when (election.role()) {
+    private fun isTerminationProven(id: JobId): Boolean? = when (election.role()) {
         is LeadershipRole.Leader, is LeadershipRole.RenewalOnly -> leader?.cluster?.jobs?.get(id)?.live?.isEmpty()
         is LeadershipRole.Follower, LeadershipRole.Unknown -> null
     }
@@ -185,41 +185,41 @@
             is Command.SubmitMalformed -> jobRequests.submitMalformed(command.id, command.problem, command.answer)
             is Command.Poll -> jobRequests.poll(command.id, command.answer)
             is Command.Cancel -> jobRequests.cancel(command.id, command.answer)
-            is Command.Report -> {
+            is Command.Heartbeat -> {
                 load.reported()
-                answerOrWait(WaitingReport(command, clock.steadyMs() + timing.reportWaitMs))
+                answerOrWait(WaitingHeartbeat(command, clock.steadyMs() + timing.heartbeatWaitMs))
             }
             is Command.PeerHeartbeatReceived -> {
-                peerHealth.hear(command.heartbeat)
-                delegate.hear(command.heartbeat)
-                leader?.delegates?.hear(command.heartbeat)
-                freshness.hear(command.heartbeat)
+                peerHealth.onHeartbeat(command.heartbeat)
+                delegate.onHeartbeat(command.heartbeat)
+                leader?.delegates?.onHeartbeat(command.heartbeat)
+                freshness.onHeartbeat(command.heartbeat)
                 election.observeEpoch(command.heartbeat.epoch, command.heartbeat.leader)
             }
-            is Command.CancellationNoticeReceived -> cancellations.hear(command.word)
-            is Command.HeardImages ->
+            is Command.CancellationNoticeReceived -> cancellations.onNotice(command.notice)
+            is Command.ImagesReceived ->
                 rememberedImages = if (command.isFirst) command.images else rememberedImages + command.images
             is Command.Settled -> command.action()
             Command.Tick -> tick()
         }
     }
 
-    private class WaitingReport(val command: Command.Report, val until: Long)
+    private class WaitingHeartbeat(val command: Command.Heartbeat, val until: Long)
 
     /**
      * A worker that is refused goes on to the next controller a second later, and after the end of all controllers its
      * lease has few of them left. So while a leader is about to be known, its report waits a moment for that.
      */
-    private fun answerOrWait(waiting: WaitingReport) {
-        val answer = onReport(waiting.command.report)
+    private fun answerOrWait(waiting: WaitingHeartbeat) {
+        val answer = onHeartbeat(waiting.command.report)
         if (answer.isFinal && !isLeaderGone() && !mayBeDelegated(answer) || clock.steadyMs() >= waiting.until) {
             waiting.command.answer(answer)
         } else {
-            waitingReports.addLast(waiting)
+            waitingHeartbeats.addLast(waiting)
         }
     }
 
-    private val ReportAnswer.isFinal: Boolean get() = this !is ReportAnswer.Unavailable
+    private val HeartbeatResponse.isFinal: Boolean get() = this !is HeartbeatResponse.Unavailable
 
     /** The view still names a leader whose lease is over: workers sent to it would come back a second later. */
     private fun isLeaderGone(): Boolean {
@@ -229,28 +229,28 @@
     }
 
     /** Sent on to a leader that is out of reach, a worker would lose a third of its lease for nothing. */
-    private fun mayBeDelegated(answer: ReportAnswer) = answer is ReportAnswer.Redirect && delegate.isLosingTouch()
+    private fun mayBeDelegated(answer: HeartbeatResponse) = answer is HeartbeatResponse.Redirect && delegate.isLosingTouch()
 
     private fun answerWaiting() {
-        repeat(waitingReports.size) { waitingReports.removeFirstOrNull()?.let(::answerOrWait) }
+        repeat(waitingHeartbeats.size) { waitingHeartbeats.removeFirstOrNull()?.let(::answerOrWait) }
     }
 
-    private fun onReport(report: WorkerReport): ReportAnswer {
+    private fun onHeartbeat(report: WorkerHeartbeat): HeartbeatResponse {
         val role = election.role()
         val leadership = cache.leadership
         if (leadership != null && report.token > leadership.token) election.observeEpoch(report.token.value, null)
         if (role is LeadershipRole.Follower && role.leader == leadership?.leader) {
             delegate.renew(report)?.let { return renewals.renew(report, it) }
-            delegate.named(report)?.let { return ReportAnswer.Redirect(it.label) }
+            delegate.named(report)?.let { return HeartbeatResponse.Redirect(it.label) }
         }
-        val owner = owner(report.machine, role) ?: return ReportAnswer.Unavailable
+        val owner = owner(report.machine, role) ?: return HeartbeatResponse.Unavailable
         // An earlier life of ours led: until the next election nobody does.
-        if (owner != self && owner.label == self.label) return ReportAnswer.Unavailable
-        if (owner != self) return ReportAnswer.Redirect(owner.label)
+        if (owner != self && owner.label == self.label) return HeartbeatResponse.Unavailable
+        if (owner != self) return HeartbeatResponse.Redirect(owner.label)
         val leading = leading() ?: return answerEarly(report, role)
-        val mayMissCancellations = role is LeadershipRole.RenewalOnly && !freshness.isSure()
-        if (report.token > leading.leadership.token || mayMissCancellations) return ReportAnswer.Unavailable
-        val commands = leading.onReport(report) ?: return ReportAnswer.Redirect(null)
+        val mayMissCancellations = role is LeadershipRole.RenewalOnly && !freshness.mayRenewLeases()
+        if (report.token > leading.leadership.token || mayMissCancellations) return HeartbeatResponse.Unavailable
+        val commands = leading.onHeartbeat(report) ?: return HeartbeatResponse.Redirect(null)
         return renewals.renew(report, leading.leadership.token, commands)
     }
 
@@ -258,11 +258,11 @@
      * Elected, but without the jobs' records yet: the lease is renewed and nothing commanded, so that the work runs on
      * while they are read. After the end of all controllers there are a few seconds left for that, no more.
      */
-    private fun answerEarly(report: WorkerReport, role: LeadershipRole): ReportAnswer =
+    private fun answerEarly(report: WorkerHeartbeat, role: LeadershipRole): HeartbeatResponse =
         if (role is LeadershipRole.Leader && !cache.isSynced && report.token <= role.leadership.token)
             renewals.renew(report, role.leadership.token)
         else
-            ReportAnswer.Unavailable
+            HeartbeatResponse.Unavailable
 
     private fun tick() {
         cache.tick()
@@ -317,10 +317,10 @@
     /** One that has a later life has ended, and one that is heard hears of its successor as well. */
     private fun mayFormerLeaderAnswer(): Boolean {
         val former = cache.formerLeader ?: return false
-        val life = peerHealth.lifeOf(former.label)
-        val hasEnded = former.label == self.label || life != null && life != former ||
+        val life = peerHealth.incarnationOf(former.label)
+        val isTerminationProven = former.label == self.label || life != null && life != former ||
             cache.members().any { it.label == former.label && it != former }
-        return !hasEnded && !peerHealth.isHeard(former.label)
+        return !isTerminationProven && !peerHealth.isAlive(former.label)
     }
 
     private fun fetchTypes() {
@@ -349,7 +349,7 @@
 
         override fun onJob(id: JobId, job: CachedJob, value: Map<String, Any?>) {
             leader?.cluster?.applyJob(id, job, value)
-            cancellations.learned(id, job, value)
+            cancellations.onRecordChanged(id, job, value)
         }
 
         override fun onDependencyChanged(id: JobId) {
--- a/src/main/kotlin/oxbowlug/leader/Leader.kt
+++ b/src/main/kotlin/oxbowlug/leader/Leader.kt
@@ -12,8 +12,8 @@
 import oxbowlug.config.Settings
 import oxbowlug.forecast.Arrivals
 import oxbowlug.invariant.Invariants
-import oxbowlug.lease.LeaseRenewals
-import oxbowlug.lease.RenewalDelegates
+import oxbowlug.lease.LeaseRenewalDelegates
+import oxbowlug.lease.WorkerLeaseRenewals
 import oxbowlug.lease.notAmong
 import oxbowlug.plan.Plan
 import oxbowlug.plan.Planner
@@ -39,7 +39,7 @@
 import oxbowlug.wire.TaskState
 import oxbowlug.wire.TypeName
 import oxbowlug.wire.WorkerCommand
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.sizeAsJson
 
 /** What a leader has beside its model: everything here ends with its view. */
@@ -66,7 +66,7 @@
         leadership.token, clock, timing, Arrivals(settings, timing.arrivalsMs), rememberedImages, settings.teams,
         cache::dependencyState, invariants,
     )
-    val delegates = RenewalDelegates(leadership, settings, state, clock, timing, cache)
+    val delegates = LeaseRenewalDelegates(leadership, settings, state, clock, timing, cache)
     private val commits = Commits(leadership, requestIds, settings, state, clock, timing, writeBudget, cache, cluster, decisions)
     private val rentals = Rentals(requestIds, settings, cloud, clock, timing, cloudBudget, cluster, decisions)
     private val planning = Planning(settings, clock, timing, cluster, rentals, startedAt) { cache.writableFormat }
@@ -112,27 +112,27 @@
             .forEach { (job, _) -> job.rewrite(now) }
     }
 
-    private var lastReportAt: Long? = null
+    private var lastHeartbeatAt: Long? = null
 
     /** Workers reported in this term, and for some reports' time none does: either all hang, or we are cut off. */
     fun hasLostItsWorkers(now: Long): Boolean {
-        val last = lastReportAt ?: return false
+        val last = lastHeartbeatAt ?: return false
         val expected = cluster.machines.values.any { it.lastContactAt != null && !it.isReleasing }
         return expected && now - last > timing.workersLostMs
     }
 
     /**
-     * The commands for a report under our lead, to which [LeaseRenewals] adds the stops of cancelled work. Null: the
-     * machine or its session is gone, and nothing may renew it.
+     * The commands for a report under our lead, to which [WorkerLeaseRenewals] adds the stops of cancelled work. Null: the
+     * machine or its incarnation is gone, and nothing may renew it.
      */
-    fun onReport(report: WorkerReport): List<WorkerCommand>? {
-        val host = cluster.hear(report, hello = true) ?: return null
-        lastReportAt = clock.steadyMs()
-        // A copy that came late, or our proof was wrong: renewed, the session would live on with all that was given up
+    fun onHeartbeat(report: WorkerHeartbeat): List<WorkerCommand>? {
+        val host = cluster.applyHeartbeat(report, isHeartbeat = true) ?: return null
+        lastHeartbeatAt = clock.steadyMs()
+        // A copy that came late, or our proof was wrong: renewed, the incarnation would live on with all that was given up
         // in it and that nobody stops there.
-        if (host.lease.hasEnded(report.session)) return null
+        if (host.lease.hasEnded(report.incarnation)) return null
         if (!decisions.mayLead) return emptyList()
-        val position = HeartbeatPosition(report.session, report.sequence)
+        val position = HeartbeatPosition(report.incarnation, report.sequence)
         // The answer to a copy goes nowhere; it must not look as if the worker had been told.
         if (position < host.lastHeartbeat) return emptyList()
         val commands = storedOnly(host, cluster.commands(host, clock.steadyMs()))
@@ -260,7 +260,7 @@
 
     private fun endCancelled(host: Machine, now: Long, heartbeats: ZoneLiveness) {
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
-        val mayBeOver = decisions.mayLead && delegates.isSurelyOver(host.zone, host.lease.countsFromMs ?: now)
+        val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(host.zone, host.lease.countsFromMs ?: now)
         if (mayBeOver) cluster.expire(host, now)
         val patienceMs = if (heartbeats.isCut(host.zone)) timing.cancelPatienceCutMs else timing.cancelPatienceMs
         for (placed in host.live.values) {
@@ -287,7 +287,7 @@
     }
 
     /** The account and the copy have to agree on what is cancelled, or one of them lacks it. */
-    private fun requireStops(report: WorkerReport, commands: List<WorkerCommand>) {
+    private fun requireStops(report: WorkerHeartbeat, commands: List<WorkerCommand>) {
         val missing = cache.cancelledWork(report).notAmong(commands)
         if (missing.isEmpty()) return
         invariants.violated(Invariant.CANCELLED_WORK_IS_STOPPED, "${missing.map { it.attempt }} on ${report.machine}")
@@ -313,12 +313,12 @@
         host.directBusy = true
         host.directInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
         for (attempt in host.directInFlight) host.live[attempt]?.sentDirectly(now)
-        workers.command(endpoint, cluster.token, host.position.session, commands) { outcome ->
+        workers.command(endpoint, cluster.token, host.position.incarnation, commands) { outcome ->
             val starts = host.directInFlight
             host.directBusy = false
             host.directInFlight = emptyList()
             when (outcome) {
-                is DirectOutcome.Answered -> cluster.hear(outcome.report, hello = false)
+                is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.report, isHeartbeat = false)
                 DirectOutcome.NotSent -> host.directNotBefore = clock.steadyMs() + timing.quietMs
                 DirectOutcome.Unanswered -> {
                     // It may be executed minutes later; from here on the answers to reports carry the commands.
--- a/src/main/kotlin/oxbowlug/leader/TokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/TokenPropagation.kt
@@ -50,7 +50,7 @@
             if (report == null || report.machine != host.id || report.token >= cluster.token) {
                 inFlight--
             } else {
-                workers.command(endpoint, cluster.token, report.session, emptyList()) { inFlight-- }
+                workers.command(endpoint, cluster.token, report.incarnation, emptyList()) { inFlight-- }
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/lease/RenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
@@ -8,7 +8,7 @@
 import oxbowlug.region.Regions
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Token
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
 /**
@@ -17,7 +17,7 @@
  * [Timing.delegateAfterMs], and ends this as soon as it hears one of them or learns of a newer epoch. Without it all
  * work of a zone that is cut off for longer than a worker's lease would end, though controllers stand beside it.
  */
-class RenewalDelegate(
+class LeaseRenewalDelegate(
     private val self: Member,
     private val zone: Zone,
     private val regions: Regions,
@@ -32,7 +32,7 @@
     /** Counted for this life: an unchanged count shows the leader that nothing was renewed in between. */
     private var renewals = 0L
 
-    fun hear(heartbeat: PeerHeartbeat) {
+    fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val present = heard
         // Held packets come in order, but over several connections: an older word must not look like a new one.
         if (present != null && present.leader == heartbeat.sender && heartbeat.atMs < present.itsMs) return
@@ -55,7 +55,7 @@
      * Who answers the workers of this zone, or of another one of its region, instead of the leader, once it is certain
      * that it is cut off.
      */
-    fun named(report: WorkerReport): Member? {
+    fun named(report: WorkerHeartbeat): Member? {
         val leadership = cache.leadership ?: return null
         val delegates = cache.delegates ?: return null
         val isNear = regions.areTogether(report.zone, zone)
@@ -71,7 +71,7 @@
     }
 
     /** The token with which this worker's lease is renewed, or null if that isn't ours to do. */
-    fun renew(report: WorkerReport): Token? {
+    fun renew(report: WorkerHeartbeat): Token? {
         if (named(report) != self) return null
         renewals++
         return cache.leadership?.token
--- a/src/main/kotlin/oxbowlug/lease/RenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -20,10 +20,10 @@
 import oxbowlug.wire.Zone
 
 /**
- * The leader's side of [RenewalDelegate]: names one controller a zone, and knows until when each of them has surely
+ * The leader's side of [LeaseRenewalDelegate]: names one controller a zone, and knows until when each of them has surely
  * renewed nothing. Only such a span proves that a silent worker's lease is over, since the deputy may have renewed it.
  */
-class RenewalDelegates(
+class LeaseRenewalDelegates(
     private val leadership: LeadershipRecord,
     private val settings: Settings,
     private val state: StatePort,
@@ -81,14 +81,14 @@
         }
     }
 
-    fun hear(heartbeat: PeerHeartbeat) {
+    fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val echo = heartbeat.echo ?: return
         if (echo.of != leadership.leader) return
         // Its count is of all zones that it is named for: a renewal in one of them takes the proof from each.
-        for (one in named.values) if (one.member == heartbeat.sender) one.hear(echo)
+        for (one in named.values) if (one.member == heartbeat.sender) one.onHeartbeat(echo)
     }
 
-    private fun Named.hear(echo: HeartbeatEcho) {
+    private fun Named.onHeartbeat(echo: HeartbeatEcho) {
         if (renewals != echo.renewals) {
             renewals = echo.renewals
             clearFrom = clock.steadyMs()
@@ -98,7 +98,7 @@
     }
 
     /** Whether a lease that we last renewed at [answeredAt] is over, whatever the zone's deputy did. */
-    fun isSurelyOver(zone: Zone?, answeredAt: Long): Boolean {
+    fun isSurelyExpired(zone: Zone?, answeredAt: Long): Boolean {
         val one = named[zone] ?: return true
         if (one.clearFrom == Long.MAX_VALUE) return false
         val over = maxOf(answeredAt, one.clearFrom) + timing.workerExpiryMs
--- a/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
@@ -2,24 +2,24 @@
 
 /**
  * What a leader knows of one worker's lease under its own token. All times are milliseconds of the leader's steady
- * clock. A lease belongs to a session: what was answered in one says nothing of the next, which begins with a full
+ * clock. A lease belongs to a incarnation: what was answered in one says nothing of the next, which begins with a full
  * lease of its own, without any answer.
  */
 class WorkerLease {
-    private var session = 0L
-    private var endedSession = 0L
+    private var incarnation = 0L
+    private var endedIncarnation = 0L
 
-    /** From when the present session's lease counts at the latest; null: the worker was never heard. */
+    /** From when the present incarnation's lease counts at the latest; null: the worker was never heard. */
     var countsFromMs: Long? = null
         private set
 
     /**
-     * Some message, a direct command's answer too, shows [shown]. Counted on from an answer in the session before, the
-     * new session's tasks were given up and started elsewhere while they ran (docs/incidents/broke-at-size-2.md).
+     * Some message, a direct command's answer too, shows [shown]. Counted on from an answer in the incarnation before, the
+     * new incarnation's tasks were given up and started elsewhere while they ran (docs/incidents/broke-at-size-2.md).
      */
-    fun sessionShown(shown: Long, now: Long) {
-        if (shown <= session) return
-        session = shown
+    fun onIncarnationObserved(shown: Long, now: Long) {
+        if (shown <= incarnation) return
+        incarnation = shown
         countsFromMs = now
     }
 
@@ -31,11 +31,11 @@
     /** Whether it has run out, as long as nobody else may have renewed it. */
     fun isExpired(now: Long, expiryMs: Long): Boolean = countsFromMs?.let { now >= it + expiryMs } ?: false
 
-    /** It has run out, and with it the session that was shown last. */
+    /** It has run out, and with it the incarnation that was shown last. */
     fun end() {
-        endedSession = session
+        endedIncarnation = incarnation
     }
 
     /** Whether [reported] has ended. Nothing that a message of it says counts, and nothing may renew it. */
-    fun hasEnded(reported: Long): Boolean = reported <= endedSession
+    fun hasEnded(reported: Long): Boolean = reported <= endedIncarnation
 }
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
@@ -6,31 +6,31 @@
 import oxbowlug.invariant.DecisionContext
 import oxbowlug.wire.Token
 import oxbowlug.wire.WorkerCommand
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 
 /**
  * The one place where a report is answered so that it renews the worker's lease: by a leader, by one that only renews,
  * by one that hasn't read the jobs yet, and by a renewal delegate. A path of its own for one of them renewed cancelled
  * work without stopping it, for ever.
  */
-class LeaseRenewals(private val cache: StateCache, private val decisions: DecisionContext) {
+class WorkerLeaseRenewals(private val cache: StateCache, private val decisions: DecisionContext) {
     /**
      * Adds the stops of cancelled work to [commands], which are a leader's own; whoever decides nothing has none. They
      * are wanting where the report is older than a direct command's answer, and then they change nothing.
      */
     fun renew(
-        report: WorkerReport,
+        report: WorkerHeartbeat,
         token: Token,
         commands: List<WorkerCommand> = emptyList(),
-    ): ReportAnswer.Taken {
+    ): HeartbeatResponse.Renewed {
         val all = commands + cache.cancelledWork(report).notAmong(commands)
         if (log.isDebugEnabled) {
             log.debug(
-                "{} is renewed in session {}, report {}, which showed token {}, with {} commands: {}",
-                report.machine, report.session, report.sequence, report.token.value, all.size, decisions.describe(),
+                "{} is renewed in incarnation {}, report {}, which showed token {}, with {} commands: {}",
+                report.machine, report.incarnation, report.sequence, report.token.value, all.size, decisions.describe(),
             )
         }
-        return ReportAnswer.Taken(token, all)
+        return HeartbeatResponse.Renewed(token, all)
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
@@ -15,15 +15,15 @@
 
     private val heard = HashMap<String, Heard>()
 
-    fun hear(heartbeat: PeerHeartbeat) {
+    fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val sender = heartbeat.sender
         heard[sender.label] = Heard(sender, heartbeat.seesState, heartbeat.mayConfirm, clock.steadyMs())
     }
 
     /** The newest life of a controller that was heard. */
-    fun lifeOf(label: String): Member? = heard[label]?.sender
+    fun incarnationOf(label: String): Member? = heard[label]?.sender
 
-    fun isHeard(label: String): Boolean =
+    fun isAlive(label: String): Boolean =
         heard[label]?.let { clock.steadyMs() - it.atMs < timing.peerHeartbeatMs * 4 } ?: false
 
     fun isWithoutState(label: String): Boolean = heard[label]?.mayConfirm == false
--- a/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
@@ -25,7 +25,7 @@
     data class Heartbeat(val heartbeat: PeerHeartbeat) : PeerMessage
 
     /** A cancellation, or that it is known. */
-    class Word(val word: CancellationNotice) : PeerMessage
+    class Notice(val notice: CancellationNotice) : PeerMessage
 
     /** A part of what the leader knows of its machines; the first part begins a new account. */
     data class Images(val images: Map<MachineId, List<ImageName>>, val isFirst: Boolean) : PeerMessage
@@ -61,23 +61,23 @@
         return framed(payload)
     }
 
-    fun encode(word: CancellationNotice): Buffer {
+    fun encode(notice: CancellationNotice): Buffer {
         val payload = Buffer()
-        when (word) {
+        when (notice) {
             is CancellationNotice.Cancelled -> {
                 payload.writeByte(CANCELLED)
-                payload.member(word.sender)
-                payload.text(word.cancellation.id.value)
-                payload.writeLong(word.cancellation.version)
-                payload.write(Cbor.encode(word.cancellation.value))
+                payload.member(notice.sender)
+                payload.text(notice.cancellation.id.value)
+                payload.writeLong(notice.cancellation.version)
+                payload.write(Cbor.encode(notice.cancellation.value))
             }
             is CancellationNotice.Acknowledged -> {
                 payload.writeByte(ACKNOWLEDGED)
-                payload.member(word.sender)
-                payload.writeInt(word.items.size)
-                for (item in word.items) {
+                payload.member(notice.sender)
+                payload.writeInt(notice.items.size)
+                for (item in notice.items) {
                     payload.text(item.id.value)
-                    payload.writeByte(if (item.hasEnded) 1 else 0)
+                    payload.writeByte(if (item.isTerminationProven) 1 else 0)
                 }
             }
         }
@@ -134,8 +134,8 @@
     private fun decode(payload: Buffer): PeerMessage = when (val kind = payload.readByte().toInt()) {
         HEARTBEAT -> PeerMessage.Heartbeat(decodeHeartbeat(payload))
         IMAGES -> decodeImages(payload)
-        CANCELLED -> PeerMessage.Word(decodeCancelled(payload))
-        ACKNOWLEDGED -> PeerMessage.Word(decodeAcknowledged(payload))
+        CANCELLED -> PeerMessage.Notice(decodeCancelled(payload))
+        ACKNOWLEDGED -> PeerMessage.Notice(decodeAcknowledged(payload))
         else -> throw MalformedFrame("a frame of unknown kind $kind")
     }
 
@@ -194,7 +194,7 @@
         val sender = payload.member()
         val count = payload.readInt()
         if (count !in 0..MAX_FRAME) throw MalformedFrame("$count acknowledgements")
-        val items = List(count) { Acknowledgement(payload.jobId(), hasEnded = payload.readByte().toInt() != 0) }
+        val items = List(count) { Acknowledgement(payload.jobId(), isTerminationProven = payload.readByte().toInt() != 0) }
         return CancellationNotice.Acknowledged(sender, items)
     }
 
--- a/src/main/kotlin/oxbowlug/peer/PeerLink.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerLink.kt
@@ -50,9 +50,9 @@
     override fun heartbeatChanged() = tellAll()
 
     /** Lost if there is no connection: whoever needs an acknowledgement says it again. */
-    override fun send(label: String, word: CancellationNotice) {
+    override fun send(label: String, notice: CancellationNotice) {
         val index = settings.peers.indexOfFirst { it.label == label }
-        if (index >= 0) tell(index, PeerFrames.encode(word).readByteArray())
+        if (index >= 0) tell(index, PeerFrames.encode(notice).readByteArray())
     }
 
     private fun tellAll(held: Map<MachineId, List<ImageName>>) {
--- a/src/main/kotlin/oxbowlug/port/CancellationNotice.kt
+++ b/src/main/kotlin/oxbowlug/port/CancellationNotice.kt
@@ -7,7 +7,7 @@
 class Cancellation(val id: JobId, val version: Long, val value: Map<String, Any?>)
 
 /** That the sender knows the job to be cancelled; and, said by whoever leads, whether its attempts are proven gone. */
-data class Acknowledgement(val id: JobId, val hasEnded: Boolean)
+data class Acknowledgement(val id: JobId, val isTerminationProven: Boolean)
 
 /** What controllers say to one another about cancellations. Facts of the state service, so of no epoch. */
 sealed interface CancellationNotice {
--- a/src/main/kotlin/oxbowlug/port/PeerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerPort.kt
@@ -2,7 +2,7 @@
 
 /** The other controllers, by their labels. Words to one of them arrive in order, or not at all. */
 interface PeerPort {
-    fun send(label: String, word: CancellationNotice)
+    fun send(label: String, notice: CancellationNotice)
 
     /** What [Core.heartbeat] says has changed, and they should hear of it at once. */
     fun heartbeatChanged()
--- a/src/main/kotlin/oxbowlug/port/WorkerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/WorkerPort.kt
@@ -3,11 +3,11 @@
 import oxbowlug.config.Address
 import oxbowlug.wire.Token
 import oxbowlug.wire.WorkerCommand
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 
 sealed interface DirectOutcome {
-    /** Executed, or refused for its token or session: either way the report is the worker's present account. */
-    data class Answered(val report: WorkerReport, val executed: Boolean) : DirectOutcome
+    /** Executed, or refused for its token or incarnation: either way the report is the worker's present account. */
+    data class Answered(val report: WorkerHeartbeat, val executed: Boolean) : DirectOutcome
 
     /** The connection could not be opened: surely not executed, now or later. */
     data object NotSent : DirectOutcome
@@ -18,12 +18,12 @@
 
 interface WorkerPort {
     /** What the worker says of itself, or null. */
-    fun status(endpoint: Address, done: (WorkerReport?) -> Unit)
+    fun status(endpoint: Address, done: (WorkerHeartbeat?) -> Unit)
 
     fun command(
         endpoint: Address,
         token: Token,
-        session: Long,
+        incarnation: Long,
         commands: List<WorkerCommand>,
         done: (DirectOutcome) -> Unit,
     )
--- a/src/main/kotlin/oxbowlug/request/JobRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/JobRequests.kt
@@ -52,7 +52,7 @@
     val inProgress: Int get() = admission.inProgress
     val limit: Int get() = admission.limit
 
-    fun submit(spec: JobSpec, types: Map<TypeName, MachineType>, answer: (UserAnswer) -> Unit) {
+    fun submit(spec: JobSpec, types: Map<TypeName, MachineType>, answer: (UserResponse) -> Unit) {
         val now = clock.steadyMs()
         if (!cache.isSynced || !stateReachable(now)) return answer(unavailable("the state service is away"))
         // A repeated submission is answered whatever has changed since: it was accepted.
@@ -60,7 +60,7 @@
         if (cache.writableFormat == WritableFormat.NONE) return answer(unavailable("the data is of a newer version"))
         if (types.isEmpty()) return answer(unavailable("the machine types are not known yet"))
         val form = layout.split(newRecord(spec, "").encode())
-        if (form == null) return answer(UserAnswer.Malformed("${largestList(spec)}: is larger than can be stored"))
+        if (form == null) return answer(UserResponse.Malformed("${largestList(spec)}: is larger than can be stored"))
         Admission.problem(spec, settings, types)?.let { problem ->
             return rejectUnlessKnown(spec.id, answer) { problem }
         }
@@ -75,12 +75,12 @@
     }
 
     /** Malformed, but a repeated submission of an accepted job is never told so. */
-    fun submitMalformed(id: JobId, problem: String, answer: (UserAnswer) -> Unit) {
-        if (cache.job(id) != null) answerKnown(id, answer) else answer(UserAnswer.Malformed(problem))
+    fun submitMalformed(id: JobId, problem: String, answer: (UserResponse) -> Unit) {
+        if (cache.job(id) != null) answerKnown(id, answer) else answer(UserResponse.Malformed(problem))
     }
 
     /** Another controller may have accepted what it names a moment ago, so the copy catches up before it is refused. */
-    private fun submitWhenKnown(spec: JobSpec, answer: (UserAnswer) -> Unit) {
+    private fun submitWhenKnown(spec: JobSpec, answer: (UserResponse) -> Unit) {
         cache.catchUp { ok ->
             val problem = predecessorProblem(spec)
             when {
@@ -88,7 +88,7 @@
                 cache.job(spec.id) != null -> answer(known(spec.id))
                 spec.waitsOn.any { cache.job(it)?.isUnreadable == true } ->
                     answer(unavailable("a job that it waits for can't be read"))
-                problem != null -> answer(UserAnswer.Rejected(problem))
+                problem != null -> answer(UserResponse.Rejected(problem))
                 else -> take(spec, clock.steadyMs(), answer)
             }
         }
@@ -111,12 +111,12 @@
     }
 
     /** Never told of a job that another controller accepted, perhaps under older types. */
-    private fun rejectUnlessKnown(id: JobId, answer: (UserAnswer) -> Unit, problem: () -> String) {
+    private fun rejectUnlessKnown(id: JobId, answer: (UserResponse) -> Unit, problem: () -> String) {
         cache.catchUp { ok ->
             when {
                 !ok -> answer(unavailable("the state service is away"))
                 cache.job(id) != null -> answer(known(id))
-                else -> answer(UserAnswer.Rejected(problem()))
+                else -> answer(UserResponse.Rejected(problem()))
             }
         }
     }
@@ -124,11 +124,11 @@
     private fun largestList(spec: JobSpec): String =
         if (spec.waitsOn.size > spec.types.orEmpty().size) JobSpecCodec.WAITS_ON else JobSpecCodec.TYPES
 
-    private fun take(spec: JobSpec, now: Long, answer: (UserAnswer) -> Unit) {
+    private fun take(spec: JobSpec, now: Long, answer: (UserResponse) -> Unit) {
         if (budget.available(now) < 1.0 || !admission.tryEnter()) {
             log.debug("too many submissions: {} in progress of {}", inProgress, limit)
             meters.refused("overload")
-            return answer(UserAnswer.Overloaded(RETRY_AFTER_S))
+            return answer(UserResponse.Overloaded(RETRY_AFTER_S))
         }
         accept(spec, now, answer)
     }
@@ -136,7 +136,7 @@
     private fun newRecord(spec: JobSpec, write: String) =
         JobRecord(spec, clock.wallMs(), Phase.ACTIVE, BitSet(), 1, emptyMap(), write)
 
-    private fun accept(spec: JobSpec, now: Long, answer: (UserAnswer) -> Unit) {
+    private fun accept(spec: JobSpec, now: Long, answer: (UserResponse) -> Unit) {
         val record = newRecord(spec, requestIds.next()).encode()
         val transaction = Transaction(listOf(Condition(Keys.job(spec.id.value), 0)), changes(spec.id, record))
         budget.take(transaction.changes.size.toDouble(), now)
@@ -165,15 +165,15 @@
     }
 
     /** Its answer may have been slow, and another controller may have confirmed the job's cancellation meanwhile. */
-    private fun answerAccepted(id: JobId, answer: (UserAnswer) -> Unit) {
+    private fun answerAccepted(id: JobId, answer: (UserResponse) -> Unit) {
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal)
             answer(known(id, stored))
         else
-            answer(UserAnswer.Accepted(JobStatus(id, JobState.QUEUED, 0, 0)))
+            answer(UserResponse.Accepted(JobStatus(id, JobState.QUEUED, 0, 0)))
     }
 
-    private fun answerKnown(id: JobId, answer: (UserAnswer) -> Unit) {
+    private fun answerKnown(id: JobId, answer: (UserResponse) -> Unit) {
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) return answer(known(id, stored))
         cache.catchUp { ok ->
@@ -184,19 +184,19 @@
         }
     }
 
-    fun poll(id: JobId, answer: (UserAnswer) -> Unit) {
+    fun poll(id: JobId, answer: (UserResponse) -> Unit) {
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) return answer(known(id, stored))
         cache.catchUp { ok ->
             when {
                 !ok -> answer(unavailable("the state service is away"))
                 cache.job(id) != null -> answer(known(id))
-                else -> answer(UserAnswer.NotFound)
+                else -> answer(UserResponse.NotFound)
             }
         }
     }
 
-    fun cancel(id: JobId, answer: (UserAnswer) -> Unit) {
+    fun cancel(id: JobId, answer: (UserResponse) -> Unit) {
         // Final is final: that can be told also while the state service is away.
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal)
@@ -206,13 +206,13 @@
     }
 
     /** The cancellation is committed first and answered next; only then does the leader act on it. */
-    private fun cancel(id: JobId, triesLeft: Int, answer: (UserAnswer) -> Unit) {
+    private fun cancel(id: JobId, triesLeft: Int, answer: (UserResponse) -> Unit) {
         cache.catchUp { ok ->
             val stored = cache.job(id)
             val value = stored?.value
             when {
                 !ok -> answer(unavailable("the state service is away"))
-                stored == null -> answer(UserAnswer.NotFound)
+                stored == null -> answer(UserResponse.NotFound)
                 stored.phase.isFinal || stored.isUnreadable || value == null -> answer(known(id, stored))
                 cache.writableFormat == WritableFormat.NONE -> answer(unavailable("the data is of a newer version"))
                 triesLeft == 0 -> answer(unavailable("the job keeps changing"))
@@ -226,7 +226,7 @@
         stored: CachedJob,
         value: Map<String, Any?>,
         triesLeft: Int,
-        answer: (UserAnswer) -> Unit,
+        answer: (UserResponse) -> Unit,
     ) {
         val key = Keys.job(id.value)
         // All but the phase stays as the leader wrote it, so the leader knows its own record under the change.
@@ -248,7 +248,7 @@
                     if (parts > 0) cancelled[RecordLayout.PARTS] = parts.toLong()
                     log.info("{} is cancelled at {}: {}", id, outcome.revision, decisions.describe())
                     onCancelled(id, outcome.revision, cancelled)
-                    answer(UserAnswer.Known(JobStatus(id, JobState.CANCELLED, stored.done, 0)))
+                    answer(UserResponse.Known(JobStatus(id, JobState.CANCELLED, stored.done, 0)))
                 }
                 is CommitOutcome.Conflict, CommitOutcome.Unanswered -> cancel(id, triesLeft - 1, answer)
                 CommitOutcome.Refused, CommitOutcome.Invalid, CommitOutcome.LeaseOver ->
@@ -257,20 +257,20 @@
         }
     }
 
-    private fun known(id: JobId): UserAnswer = known(id, cache.job(id) ?: error("$id was just there"))
+    private fun known(id: JobId): UserResponse = known(id, cache.job(id) ?: error("$id was just there"))
 
-    private fun known(id: JobId, stored: CachedJob): UserAnswer {
+    private fun known(id: JobId, stored: CachedJob): UserResponse {
         if (stored.isUnreadable) return unavailable("the job's record can't be read")
         if (stored.phase == Phase.CANCELLED) onAnsweredCancelled(id)
-        return UserAnswer.Known(stored.status(id))
+        return UserResponse.Known(stored.status(id))
     }
 
     private fun stateReachable(now: Long): Boolean = now - cache.lastContactMs < timing.stateAwayMs
 
-    private fun unavailable(why: String): UserAnswer {
+    private fun unavailable(why: String): UserResponse {
         log.debug("refused: {}", why)
         meters.refused(why)
-        return UserAnswer.Unavailable(RETRY_AFTER_S, why)
+        return UserResponse.Unavailable(RETRY_AFTER_S, why)
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -6,7 +6,7 @@
 /** Every duration of the core, each a ratio to a figure of the settings. */
 class Timing(settings: Settings, private val random: Random) {
     private val workerLeaseMs = settings.workers.leaseS * 1000.0
-    private val reportMs = settings.workers.reportS * 1000.0
+    private val reportMs = settings.workers.heartbeatS * 1000.0
 
     private val writeRps = settings.state.writeRps
 
@@ -40,7 +40,7 @@
     val cutSignMs: Long = suspectMs - (reportMs * 1.25).toLong()
 
     /** How long a report waits for a leader to be known: as long as its worker would before it tries elsewhere. */
-    val reportWaitMs: Long = minOf(reportMs, workerLeaseMs * 0.1).toLong()
+    val heartbeatWaitMs: Long = minOf(reportMs, workerLeaseMs * 0.1).toLong()
 
     /** Early enough for a successor to answer before the workers' leases are over. */
     val workersLostMs: Long = (workerLeaseMs * 0.35).toLong()
--- a/src/main/kotlin/oxbowlug/wire/Worker.kt
+++ b/src/main/kotlin/oxbowlug/wire/Worker.kt
@@ -22,23 +22,23 @@
     OTHER(""),
 }
 
-data class ReportedTask(val attempt: AttemptId, val state: TaskState, val cause: ExitCause?, val saved: Boolean)
+data class TaskStatus(val attempt: AttemptId, val state: TaskState, val cause: ExitCause?, val saved: Boolean)
 
-/** One worker's account of itself. The larger (session, sequence) is the newer one. */
-data class WorkerReport(
+/** One worker's account of itself. The larger (incarnation, sequence) is the newer one. */
+data class WorkerHeartbeat(
     val machine: MachineId,
     val endpoint: String,
     val type: TypeName,
     val zone: Zone,
     val spot: Boolean,
-    val session: Long,
+    val incarnation: Long,
     val sequence: Long,
     val token: Token,
     val noticeS: Double?,
-    val tasks: List<ReportedTask>,
+    val tasks: List<TaskStatus>,
 ) {
     fun isNewerThan(otherSession: Long, otherSequence: Long): Boolean =
-        session > otherSession || (session == otherSession && sequence > otherSequence)
+        incarnation > otherSession || (incarnation == otherSession && sequence > otherSequence)
 }
 
 sealed interface WorkerCommand {
@@ -54,17 +54,17 @@
 object WorkerCodec {
     private const val MAX_REPORTED = 4096
 
-    fun decodeReport(map: Map<String, Any?>): WorkerReport {
+    fun decodeHeartbeat(map: Map<String, Any?>): WorkerHeartbeat {
         val fields = map.fields()
         val tasks = fields.maps("furrows")
         if (tasks.size > MAX_REPORTED) throw InvalidField("furrows", "has more than $MAX_REPORTED items")
-        return WorkerReport(
+        return WorkerHeartbeat(
             machine = MachineId(fields.text("beast")),
             endpoint = fields.text("endpoint"),
             type = TypeName(fields.text("breed")),
             zone = Zone(fields.text("paddock")),
             spot = fields.flag("stray"),
-            session = fields.count("shift"),
+            incarnation = fields.count("shift"),
             sequence = fields.count("tally"),
             token = Token(fields.countOr("brand", 0)),
             noticeS = fields.amountOrNull("whistle_s"),
@@ -72,11 +72,11 @@
         )
     }
 
-    private fun decodeTask(fields: Fields): ReportedTask {
+    private fun decodeTask(fields: Fields): TaskStatus {
         val task = TaskId.parse(fields.text("furrow")) ?: throw InvalidField("furrow", "is not a task of a job")
         val state = fields.text("stance")
         val cause = fields.textOrNull("cause")
-        return ReportedTask(
+        return TaskStatus(
             attempt = AttemptId(task, fields.count("try")),
             state = TaskState.entries.firstOrNull { it.wire == state } ?: throw InvalidField("stance", "is unknown"),
             cause = cause?.let { text -> ExitCause.entries.firstOrNull { it.wire == text } ?: ExitCause.OTHER },
@@ -87,8 +87,8 @@
     fun encodeAnswer(token: Token, commands: List<WorkerCommand>): Map<String, Any?> =
         mapOf("brand" to token.value, "calls" to commands.map(::encodeCommand))
 
-    fun encodeDirect(token: Token, session: Long, commands: List<WorkerCommand>): Map<String, Any?> =
-        mapOf("brand" to token.value, "shift" to session, "calls" to commands.map(::encodeCommand))
+    fun encodeDirect(token: Token, incarnation: Long, commands: List<WorkerCommand>): Map<String, Any?> =
+        mapOf("brand" to token.value, "shift" to incarnation, "calls" to commands.map(::encodeCommand))
 
     private fun encodeCommand(command: WorkerCommand): Map<String, Any?> {
         val map = LinkedHashMap<String, Any?>()
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -12,7 +12,7 @@
 import oxbowlug.wire.Token
 import oxbowlug.wire.WorkerCodec
 import oxbowlug.wire.WorkerCommand
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 
 /** Commands sent straight to a worker's address. */
 class WorkerClient(
@@ -24,12 +24,12 @@
     override fun command(
         endpoint: Address,
         token: Token,
-        session: Long,
+        incarnation: Long,
         commands: List<WorkerCommand>,
         done: (DirectOutcome) -> Unit,
     ) {
         scope.launch {
-            val body = WorkerCodec.encodeDirect(token, session, commands)
+            val body = WorkerCodec.encodeDirect(token, incarnation, commands)
             val outcome = when (val result = http.call(endpoint, HttpMethod.POST, "/do", body, timeoutMs)) {
                 is CallResult.Answered -> read(result)
                 CallResult.NotSent -> DirectOutcome.NotSent
@@ -39,7 +39,7 @@
         }
     }
 
-    override fun status(endpoint: Address, done: (WorkerReport?) -> Unit) {
+    override fun status(endpoint: Address, done: (WorkerHeartbeat?) -> Unit) {
         scope.launch {
             val result = http.call(endpoint, HttpMethod.GET, "/status", null, timeoutMs)
             val report = if (result is CallResult.Answered && result.status == 200) {
@@ -55,7 +55,7 @@
         val body = result.body ?: return DirectOutcome.Unanswered
         if (result.status != 200 && result.status != 409) return DirectOutcome.Unanswered
         return try {
-            DirectOutcome.Answered(WorkerCodec.decodeReport(body), executed = result.status == 200)
+            DirectOutcome.Answered(WorkerCodec.decodeHeartbeat(body), executed = result.status == 200)
         } catch (_: InvalidField) {
             DirectOutcome.Unanswered
         }
--- a/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
@@ -103,7 +103,7 @@
 
     private fun StringBuilder.appendLimits() {
         appendLine("[settings.workers]")
-        appendLine("report_s = ${options.reportS}")
+        appendLine("report_s = ${options.heartbeatS}")
         appendLine("lease_s = ${options.leaseS}")
         appendLine("cancel_s = ${options.leaseS * CANCEL_LEASES}")
         appendLine("[settings.state]")
--- a/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
@@ -1,8 +1,8 @@
 package oxbowlug.scale
 
+import oxbowlug.standin.HeartbeatPacing
+import oxbowlug.standin.HeartbeatTarget
 import oxbowlug.standin.JobBook
-import oxbowlug.standin.ReportPacing
-import oxbowlug.standin.ReportTarget
 import oxbowlug.standin.Rules
 import oxbowlug.standin.SimCloud
 import oxbowlug.standin.SimWorker
@@ -13,7 +13,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.Priority
 import oxbowlug.wire.TaskState
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
 /** The hollow workers and what is known of their jobs. */
@@ -29,11 +29,11 @@
     private val cancelMs = (options.leaseS * ControllerFiles.CANCEL_LEASES * MS).toLong()
     val rules = Rules(world, plan.teams.associate { it.name to it.maxGpus }, cancelMs, isStored)
     private val leaseMs = (options.leaseS * MS).toLong()
-    private val reportMs = (options.reportS * MS).toLong()
+    private val reportMs = (options.heartbeatS * MS).toLong()
     private val runMs = HashMap<String, Long>()
 
     /** Told of each report, and of the controllers that it could go to: copies of it may come late. */
-    var onReportSent: (WorkerReport, List<ReportTarget>) -> Unit = { _, _ -> }
+    var onReportSent: (WorkerHeartbeat, List<HeartbeatTarget>) -> Unit = { _, _ -> }
     private val askedAt = HashMap<String, Long>()
 
     /** From a user's first attempt to submit until a task of the job runs, for urgent work. */
@@ -58,7 +58,7 @@
         val number = WorkerAddresses.numberOf(id.value)
         val targets = connections.targets(number, zone, topology.controllers)
         return SimWorker(
-            world, this, { targets }, id, type, zone, spot, leaseMs, ReportPacing.AsPublished(reportMs),
+            world, this, { targets }, id, type, zone, spot, leaseMs, HeartbeatPacing.AsPublished(reportMs),
             onSent = { report -> onReportSent(report, targets) },
             endpoint = "${WorkerAddresses.host(number, 0)}:${topology.ports.workers}",
         )
--- a/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
@@ -10,14 +10,14 @@
 import io.vertx.core.http.HttpConnectOptions
 import io.vertx.core.http.HttpMethod
 import io.vertx.core.http.RequestOptions
-import oxbowlug.lease.ReportAnswer
-import oxbowlug.standin.ReportTarget
+import oxbowlug.lease.HeartbeatResponse
+import oxbowlug.standin.HeartbeatTarget
 import oxbowlug.standin.SimWorker
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.MalformedBody
 import oxbowlug.wire.Token
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 import oxbowlug.wire.fields
 
@@ -33,18 +33,18 @@
             .setDecompressionSupported(false),
     )
 
-    fun targets(number: Int, zone: Zone, controllers: List<ControllerPlace>): List<ReportTarget> =
+    fun targets(number: Int, zone: Zone, controllers: List<ControllerPlace>): List<HeartbeatTarget> =
         controllers.map { Target(number, zone, it) }
 
     private inner class Target(number: Int, zone: Zone, private val controller: ControllerPlace) :
-        ReportTarget {
+        HeartbeatTarget {
         override val label: String get() = controller.label
         private val near = Endpoint.Worker(zone)
         private val far = Endpoint.Controller(controller)
         private val endpoint = "${WorkerAddresses.host(number, controller.index)}:$workerPort"
         private var connection: HttpClientConnection? = null
 
-        override fun receive(report: WorkerReport, answer: (ReportAnswer?) -> Unit) {
+        override fun receive(report: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit) {
             val bytes = Cbor.encode(Wire.encodeReport(report.copy(endpoint = endpoint)))
             traffic.reports.count(bytes.size, Traffic.REQUEST_HEADER_BYTES)
             network.deliver(near, far) {
@@ -78,7 +78,7 @@
             }
         }
 
-        private fun decode(response: HttpClientResponse, body: Buffer): ReportAnswer? {
+        private fun decode(response: HttpClientResponse, body: Buffer): HeartbeatResponse? {
             traffic.reportAnswers.count(body.length(), Traffic.RESPONSE_HEADER_BYTES)
             val decoded = try {
                 Wire.decodeAnswer(response.statusCode(), Cbor.decode(body.bytes))
@@ -88,11 +88,11 @@
                 null
             }
             when (decoded) {
-                is ReportAnswer.Redirect -> traffic.redirects++
-                ReportAnswer.Unavailable -> traffic.unavailable++
-                is ReportAnswer.Taken, null -> Unit
+                is HeartbeatResponse.Redirect -> traffic.redirects++
+                HeartbeatResponse.Unavailable -> traffic.unavailable++
+                is HeartbeatResponse.Renewed, null -> Unit
             }
-            if (decoded !is ReportAnswer.Taken) close()
+            if (decoded !is HeartbeatResponse.Renewed) close()
             return decoded
         }
 
@@ -135,7 +135,7 @@
         val near = Endpoint.Worker(worker.zone)
         val far = Endpoint.Controller(controller)
 
-        fun reply(status: Int, report: WorkerReport) = network.deliver(near, far) {
+        fun reply(status: Int, report: WorkerHeartbeat) = network.deliver(near, far) {
             val endpoint = "${exchange.request.localAddress().host()}:${topology.ports.workers}"
             val size = exchange.reply(status, Wire.encodeReport(report.copy(endpoint = endpoint)))
             traffic.directAnswers.count(size, Traffic.RESPONSE_HEADER_BYTES)
@@ -145,10 +145,10 @@
         }
         val fields = exchange.body().fields()
         val token = Token(fields.count("brand"))
-        val session = fields.count("shift")
+        val incarnation = fields.count("shift")
         val commands = Wire.decodeCommands(fields)
         network.deliver(far, near) {
-            worker.direct(token, session, commands) { report, executed ->
+            worker.direct(token, incarnation, commands) { report, executed ->
                 reply(if (executed) Status.OK else Status.CONFLICT, report)
             }
         }
--- a/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
@@ -20,7 +20,7 @@
     val stateRps: Double,
     val writeRps: Double,
     val cloudRps: Double,
-    val reportS: Double,
+    val heartbeatS: Double,
     val leaseS: Double,
     val heapMb: Int?,
     val maxSockets: Int,
@@ -56,7 +56,7 @@
     private val stateRps = amount("state-rps", "requests a second that the state service takes", 900.0)
     private val writeRps = amount("write-rps", "changes a second that the state service takes", 70.0)
     private val cloudRps = amount("cloud-rps", "requests a second that the cloud takes", 6.0)
-    private val reportS = amount("report-s", "seconds between a worker's reports", 2.5)
+    private val heartbeatS = amount("report-s", "seconds between a worker's reports", 2.5)
     private val leaseS = amount("lease-s", "seconds of a worker's lease", 15.0)
     private val heapMb = parser.accepts("heap-mb", "heap of each controller, instead of the deployed one")
         .withRequiredArg().ofType(Int::class.javaObjectType)
@@ -89,7 +89,7 @@
             stateRps = given.valueOf(stateRps),
             writeRps = given.valueOf(writeRps),
             cloudRps = given.valueOf(cloudRps),
-            reportS = given.valueOf(reportS),
+            heartbeatS = given.valueOf(heartbeatS),
             leaseS = given.valueOf(leaseS),
             heapMb = given.valueOf(heapMb),
             maxSockets = given.valueOf(maxSockets),
@@ -111,8 +111,8 @@
             require("tasks-per-worker", tasksPerWorker > 0 && tasksPerWorker <= MAX_TASKS, "must be up to $MAX_TASKS")
             require("tasks-per-job", tasksPerJob in 1..MAX_JOB_TASKS, "must be 1 to $MAX_JOB_TASKS")
             require("scenario-seconds", scenarioSeconds == null || scenarioSeconds > 0, "must be more than 0")
-            require("report-s", reportS >= SHORTEST_REPORT_S, "must be at least $SHORTEST_REPORT_S")
-            require("lease-s", leaseS > reportS * 2, "must be more than two reports' time")
+            require("report-s", heartbeatS >= SHORTEST_REPORT_S, "must be at least $SHORTEST_REPORT_S")
+            require("lease-s", leaseS > heartbeatS * 2, "must be more than two reports' time")
             require("heap-mb", heapMb == null || heapMb >= SMALLEST_HEAP_MB, "must be at least $SMALLEST_HEAP_MB")
             for ((name, value) in rates()) require(name, value > 0 && value.isFinite(), "must be more than 0")
             require("deploy", deploy.isFile, "$deploy is no file; start in the root of the repository")
--- a/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
@@ -90,8 +90,8 @@
     /** Guards against a worker that sends nonsense: it is told so at once, by each controller. */
     private suspend fun checkMalformedReports() {
         for (controller in controllers) {
-            val status = MalformedReport.send(vertx, controller.place)
-            if (status !in MalformedReport.REFUSALS) {
+            val status = MalformedHeartbeat.send(vertx, controller.place)
+            if (status !in MalformedHeartbeat.REFUSALS) {
                 throw StartFailed("${controller.place.label} answers a malformed report with $status")
             }
         }
--- a/src/scale/kotlin/oxbowlug/scale/Users.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Users.kt
@@ -7,7 +7,7 @@
 import io.vertx.core.http.HttpMethod
 import io.vertx.core.http.PoolOptions
 import io.vertx.core.http.RequestOptions
-import oxbowlug.request.UserAnswer
+import oxbowlug.request.UserResponse
 import oxbowlug.standin.Rules
 import oxbowlug.standin.World
 import oxbowlug.wire.Cbor
@@ -69,12 +69,12 @@
             val told = answer?.let { read(it, isSubmission = true) }
             if (told != null) rules.told(id, told, askedAt)
             when {
-                told is UserAnswer.Accepted || told is UserAnswer.Known -> {
+                told is UserResponse.Accepted || told is UserResponse.Known -> {
                     acceptance.record(world.nowMs - firstAt)
                     onAccepted()
                     pollLater(id)
                 }
-                world.nowMs - firstAt > GIVE_UP_MS || told is UserAnswer.Malformed || told is UserAnswer.Rejected ->
+                world.nowMs - firstAt > GIVE_UP_MS || told is UserResponse.Malformed || told is UserResponse.Rejected ->
                     givenUp++
                 else -> world.after(pauseMs(answer)) { attempt(job, firstAt, onAccepted) }
             }
@@ -90,7 +90,7 @@
         ask(HttpMethod.POST, "/work/$id/cancel", emptyMap()) { answer ->
             val told = answer?.let { read(it, isSubmission = false) }
             if (told != null) rules.told(id.value, told, askedAt)
-            if (told !is UserAnswer.Known) world.after(pauseMs(answer)) { cancel(id) }
+            if (told !is UserResponse.Known) world.after(pauseMs(answer)) { cancel(id) }
         }
     }
 
@@ -105,20 +105,20 @@
         val askedAt = world.nowMs
         ask(HttpMethod.GET, "/work/$id", null, POLL_TIMEOUT_MS) { answer ->
             val told = answer?.let { read(it, isSubmission = false) }
-            if (told is UserAnswer.Known || told is UserAnswer.NotFound) rules.told(id, told, askedAt)
+            if (told is UserResponse.Known || told is UserResponse.NotFound) rules.told(id, told, askedAt)
             pollLater(id)
         }
     }
 
-    private fun read(answer: Answer, isSubmission: Boolean): UserAnswer? = try {
+    private fun read(answer: Answer, isSubmission: Boolean): UserResponse? = try {
         when (answer.status) {
-            Status.CREATED -> UserAnswer.Accepted(view(answer.body))
-            Status.OK -> UserAnswer.Known(view(answer.body))
-            Status.BAD_REQUEST -> UserAnswer.Malformed(answer.body["error"].toString())
-            Status.UNPROCESSABLE -> UserAnswer.Rejected(answer.body["error"].toString())
-            Status.NOT_FOUND -> UserAnswer.NotFound.takeIf { !isSubmission }
-            Status.TOO_MANY -> UserAnswer.Overloaded(answer.retryAfterS)
-            else -> UserAnswer.Unavailable(answer.retryAfterS, "")
+            Status.CREATED -> UserResponse.Accepted(view(answer.body))
+            Status.OK -> UserResponse.Known(view(answer.body))
+            Status.BAD_REQUEST -> UserResponse.Malformed(answer.body["error"].toString())
+            Status.UNPROCESSABLE -> UserResponse.Rejected(answer.body["error"].toString())
+            Status.NOT_FOUND -> UserResponse.NotFound.takeIf { !isSubmission }
+            Status.TOO_MANY -> UserResponse.Overloaded(answer.retryAfterS)
+            else -> UserResponse.Unavailable(answer.retryAfterS, "")
         }
     } catch (_: InvalidField) {
         null
--- a/src/scale/kotlin/oxbowlug/scale/Wire.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Wire.kt
@@ -1,6 +1,6 @@
 package oxbowlug.scale
 
-import oxbowlug.lease.ReportAnswer
+import oxbowlug.lease.HeartbeatResponse
 import oxbowlug.wire.AttemptId
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
@@ -11,18 +11,18 @@
 import oxbowlug.wire.Token
 import oxbowlug.wire.Transaction
 import oxbowlug.wire.WorkerCommand
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.fields
 
 /** The other side of the published interfaces: what workers, the state service and the cloud encode and decode. */
 object Wire {
-    fun encodeReport(report: WorkerReport): Map<String, Any?> = mapOf(
+    fun encodeReport(report: WorkerHeartbeat): Map<String, Any?> = mapOf(
         "beast" to report.machine.value,
         "endpoint" to report.endpoint,
         "breed" to report.type.value,
         "paddock" to report.zone.value,
         "stray" to report.spot,
-        "shift" to report.session,
+        "shift" to report.incarnation,
         "tally" to report.sequence,
         "brand" to report.token.value,
         "whistle_s" to report.noticeS,
@@ -37,10 +37,10 @@
         },
     )
 
-    fun decodeAnswer(status: Int, body: Map<String, Any?>): ReportAnswer = when (status) {
-        Status.OK -> ReportAnswer.Taken(Token(body.fields().countOr("brand", 0)), decodeCommands(body.fields()))
-        Status.REDIRECT -> ReportAnswer.Redirect(body.fields().textOrNull("drover"))
-        else -> ReportAnswer.Unavailable
+    fun decodeAnswer(status: Int, body: Map<String, Any?>): HeartbeatResponse = when (status) {
+        Status.OK -> HeartbeatResponse.Renewed(Token(body.fields().countOr("brand", 0)), decodeCommands(body.fields()))
+        Status.REDIRECT -> HeartbeatResponse.Redirect(body.fields().textOrNull("drover"))
+        else -> HeartbeatResponse.Unavailable
     }
 
     fun decodeCommands(fields: Fields): List<WorkerCommand> = fields.maps("calls").mapNotNull { call ->
--- a/src/scale/kotlin/oxbowlug/soak/LostAnswers.kt
+++ b/src/scale/kotlin/oxbowlug/soak/LostAnswers.kt
@@ -5,7 +5,7 @@
 
 /**
  * A worker that gets no answers to its reports for about a lease, and whose reports are then lost, while direct
- * commands reach it throughout. Its session ends as its leader goes on hearing it, and the next one begins unheard
+ * commands reach it throughout. Its incarnation ends as its leader goes on hearing it, and the next one begins unheard
  * (docs/incidents/broke-at-size-2.md).
  */
 class LostAnswers(private val world: World, private val leaseMs: Long) {
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -7,11 +7,11 @@
 import oxbowlug.scale.HollowFleet
 import oxbowlug.scale.Network
 import oxbowlug.scale.StateFaults
-import oxbowlug.standin.ReportTarget
+import oxbowlug.standin.HeartbeatTarget
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.SimWorker
 import oxbowlug.standin.World
-import oxbowlug.wire.WorkerReport
+import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
 /** Brings faults about on real controller processes and on the stand-ins around them. */
@@ -27,7 +27,7 @@
     private val leaseMs: Long,
 ) {
     private var repeatedReports = 0.0
-    private val keptForNext = ArrayList<Pair<WorkerReport, List<ReportTarget>>>()
+    private val keptForNext = ArrayList<Pair<WorkerHeartbeat, List<HeartbeatTarget>>>()
     private var keepsForNext = false
     private var lastLeader: String? = null
 
@@ -133,7 +133,7 @@
     private fun some(fault: Fault): List<SimWorker> =
         fleet.cloud.workers.shuffled(world.random).take(1 + fault.target % MOST_WORKERS)
 
-    private fun repeatReport(report: WorkerReport, targets: List<ReportTarget>) {
+    private fun repeatReport(report: WorkerHeartbeat, targets: List<HeartbeatTarget>) {
         if (keepsForNext) keptForNext.add(report to targets)
         if (repeatedReports == 0.0 || !world.chance(repeatedReports)) return
         val target = targets[world.random.nextInt(targets.size)]
