--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -136,7 +136,7 @@
 
     /** Whether users and workers can be served here, or at least no worse than elsewhere. */
     fun isHealthy(): Boolean =
-        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.isStateVisibleToOthers())
+        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.isStateReachableByOthers())
 
     private fun isElected(): Boolean = cache.leadership?.leader == self
 
@@ -152,7 +152,7 @@
             clock.steadyMs(),
             delegate.echo(),
             hasUnacknowledged = cancellations.hasUnacknowledged(),
-            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmMs,
+            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
         )
 
     /**
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -18,8 +18,9 @@
 import oxbowlug.wire.Transaction
 
 /**
- * This controller's lease, its member key, and the election. The leadership record is changed by compare-and-swap only,
- * and only while the former leader's member key is gone, which the same transaction checks.
+ * Leader election through the state service. This controller holds a lease there, to which its member key is bound, and
+ * campaigns when the leader's member key is gone. A campaign writes the leadership record in a transaction on condition
+ * that the record's version is unchanged and that the former leader's member key doesn't exist.
  */
 internal class LeaderElection(
     private val self: Member,
@@ -27,6 +28,7 @@
     private val clock: Clock,
     private val timing: Timing,
     private val cache: StateCache,
+    /** The limit of the state service on the changes in one transaction. */
     private val changesPerTransaction: Int,
 ) {
     private val memberKey = Keys.member(self)
@@ -39,10 +41,14 @@
     private var nextRenewalAt = 0L
     private var nextElectionAt = 0L
     private var nextRegistrationAt = 0L
+
+    /** The newest epoch observed in messages of peers and workers, which may be ahead of the state cache. */
     private var highestEpoch = 0L
+
+    /** The leader named by the newest such message that named one. */
     private var reportedLeader: Member? = null
 
-    /** Computed anew at each call: the lease may have expired since the last one. */
+    /** This controller's present role, computed at each call because the lease may have expired since the last one. */
     fun role(): LeadershipRole {
         val leadership =
             cache.leadership ?: return reportedLeader?.let { LeadershipRole.Follower(it) } ?: LeadershipRole.Unknown
@@ -54,12 +60,15 @@
         return if (holdsLease()) LeadershipRole.Leader(leadership) else LeadershipRole.RenewalOnly(leadership)
     }
 
-    /** Milliseconds for which this controller may still rely on its lease; 0: it may not. */
+    /** Milliseconds for which this controller's lease is still valid, 0 if it isn't. */
     fun leaseRemainingMs(): Long = if (isRegistered) (leaseValidUntilMs - clock.steadyMs()).coerceAtLeast(0) else 0
 
     private fun holdsLease(): Boolean = isRegistered && clock.steadyMs() < leaseValidUntilMs
 
-    /** A peer's heartbeat or a worker's token shows that [epoch] was reached; [leader] may be unknown. */
+    /**
+     * Records that a peer's heartbeat or a worker's token shows [epoch]. [leader] is the leader in that epoch, or null
+     * if the message doesn't name it.
+     */
     fun observeEpoch(
         epoch: Long,
         leader: Member?,
@@ -70,7 +79,7 @@
         if (leader != null) reportedLeader = leader
     }
 
-    /** Renews the lease, and registers or campaigns, as far as each is due. */
+    /** Renews or requests the lease if that is due, and calls [registerOrCampaign]. */
     fun tick() {
         val now = clock.steadyMs()
         if (!isRenewing && now >= nextRenewalAt) renew(now)
@@ -78,7 +87,8 @@
     }
 
     /**
-     * Registers this incarnation, stands for election, or both in one transaction, as soon as what is needed is known.
+     * Registers this incarnation by writing its member key, campaigns if the leader is missing, or does both in one
+     * transaction. Does nothing while it holds no lease or hasn't read the members and the leadership record.
      */
     fun registerOrCampaign(now: Long) {
         val heldLease = lease ?: return
@@ -86,10 +96,10 @@
         val mayCampaign = !isCampaigning && isWritable && now >= nextElectionAt && isLeaderMissing()
         when {
             isRegistered -> if (mayCampaign) campaign(now, registrationLease = null)
-            // Registered before the leadership record is known, this incarnation would have to stand in a transaction
-            // of its own.
+            // Registration waits for the leadership record: otherwise a campaign would need a second transaction.
             isRegistering || isCampaigning || !cache.isMembershipKnown || now < nextRegistrationAt -> Unit
-            // After a crash of all controllers the workers' leases have little time left: one call less counts.
+            // Combined into one transaction to save a call: after a crash of all controllers, the workers' leases are
+            // close to expiry.
             mayCampaign && changesPerTransaction > 1 -> campaign(now, registrationLease = heldLease)
             else -> register(heldLease)
         }
@@ -113,8 +123,8 @@
             lease = granted
             isRegistered = false
             if (granted != null) {
-                leaseValidUntilMs = now + timing.leadershipLeaseMs
-                nextRenewalAt = now + timing.leadershipRenewMs
+                leaseValidUntilMs = now + timing.leadershipLeaseValidityMs
+                nextRenewalAt = now + timing.leadershipRenewIntervalMs
                 registerOrCampaign(clock.steadyMs())
             } else {
                 nextRenewalAt = clock.steadyMs() + timing.retryMs()
@@ -128,14 +138,14 @@
     ) {
         state.touch(heldLease) { outcome ->
             isRenewing = false
-            // Released meanwhile: the answer is of a lease that isn't held any more.
+            // The lease was released while this call was in flight.
             if (lease != heldLease) return@touch
             when (outcome) {
                 TouchOutcome.RENEWED -> {
-                    // Counted from when the renewal was sent: the service may have done it at once.
-                    leaseValidUntilMs = maxOf(leaseValidUntilMs, now + timing.leadershipLeaseMs)
+                    // The TTL counts from when the request was sent: the service may have renewed the lease right then.
+                    leaseValidUntilMs = maxOf(leaseValidUntilMs, now + timing.leadershipLeaseValidityMs)
                     cache.contacted(now)
-                    nextRenewalAt = now + timing.leadershipRenewMs
+                    nextRenewalAt = now + timing.leadershipRenewIntervalMs
                 }
                 TouchOutcome.OVER -> {
                     log.info("controller lease expired: lease={}", heldLease)
@@ -160,7 +170,7 @@
                         registerOrCampaign(clock.steadyMs())
                     }
                 CommitOutcome.LeaseOver -> if (lease == heldLease) lease = null
-                // Refused for its size, it says nothing of the lease.
+                // The transaction was refused for its size, which says nothing about the lease: it is kept.
                 CommitOutcome.Invalid -> nextRegistrationAt = clock.steadyMs() + timing.leadershipLeaseTtlMs
                 is CommitOutcome.Conflict, CommitOutcome.Refused, CommitOutcome.Unanswered -> Unit
             }
@@ -171,8 +181,8 @@
         Change.Put(memberKey, mapOf("label" to self.label) + DataFormat.encode(DataFormat.NEWEST), heldLease)
 
     /**
-     * [registrationLease] is the lease under which the same transaction registers this incarnation; null if it is
-     * registered already.
+     * Tries to become leader by writing a leadership record with the next epoch. If [registrationLease] isn't null, the
+     * same transaction registers this incarnation under that lease; null means that it is already registered.
      */
     private fun campaign(
         now: Long,
@@ -180,48 +190,51 @@
     ) {
         val leadership = cache.leadership
         isCampaigning = true
-        // The jitter lets one candidate win without the others' writes being spent on the same key.
+        // The jittered delay keeps the other candidates from spending writes on the same key while one of them wins.
         nextElectionAt = now + timing.retryMs()
         val epoch = maxOf(leadership?.epoch ?: 0L, highestEpoch) + 1
-        val next = LeadershipRecord(epoch, FencingToken(epoch), leader = self, version = 0)
+        val newLeadership = LeadershipRecord(epoch, FencingToken(epoch), leader = self, version = 0)
         val conditions = ArrayList<Condition>()
         conditions.add(Condition(Keys.LEADERSHIP, leadership?.version ?: 0))
         if (leadership != null) conditions.add(Condition(Keys.member(leadership.leader), 0))
         val changes = ArrayList<Change>()
         if (registrationLease != null) changes.add(registration(registrationLease))
-        changes.add(Change.Put(Keys.LEADERSHIP, next.encode()))
+        changes.add(Change.Put(Keys.LEADERSHIP, newLeadership.encode()))
         state.commit(Transaction(conditions, changes)) { outcome ->
             isCampaigning = false
             if (outcome is CommitOutcome.Applied) {
                 if (registrationLease != null && lease == registrationLease) isRegistered = true
-                log.info("leader elected: epoch={}", next.epoch)
-                cache.adopt(next.copy(version = outcome.revision))
+                log.info("leader elected: epoch={}", newLeadership.epoch)
+                cache.adopt(newLeadership.copy(version = outcome.revision))
             } else {
-                // Won or lost unseen: the watch reports it, and a leadership record that names us is adopted from
-                // there.
+                // The outcome may be unknown. If the transaction was applied after all, the watch delivers the
+                // leadership record that names this controller.
                 nextElectionAt = clock.steadyMs() + timing.retryMs()
                 if (outcome == CommitOutcome.LeaseOver && lease == registrationLease) lease = null
-                // Whoever lost is a member all the same.
+                // A candidate that lost the election still registers as a member.
                 lease?.let { if (!isRegistered && !isRegistering) register(it) }
             }
         }
     }
 
-    /** Releases the lease and with it leadership, so that a controller with better connections can be elected. */
+    /**
+     * Releases the lease, and leadership with it, so that a controller that workers can reach can be elected. For one
+     * worker lease TTL, this controller neither requests a lease nor campaigns.
+     */
     fun resign() {
         val heldLease = lease ?: return
         log.info("leadership resigned: lease={}", heldLease)
         lease = null
         isRegistered = false
         leaseValidUntilMs = NEVER_MS
-        val pause = timing.workerLeaseRawMs
-        nextRenewalAt = clock.steadyMs() + pause
-        nextElectionAt = clock.steadyMs() + pause
+        val pauseMs = timing.workerLeaseTtlMs
+        nextRenewalAt = clock.steadyMs() + pauseMs
+        nextElectionAt = clock.steadyMs() + pauseMs
         state.release(heldLease)
     }
 
     private companion object {
-        /** Before every reading of the steady clock; halved so that a difference to it cannot overflow. */
+        /** Earlier than any reading of the steady clock; halved so that subtracting a reading can't overflow. */
         const val NEVER_MS = Long.MIN_VALUE / 2
 
         val log = LoggerFactory.getLogger("election")
--- a/src/main/kotlin/oxbowlug/election/LeadershipDecisionContext.kt
+++ b/src/main/kotlin/oxbowlug/election/LeadershipDecisionContext.kt
@@ -5,7 +5,7 @@
 import oxbowlug.port.Clock
 import oxbowlug.record.LeadershipRecord
 
-/** What this controller bases its decisions on now: its role, the rest of its lease, and how stale its cache is. */
+/** The [DecisionContext] of this controller, read from its election and its state cache at each call. */
 internal class LeadershipDecisionContext(
     private val clock: Clock,
     private val election: LeaderElection,
--- a/src/main/kotlin/oxbowlug/invariant/Invariants.kt
+++ b/src/main/kotlin/oxbowlug/invariant/Invariants.kt
@@ -5,20 +5,21 @@
 import oxbowlug.port.Meters
 
 /**
- * Reports violated invariants while the service runs: each is an error line with the decision context, and a count in
- * the metrics; whoever finds it chooses the safe side (no start, no renewal without a stop) and goes on.
+ * Reports invariants that are found violated while the service runs: each violation is logged as an error with the
+ * decision context and counted in the metrics. The process goes on, and the caller takes the safe choice: it drops the
+ * start, or renews no lease without stopping the cancelled work.
  */
 internal class Invariants(
     val decisions: DecisionContext,
     private val meters: Meters,
 ) {
-    /** Logs and counts it; [what] is the evidence, for the log. */
+    /** Logs and counts a violation of [invariant]; [evidence] names the attempts and machines involved. */
     fun violated(
         invariant: Invariant,
-        what: String,
+        evidence: String,
     ) {
         // The soak run finds violations by the beginning of this line, "invariant LABEL".
-        log.error("invariant {} is violated: reason={} {}", invariant.label, what, decisions.describe())
+        log.error("invariant {} is violated: reason={} {}", invariant.label, evidence, decisions.describe())
         meters.violated(invariant)
     }
 
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
@@ -12,11 +12,12 @@
 import oxbowlug.wire.Zone
 
 /**
- * What a controller that is assigned as delegate may do while its zone is cut off: renew the leases of the zone's
- * workers with the leader's token, and nothing else. It begins only after it has heard neither the leader nor the state
- * service for [Timing.delegateAfterMs], and ends this as soon as it hears one of them or learns of a newer epoch.
- * Without it all work of a zone that is cut off for longer than a worker's lease would end, though controllers stand
- * beside it.
+ * The delegate's side of lease renewal in a partitioned zone: a controller that the leader assigned as delegate renews
+ * the leases of the zone's workers under the leader's token, and does nothing else. Without a delegate, all tasks of a
+ * zone that is partitioned for longer than the TTL of a worker's lease would end, even with a controller in the zone.
+ *
+ * The delegate starts renewing after it has reached neither the leader nor the state service for
+ * [Timing.delegateActivationMs], and stops as soon as it reaches one of them or learns of a newer epoch.
  */
 internal class LeaseRenewalDelegate(
     private val self: Member,
@@ -26,6 +27,7 @@
     private val timing: Timing,
     private val cache: StateCache,
 ) {
+    /** A heartbeat of [leader], sent at [leaderClockMs] by its clock and received at [receivedAtMs] by this one's. */
     private class LeaderContact(
         val leader: Member,
         val leaderClockMs: Long,
@@ -34,26 +36,30 @@
 
     private var lastLeaderContact: LeaderContact? = null
 
-    /** Counted for this incarnation: an unchanged count shows the leader that nothing was renewed in between. */
+    /**
+     * Leases renewed in this incarnation, as a delegate. Two echoes with the same count prove to the leader that no
+     * lease was renewed between them.
+     */
     private var renewals = 0L
 
-    /** Any peer's heartbeat; only the leader's counts. */
+    /** Records the contact if the leader sent [heartbeat]; heartbeats of other controllers are ignored. */
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
-        val latest = lastLeaderContact
-        // Held packets come in order, but over several connections: an older heartbeat must not look like a new one.
-        if (latest != null && latest.leader == heartbeat.sender && heartbeat.atMs < latest.leaderClockMs) return
-        // One that was started in an outage has no leadership record yet, but its echo is needed as much
-        // ([CancellationFreshness]).
+        val last = lastLeaderContact
+        // Delayed packets keep their order within a connection only: a heartbeat that arrives late on another
+        // connection must not count as a new one.
+        if (last != null && last.leader == heartbeat.sender && heartbeat.atMs < last.leaderClockMs) return
+        // A controller that was started during an outage of the state service has no leadership record yet, but
+        // CancellationFreshness on the leader depends on its echo as well.
         val leader = cache.leadership?.leader ?: heartbeat.leader
         if (heartbeat.sender == leader) {
             lastLeaderContact = LeaderContact(heartbeat.sender, heartbeat.atMs, clock.steadyMs())
         }
     }
 
-    /** Sent to the leader: its newest heartbeat that arrived here, and the number of renewals so far. */
+    /** Echoes the leader's newest heartbeat received here, with the current renewal count, or null if there is none. */
     fun echo(): HeartbeatEcho? = lastLeaderContact?.let { HeartbeatEcho(it.leader, it.leaderClockMs, renewals) }
 
-    /** Milliseconds since the leader or the state service was reached last. */
+    /** Milliseconds since the last contact with the present leader or the state service. */
     private fun isolatedMs(): Long {
         val leader = cache.leadership?.leader
         val lastContactAt = lastLeaderContact?.takeIf { it.leader == leader }?.receivedAtMs ?: cache.lastContactMs
@@ -61,25 +67,32 @@
     }
 
     /**
-     * Who answers the workers of this zone, or of another one of its region, instead of the leader, once it is certain
-     * that the zone is cut off; null while the leader answers.
+     * The delegate assigned to the zone of the worker that sent [heartbeat], once this controller has been isolated for
+     * [Timing.delegateActivationMs]. Null before that, for workers outside this zone's region, and for workers that
+     * have seen a newer token than the leader's.
      */
     fun delegateFor(heartbeat: WorkerHeartbeat): Member? {
         val leadership = cache.leadership ?: return null
         val delegates = cache.delegates ?: return null
-        val isNear = regions.areTogether(heartbeat.zone, zone)
-        val isInScope = delegates.token == leadership.token && isNear && heartbeat.token <= leadership.token
-        return if (isInScope && isolatedMs() >= timing.delegateAfterMs) delegates.byZone[heartbeat.zone] else null
+        val isInRegion = regions.areTogether(heartbeat.zone, zone)
+        val isInScope = delegates.token == leadership.token && isInRegion && heartbeat.token <= leadership.token
+        return if (isInScope && isolatedMs() >= timing.delegateActivationMs) delegates.byZone[heartbeat.zone] else null
     }
 
-    /** Neither the leader nor the state service was reached for a while: the zone may soon count as cut off. */
-    fun isNearingIsolation(): Boolean {
+    /**
+     * Whether this controller has been isolated for at least half of [Timing.delegateActivationMs], but not all of it,
+     * and a zone of its region has a delegate.
+     */
+    fun isNearingActivation(): Boolean {
         val delegates = cache.delegates
-        val isSoon = isolatedMs() in timing.delegateAfterMs / 2 until timing.delegateAfterMs
-        return delegates != null && isSoon && delegates.byZone.keys.any { regions.areTogether(it, zone) }
+        val isActivationNear = isolatedMs() in timing.delegateActivationMs / 2 until timing.delegateActivationMs
+        return delegates != null && isActivationNear && delegates.byZone.keys.any { regions.areTogether(it, zone) }
     }
 
-    /** The token with which this worker's lease is renewed, or null if this controller is not the delegate for it. */
+    /**
+     * Counts a renewal and returns the token under which to renew this worker's lease, or returns null if this
+     * controller isn't the active delegate for the worker.
+     */
     fun renew(heartbeat: WorkerHeartbeat): FencingToken? {
         if (delegateFor(heartbeat) != self) return null
         renewals++
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -20,9 +20,9 @@
 import oxbowlug.wire.Zone
 
 /**
- * The leader's side of [LeaseRenewalDelegate]: assigns one controller to each zone, and knows until when each of them
- * has surely renewed nothing. Only such a span proves that a silent worker's lease has expired, since the delegate may
- * have renewed it.
+ * The leader's side of [LeaseRenewalDelegate]: assigns one controller to each zone as its lease renewal delegate, and
+ * tracks the period in which each delegate has provably renewed no lease. The lease of a silent worker is proven to
+ * have expired only if such a period covers its whole TTL, because the zone's delegate may otherwise have renewed it.
  */
 internal class LeaseRenewalDelegates(
     private val leadership: LeadershipRecord,
@@ -35,9 +35,10 @@
     private class Delegate(
         val member: Member,
     ) {
+        /** The renewal count in the delegate's last echo, or null before the first echo. */
         var renewals: Long? = null
 
-        /** From [idleFromMs] to [idleUntilMs], by our clock, it has renewed nothing. */
+        /** The delegate renewed no lease from [idleFromMs] to [idleUntilMs], by the leader's steady clock. */
         var idleFromMs = Long.MAX_VALUE
         var idleUntilMs = Long.MIN_VALUE
     }
@@ -49,39 +50,42 @@
     private var isWriting = false
     private var nextWriteAt = 0L
 
-    /** Assigns delegates where they are missing, and stores the assignments when they differ from those stored. */
+    /** Assigns a delegate to each zone that lacks one, and stores the assignments if the stored ones differ. */
     fun tick(now: Long) {
         if (isWriting || now < nextWriteAt) return
         val members = cache.members()
         for (zone in settings.zones) assign(zone, members)
-        val wanted = delegateByZone.mapValues { it.value.member }
+        val desired = delegateByZone.mapValues { it.value.member }
         val stored = cache.delegates
-        if (wanted.isEmpty() || stored != null && stored.token == leadership.token && stored.byZone == wanted) return
-        write(wanted, stored)
+        if (desired.isEmpty() || stored != null && stored.token == leadership.token && stored.byZone == desired) return
+        write(desired, stored)
     }
 
     /**
-     * A delegate that is no longer a member stays assigned: cut off, it may be renewing, and only a later incarnation
-     * of the same controller shows that it has ended. It may read its assignment even if our write isn't answered, so
-     * it counts from here on.
+     * Assigns a delegate to [zone] unless it has one. A delegate that is no longer a member stays assigned: it may be
+     * partitioned and still renewing leases, and only a later incarnation of the same controller proves that it has
+     * ended.
+     *
+     * The assignment takes effect here before it is stored: the delegate may read it from the state service even if the
+     * leader gets no answer to its write.
      */
     private fun assign(
         zone: Zone,
         members: List<Member>,
     ) {
-        val present = delegateByZone[zone]?.member
-        if (present != null && members.none { it.label == present.label && it != present }) return
+        val current = delegateByZone[zone]?.member
+        if (current != null && members.none { it.label == current.label && it != current }) return
         val candidates =
             members
-                .filter { it != leadership.leader && it != present }
+                .filter { it != leadership.leader && it != current }
                 .map { member -> Candidate(member, member.label, delegateByZone.values.count { it.member == member }) }
-        val next = choice.choose(zone, candidates) ?: return
-        log.info("renewal delegate assigned: peer={} zone={}", next.label, zone)
-        delegateByZone[zone] = Delegate(next)
+        val chosen = choice.choose(zone, candidates) ?: return
+        log.info("renewal delegate assigned: peer={} zone={}", chosen.label, zone)
+        delegateByZone[zone] = Delegate(chosen)
     }
 
     private fun write(
-        wanted: Map<Zone, Member>,
+        desired: Map<Zone, Member>,
         stored: DelegateAssignments?,
     ) {
         isWriting = true
@@ -93,19 +97,20 @@
                     stored?.version ?: 0,
                 ),
             )
-        val assignment = Change.Put(Keys.DELEGATES, DelegateAssignments(leadership.token, wanted, 0).encode())
+        val assignment = Change.Put(Keys.DELEGATES, DelegateAssignments(leadership.token, desired, 0).encode())
         state.commit(Transaction(conditions, listOf(assignment))) {
             isWriting = false
-            // The watch brings what is stored; until it does, the write is only tried again slowly.
+            // The outcome is ignored: the watch updates the cached assignments, and until they match the desired ones
+            // the write is repeated at this longer interval.
             nextWriteAt = clock.steadyMs() + timing.retryMs() * 4
         }
     }
 
-    /** A peer's echo of our heartbeat shows whether it renewed any lease since the one before. */
+    /** Extends or restarts the idle period of the delegate that sent [heartbeat], by the echo in it. */
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val echo = heartbeat.echo ?: return
         if (echo.leader != leadership.leader) return
-        // Its count is of all zones that it is assigned to: a renewal in one of them invalidates the proof for each.
+        // The renewal count covers all zones of a delegate: a renewal in one zone restarts its idle period in each.
         for (delegate in delegateByZone.values) if (delegate.member == heartbeat.sender) delegate.onHeartbeat(echo)
     }
 
@@ -114,18 +119,22 @@
             renewals = echo.renewals
             idleFromMs = clock.steadyMs()
         }
-        // It received that heartbeat of ours at that time or later, and doesn't begin until long after.
-        idleUntilMs = maxOf(idleUntilMs, echo.atMs + timing.delegateNotStartedMs)
+        // The delegate received the echoed heartbeat no earlier than the leader sent it, and renews no lease until it
+        // has been isolated for a while after that.
+        idleUntilMs = maxOf(idleUntilMs, echo.atMs + timing.delegateIdleMs)
     }
 
-    /** Whether a lease that we last renewed at [renewedAt] has expired, whatever the zone's delegate did. */
-    fun isSurelyExpired(
+    /**
+     * Whether a lease that this leader last renewed at [renewedAt] has provably expired, taking into account that the
+     * delegate of [zone] may have renewed it later.
+     */
+    fun isProvenExpired(
         zone: Zone?,
         renewedAt: Long,
     ): Boolean {
         val delegate = delegateByZone[zone] ?: return true
         if (delegate.idleFromMs == Long.MAX_VALUE) return false
-        val expiresAt = maxOf(renewedAt, delegate.idleFromMs) + timing.workerExpiryMs
+        val expiresAt = maxOf(renewedAt, delegate.idleFromMs) + timing.workerLeaseExpiryMs
         return delegate.idleUntilMs >= expiresAt && clock.steadyMs() >= expiresAt
     }
 
--- a/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
@@ -1,50 +1,60 @@
 package oxbowlug.lease
 
 /**
- * What a leader knows of one worker's lease under its own token. All times are milliseconds of the leader's steady
- * clock. A lease belongs to an incarnation: what was answered in one says nothing of the next, which begins with a full
- * lease of its own, without any answer.
+ * The leader's record of one worker's lease under the leader's own fencing token. All times are milliseconds of the
+ * leader's steady clock.
+ *
+ * A lease belongs to one incarnation of the worker. Each incarnation starts with a full lease, before any heartbeat of
+ * it is answered, so renewals of an earlier incarnation's lease say nothing about the lease of the next one.
  */
 internal class WorkerLease {
-    private var incarnation = 0L
+    private var newestIncarnation = 0L
     private var endedIncarnation = 0L
 
-    /** From when the present incarnation's lease counts at the latest; null: no message of the worker was received. */
-    var countsFromMs: Long? = null
+    /**
+     * The latest moment at which the TTL of the newest incarnation's lease may have started, or null if no message of
+     * the worker was received.
+     */
+    var ttlStartMs: Long? = null
         private set
 
     /**
-     * Some message, a direct command's answer too, shows [observed]. Counted on from an answer in the incarnation
-     * before, the new incarnation's tasks were given up and started elsewhere while they ran
-     * (docs/incidents/broke-at-size-2.md).
+     * Restarts the TTL if [incarnation] is newer than all before. It is called for every message of the worker,
+     * including the answer to a direct command. When the TTL was still counted from the last renewal of the previous
+     * incarnation, the new incarnation's lease was declared expired too early, and its tasks were started on other
+     * machines while they still ran (docs/incidents/broke-at-size-2.md).
      */
     fun onIncarnationObserved(
-        observed: Long,
+        incarnation: Long,
         now: Long,
     ) {
-        if (observed <= incarnation) return
-        incarnation = observed
-        countsFromMs = now
+        if (incarnation <= newestIncarnation) return
+        newestIncarnation = incarnation
+        ttlStartMs = now
     }
 
     /**
-     * A heartbeat is being answered so that it renews the lease; the worker counts from when it sent that heartbeat.
+     * Restarts the TTL because the answer to a heartbeat renews the lease. The worker counts from when it sent that
+     * heartbeat, so its lease expires no later than this record's.
      */
-    fun renewed(now: Long) {
-        countsFromMs = now
+    fun onRenewed(now: Long) {
+        ttlStartMs = now
     }
 
-    /** Whether it has run out, as long as nobody else may have renewed it. */
+    /**
+     * Whether [expiryMs] have passed since the TTL was last restarted. This proves that the lease has expired only if
+     * no other controller can have renewed it.
+     */
     fun isExpired(
         now: Long,
         expiryMs: Long,
-    ): Boolean = countsFromMs?.let { now >= it + expiryMs } ?: false
+    ): Boolean = ttlStartMs?.let { now >= it + expiryMs } ?: false
 
-    /** It has run out, and with it the incarnation that was observed last. */
-    fun end() {
-        endedIncarnation = incarnation
+    /** Marks the newest incarnation as ended, since its lease has expired. */
+    fun endIncarnation() {
+        endedIncarnation = newestIncarnation
     }
 
-    /** Whether [candidate] has ended. Nothing that a message of it says counts, and nothing may renew it. */
-    fun hasEnded(candidate: Long): Boolean = candidate <= endedIncarnation
+    /** Whether [incarnation] has ended: its messages are ignored, and its lease must not be renewed. */
+    fun hasEnded(incarnation: Long): Boolean = incarnation <= endedIncarnation
 }
--- a/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
@@ -9,24 +9,28 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /**
- * The one place where a heartbeat is answered so that it renews the worker's lease: by a leader, by one that only
- * renews, by one that hasn't read the jobs yet, and by a renewal delegate. A path of its own for one of them renewed
- * cancelled work without stopping it, for ever.
+ * Builds every response to a heartbeat that renews the worker's lease, whether this controller is the leader, a leader
+ * that hasn't read the jobs yet, a leader in the renewal-only role, or a lease renewal delegate. All of them share this
+ * code so that each renewal also stops cancelled work: when one of them had a code path of its own, that path renewed a
+ * worker's lease forever without stopping its cancelled tasks.
  */
 internal class WorkerLeaseRenewals(
     private val cache: StateCache,
     private val decisions: DecisionContext,
 ) {
     /**
-     * Adds the stops of cancelled work to [commands], which are a leader's own; whoever decides nothing has none. They
-     * are missing where the heartbeat is older than a direct command's answer, and then they change nothing.
+     * Returns the response that renews the lease under [token] and carries [commands] plus a stop command for each
+     * running attempt of a cancelled job that [commands] doesn't stop.
+     *
+     * Only the leader passes [commands]. The leader's commands lack such a stop if this heartbeat is older than the
+     * answer to a direct command that the leader has already processed; the added stop then has no effect.
      */
     fun renew(
         heartbeat: WorkerHeartbeat,
         token: FencingToken,
         commands: List<WorkerCommand> = emptyList(),
     ): HeartbeatResponse.Renewed {
-        val allCommands = commands + cache.cancelledWork(heartbeat).notAmong(commands)
+        val allCommands = commands + cache.cancelledWork(heartbeat).missingFrom(commands)
         if (log.isDebugEnabled) {
             log.debug(
                 "lease renewed: machine={} incarnation={} sequence={} token={} commands={} {}",
@@ -46,8 +50,8 @@
     }
 }
 
-/** The stops whose attempts none of [commands] stops. */
-internal fun List<WorkerCommand.Stop>.notAmong(commands: List<WorkerCommand>): List<WorkerCommand.Stop> {
+/** The stop commands for attempts that no command in [commands] stops. */
+internal fun List<WorkerCommand.Stop>.missingFrom(commands: List<WorkerCommand>): List<WorkerCommand.Stop> {
     val stopped = commands.mapNotNull { (it as? WorkerCommand.Stop)?.attempt }
     return filter { it.attempt !in stopped }
 }
--- a/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
@@ -6,9 +6,12 @@
 import oxbowlug.timing.Timing
 
 /**
- * The health of the other controllers, by their heartbeats. In an outage of the state service they are all without it,
- * and if all then called themselves unhealthy, users would reach nobody, not even to be told when to come back, and
- * nobody for some seconds after its end. One that alone is without it steps aside.
+ * Failure detector for the other controllers, based on their heartbeats, which also carry whether each of them reaches
+ * the state service.
+ *
+ * A controller that alone has lost the state service reports itself unhealthy. In an outage of the state service, all
+ * controllers have lost it: if all reported themselves unhealthy, user requests would reach none of them, not even to
+ * get a retry time, until some seconds after the end of the outage.
  */
 internal class PeerHealth(
     private val peerCount: Int,
@@ -22,39 +25,42 @@
         val receivedAtMs: Long,
     )
 
-    private val lastHeartbeats = HashMap<String, LastHeartbeat>()
+    private val lastHeartbeatByLabel = HashMap<String, LastHeartbeat>()
 
-    /** A peer's heartbeat; the newest one replaces the one before. */
+    /** Records a peer's heartbeat; only the last one received from each controller is kept. */
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val sender = heartbeat.sender
-        lastHeartbeats[sender.label] =
+        lastHeartbeatByLabel[sender.label] =
             LastHeartbeat(sender, heartbeat.seesState, heartbeat.mayConfirm, clock.steadyMs())
     }
 
-    /** The newest incarnation of a controller that a heartbeat came from. */
-    fun incarnationOf(label: String): Member? = lastHeartbeats[label]?.sender
+    /** The incarnation that sent the last heartbeat of the controller [label], or null if none was received. */
+    fun incarnationOf(label: String): Member? = lastHeartbeatByLabel[label]?.sender
 
-    /** Whether a heartbeat of it came within the last few intervals. */
-    fun isAlive(label: String): Boolean = lastHeartbeats[label]?.let(::isRecent) ?: false
+    /** Whether the controller [label] sent a heartbeat within the last [ALIVE_HEARTBEATS] heartbeat intervals. */
+    fun isAlive(label: String): Boolean = lastHeartbeatByLabel[label]?.let(::isRecent) ?: false
 
     private fun isRecent(heartbeat: LastHeartbeat): Boolean =
         clock.steadyMs() - heartbeat.receivedAtMs < timing.peerHeartbeatMs * ALIVE_HEARTBEATS
 
-    /** Whether it said, in its last heartbeat, that the state service hasn't answered it lately. */
-    fun isWithoutState(label: String): Boolean = lastHeartbeats[label]?.mayConfirm == false
+    /**
+     * Whether, by its last heartbeat, the controller [label] had no recent answer from the state service and so can't
+     * be confirming cancellations.
+     */
+    fun isCutOffFromState(label: String): Boolean = lastHeartbeatByLabel[label]?.mayConfirm == false
 
     /**
-     * Whether another controller reaches the state service. Also true while no other one is heard: then it is this one
-     * that is cut off.
+     * Whether another controller reaches the state service. Also true while no peer's heartbeat is recent, since then
+     * this controller is likely the one that is partitioned. False if there are no peers.
      */
-    fun isStateVisibleToOthers(): Boolean {
+    fun isStateReachableByOthers(): Boolean {
         if (peerCount == 0) return false
-        val recent = lastHeartbeats.values.filter(::isRecent)
+        val recent = lastHeartbeatByLabel.values.filter(::isRecent)
         return recent.isEmpty() || recent.any { it.seesState }
     }
 
     private companion object {
-        /** A peer counts as alive for as many heartbeat intervals after its last heartbeat. */
+        /** A peer counts as alive for this many heartbeat intervals after its last heartbeat. */
         const val ALIVE_HEARTBEATS = 4
     }
 }
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -3,7 +3,7 @@
 import oxbowlug.config.Settings
 import kotlin.random.Random
 
-/** Every duration of the controller, each derived from the settings. Milliseconds, unless the name says otherwise. */
+/** All durations of the controller, derived from the settings; in milliseconds unless the name has another unit. */
 internal class Timing(
     settings: Settings,
     private val random: Random,
@@ -13,163 +13,217 @@
 
     private val writeRps = settings.state.writeRps
 
-    /** When no machine could be emptied, it is looked for again a few times in each horizon. */
-    private val noDrainPauseMs = (settings.policy.replanS * 250.0).toLong()
+    /** Pause before the next move if no machine could be emptied: a quarter of the planning interval. */
+    private val noCandidatePauseMs = (settings.policy.replanS * 250.0).toLong()
 
-    /** Steady clocks drift by up to 0.05%; twice that is allowed for between two of them. */
-    private val drift = 0.001
+    /** Drift allowed between the steady clocks of two machines: twice 0.05%, the drift of each. */
+    private val maxClockDrift = 0.001
 
-    /** A controller's own lease: short beside the workers', so that a successor answers before theirs run out. */
+    /** TTL of a controller's own lease: short enough that a successor is elected before workers' leases expire. */
     val leadershipLeaseTtlMs: Long = (workerLeaseMs * 0.3).toLong()
-    val leadershipRenewMs: Long = leadershipLeaseTtlMs / 4
+    val leadershipRenewIntervalMs: Long = leadershipLeaseTtlMs / 4
 
-    /** How long after a renewal was sent its holder may still believe in it. */
-    val leadershipLeaseMs: Long = (leadershipLeaseTtlMs * (1.0 - drift)).toLong() - CLOCK_STEP_MS
+    /** How long a controller may rely on its own lease, counted from when it sent the last successful renewal. */
+    val leadershipLeaseValidityMs: Long = (leadershipLeaseTtlMs * (1.0 - maxClockDrift)).toLong() - TIMER_SLACK_MS
 
-    /** Once this long has passed since our last answer, a worker's lease is surely over. */
-    val workerExpiryMs: Long = (workerLeaseMs * (1.0 + drift)).toLong() + 2 * CLOCK_STEP_MS
-    val workerLeaseRawMs: Long = workerLeaseMs.toLong()
+    /** How long after the last renewal, by the leader's clock, a worker's lease has certainly expired. */
+    val workerLeaseExpiryMs: Long = (workerLeaseMs * (1.0 + maxClockDrift)).toLong() + 2 * TIMER_SLACK_MS
+    val workerLeaseTtlMs: Long = workerLeaseMs.toLong()
 
-    /** A machine whose heartbeats are missing for this long is not given new work. */
+    /** A machine without heartbeats for this long is given no new work. */
     val heartbeatLateMs: Long = (heartbeatMs * 2.5).toLong()
 
-    /** A machine whose heartbeats are missing for this long is likely to hang or to be dead. */
-    val suspectMs: Long = (workerLeaseMs * 0.4).toLong()
+    /** A machine without heartbeats for this long is suspected to hang or to have failed. */
+    val suspectAfterMs: Long = (workerLeaseMs * 0.4).toLong()
 
     /**
-     * When the first machine of a partitioned zone becomes suspect, all others have been silent for this long: a
-     * heartbeat comes after up to 1.25 times the interval. Counted any later, a part of the zone would be given up
-     * first.
+     * A machine without heartbeats for this long counts towards a network partition of its zone. Heartbeats are up to
+     * 1.25 intervals apart, so when the first machine of a partitioned zone becomes suspect, all its other machines
+     * have been silent for at least this long. With a longer time, some machines of the zone would be treated as failed
+     * before the partition is detected.
      */
-    val zonePartitionSilenceMs: Long = suspectMs - (heartbeatMs * 1.25).toLong()
+    val zonePartitionSilenceMs: Long = suspectAfterMs - (heartbeatMs * 1.25).toLong()
 
-    /** How long a heartbeat waits for a leader to be known: as long as its worker would before it tries elsewhere. */
+    /**
+     * How long a worker's heartbeat may be held until a leader is known: about as long as the worker, if refused, would
+     * wait before it tries the next controller.
+     */
     val heartbeatWaitMs: Long = minOf(heartbeatMs, workerLeaseMs * 0.1).toLong()
 
-    /** Early enough for a successor to answer before the workers' leases are over. */
-    val workersLostMs: Long = (workerLeaseMs * 0.35).toLong()
+    /**
+     * A leader that receives no heartbeat from any worker for this long resigns, early enough for a successor to renew
+     * the workers' leases before they expire.
+     */
+    val resignAfterSilenceMs: Long = (workerLeaseMs * 0.35).toLong()
 
-    /** Alone for this long, a delegate begins: workers that lost the leader need as long to come to it. */
-    val delegateAfterMs: Long = (workerLeaseMs * 0.35).toLong()
+    /**
+     * A lease renewal delegate that is isolated for this long starts renewing leases. Workers that have lost the leader
+     * take about as long to reach the delegate.
+     */
+    val delegateActivationMs: Long = (workerLeaseMs * 0.35).toLong()
 
-    /** For this long after it heard from the leader, its delegate has surely not begun. */
-    val delegateNotStartedMs: Long = (delegateAfterMs * (1.0 - drift)).toLong() - 2 * CLOCK_STEP_MS
+    /** For this long after the leader sent a heartbeat that a delegate received, the delegate renews no lease. */
+    val delegateIdleMs: Long = (delegateActivationMs * (1.0 - maxClockDrift)).toLong() - 2 * TIMER_SLACK_MS
 
-    val cancelMs: Long = (settings.workers.cancelS * 1000.0).toLong()
+    /** Time from the confirmation of a cancellation to its user until all tasks of the job have to have ended. */
+    val cancelDeadlineMs: Long = (settings.workers.cancelS * 1000.0).toLong()
 
-    /** Half of the time allowed for a cancellation: then a machine that can't be reached is released. */
-    val cancelPatienceMs: Long = (settings.workers.cancelS * 500.0).toLong()
+    /** The leader releases a machine that may still run cancelled work after this: half of [cancelDeadlineMs]. */
+    val cancelReleaseAfterMs: Long = (settings.workers.cancelS * 500.0).toLong()
 
-    /** A partitioned zone may come back in time, and its machines hold much other work. */
-    val partitionPatienceMs: Long = (settings.workers.cancelS * 850.0).toLong()
+    /**
+     * The same for machines of a partitioned zone: 85% of [cancelDeadlineMs], because the partition may heal in time
+     * and the machines run much other work.
+     */
+    val partitionedCancelReleaseAfterMs: Long = (settings.workers.cancelS * 850.0).toLong()
 
-    /** Whoever leads has had this long to take a cancellation over. */
+    /** Followers enforce a cancellation that the leader hasn't acknowledged after this: 20% of [cancelDeadlineMs]. */
     val enforceAfterMs: Long = (settings.workers.cancelS * 200.0).toLong()
 
-    /** Those that don't lead act on it themselves one after the other, so that calls aren't spent several times. */
-    val enforceStepMs: Long = (settings.workers.cancelS * 50.0).toLong()
+    /** Delay from one follower's enforcement of a cancellation to the next follower's, to avoid duplicate calls. */
+    val enforceStaggerMs: Long = (settings.workers.cancelS * 50.0).toLong()
 
-    /** The last moment at which those that don't lead release a machine for it, with a cloud call's time left. */
-    val enforceByReleaseLatestMs: Long = (settings.workers.cancelS * 850.0).toLong()
+    /** Followers release machines that may still run cancelled work after this, which leaves time for a cloud call. */
+    val enforceByReleaseAfterMs: Long = (settings.workers.cancelS * 850.0).toLong()
 
     /**
-     * For how long after it last surely knew all confirmed cancellations a controller may renew leases: the last of
-     * them is over before a cancellation that it doesn't know has to be.
+     * How long a controller without the state service may renew workers' leases after the last moment as of which it
+     * certainly knew all confirmed cancellations. The last lease that it renews expires before the deadline of a
+     * cancellation that it doesn't know.
      */
-    val blindRenewalMs: Long =
-        (cancelMs - (workerLeaseMs * (1.0 + 2 * drift)).toLong() - heartbeatMs.toLong() - 2 * CLOCK_STEP_MS)
-            .coerceAtLeast(workerLeaseRawMs / 5)
+    val maxRenewalStalenessMs: Long =
+        (
+            cancelDeadlineMs -
+                (workerLeaseMs * (1.0 + 2 * maxClockDrift)).toLong() -
+                heartbeatMs.toLong() -
+                2 * TIMER_SLACK_MS
+        ).coerceAtLeast(workerLeaseTtlMs / 5)
 
-    /** Renewals of its own lease keep a controller in touch with the state service more often than this. */
-    val cancellationConfirmMs: Long = leadershipRenewMs * 3
+    /**
+     * A controller without contact with the state service for this long reports that it can't be confirming
+     * cancellations. Renewals of its own lease bring contact more often than this.
+     */
+    val cancellationConfirmWindowMs: Long = leadershipRenewIntervalMs * 3
     val directTimeoutMs: Long = workerLeaseMs.toLong() / 5
-    val watchMs: Long = workerLeaseMs.toLong()
+
+    /** How long a watch waits in the state service for a change before it returns empty. */
+    val watchTimeoutMs: Long = workerLeaseMs.toLong()
 
     /**
-     * Reads of changes are paced to a tenth of the state service's rate a node for each of the two kinds, and further
-     * where nobody waits for less: one read serves all polls of its time, and a follower only needs to see in time that
-     * a leader is gone.
+     * Minimum time between two catch-up reads: at most a fifth of the state service's request rate, and less often
+     * where that is enough, because one read serves all polls that wait for it.
      */
     val catchUpGapMs: Long = maxOf((1000.0 / (settings.state.rps * 0.2)).toLong(), (heartbeatMs / 50.0).toLong())
+
+    /** Pause between a follower's watches: a follower only has to notice in time that the leader is gone. */
     val followerWatchGapMs: Long = (heartbeatMs / 25.0).toLong().coerceAtLeast(20)
+
+    /** Pause between the leader's watches: at most a fifth of the state service's request rate. */
     val watchGapMs: Long = (1000.0 / (settings.state.rps * 0.2)).toLong().coerceAtLeast(5)
 
-    /** A list is surely newer than an event if it was asked for this much later. */
-    val machineListAgeMs: Long = (settings.cloud.listLagS * 2000.0 * 1.1).toLong() + 1000
+    /** A machine list requested this long after an event certainly reflects it: twice the list's lag, and a margin. */
+    val machineListLagMs: Long = (settings.cloud.listLagS * 2000.0 * 1.1).toLong() + 1000
+
+    /** Pause between two requests for the machine list. */
     val machineListIntervalMs: Long =
         maxOf((settings.cloud.listLagS * 500.0).toLong(), (4000.0 / settings.cloud.rps).toLong())
 
     /**
-     * A machine on which a job failed is avoided by it this long; a job that fails everywhere pauses, doubling. Both
-     * end well before somebody would call the job left waiting beside a machine with room.
+     * How long a job avoids a machine on which one of its tasks failed. Like [errorBackoffMaxMs], this ends well before
+     * the job would count as neglected while a machine has room for it.
      */
-    val avoidMs: Long = workerLeaseRawMs * 4
-    val errorPauseMs: Long = workerLeaseRawMs / 2
-    val errorPauseMaxMs: Long = workerLeaseRawMs * 3
+    val failedMachineAvoidMs: Long = workerLeaseTtlMs * 4
+
+    /** First pause of a job that failed on several machines; doubled with each further one up to the maximum. */
+    val errorBackoffMs: Long = workerLeaseTtlMs / 2
+    val errorBackoffMaxMs: Long = workerLeaseTtlMs * 3
 
-    /** A machine that didn't accept a command isn't given more for as long as that needed to show. */
-    val unresponsiveMs: Long = workerLeaseRawMs * 2
-    val refusedPauseMs: Long = heartbeatMs.toLong() * 3
+    /** A machine that didn't act on a start gets no new work for this long: about the time that detection took. */
+    val unresponsiveMs: Long = workerLeaseTtlMs * 2
 
-    /** Ends of tasks are deferred this long for others of the same job, so that they share a write. */
+    /** How long a job avoids a machine that refused or lost one of its tasks for a reason other than a task error. */
+    val refusedStartBackoffMs: Long = heartbeatMs.toLong() * 3
+
+    /** How long the write of a task's end is deferred, so that it is batched with later ends of the same job. */
     val deferredWriteMs: Long = heartbeatMs.toLong()
 
-    /** While few writes are allowed, they are deferred no longer than this. */
-    val deferredWriteMaxMs: Long = workerLeaseRawMs
+    /** The longest that such a write is deferred while write capacity is scarce. */
+    val deferredWriteMaxMs: Long = workerLeaseTtlMs
+
+    /** First pause before a machine kind without capacity is requested again; doubled with each further refusal. */
+    val refusalBackoffBaseMs: Long = workerLeaseTtlMs / 2
 
-    /** A kind that had no capacity is asked again after this, doubling; its price decays in the same measure. */
-    val refusalBaseMs: Long = workerLeaseRawMs / 2
-    val refusalHalfLifeMs: Long = workerLeaseRawMs * 3
-    val orderPatienceMs: Long = workerLeaseRawMs * 6
+    /** Half-life of the price penalty of a machine kind without capacity. */
+    val refusalHalfLifeMs: Long = workerLeaseTtlMs * 3
 
-    /** The controller looks after what is due this often. */
+    /** An order that the provider refuses or leaves unanswered is given up after this. */
+    val orderTimeoutMs: Long = workerLeaseTtlMs * 6
+
+    /** Interval of the controller's tick, which performs all periodic work that is due. */
     val tickMs: Long = (heartbeatMs / 20).toLong().coerceAtLeast(10)
 
-    /** Plans are at least this far apart, so that a burst of events is planned for together. */
+    /** Minimum time between two plans, so that one plan covers a burst of events. */
     val planGapMs: Long = heartbeatMs.toLong() / 20
 
-    /** Between two stages of a pipeline: a last exit is reported, committed and planned for, and a start committed. */
-    val pipelineStageMs: Long = heartbeatMs.toLong() * 2
+    /**
+     * Time between the end of one pipeline stage and the start of the next: the last exit is reported and committed,
+     * the next stage is planned, and its start is committed.
+     */
+    val pipelineStageOverheadMs: Long = heartbeatMs.toLong() * 2
+
+    /** Planning interval while tasks are unplaced, machines are reserved, or jobs are in backoff. */
     val replanSoonMs: Long = heartbeatMs.toLong() * 2
 
-    /** The protocol counts a start that was not stopped by command within 30 s; a lease more is on the safe side. */
+    /**
+     * Run time, in seconds, after which a replica may be moved: the protocol counts a start only if it isn't stopped by
+     * a command within 30 s, and a worker lease's TTL is added as a margin.
+     */
     val settledS: Double = 30.0 + settings.workers.leaseS
+
+    /** Period over which arrivals of jobs are observed for the demand forecast. */
     val arrivalWindowMs: Long = (settings.policy.replanS * 3000).toLong()
+
+    /** Margin for a task to save its work before the provider takes its machine, beyond the task's own save time. */
     val drainMarginMs: Long = heartbeatMs.toLong() * 3
 
     /**
-     * Workers of a former leader that has ended find the next one sooner than this, and the former one is back and
-     * heard; those that haven't come by then may be answered by it still.
+     * A new leader starts to propagate its token to silent workers this long after its election. By then, the workers
+     * of a former leader that has ended have found the new one, and a restarted former leader sends heartbeats again;
+     * the leases of workers that are still silent may still be renewed by the former leader.
      */
     val propagateTokenAfterMs: Long = (workerLeaseMs * 0.5).toLong()
 
-    /** How often controllers tell one another how they are. */
-    val peerHeartbeatMs: Long = workerLeaseRawMs / 20
+    /** Interval of heartbeats between controllers. */
+    val peerHeartbeatMs: Long = workerLeaseTtlMs / 20
 
-    /** Without an answer of the state service for this long, submissions are refused at once. */
+    /** After this long without an answer of the state service, submissions are refused immediately. */
     val stateUnreachableMs: Long = leadershipLeaseTtlMs
-    val machineTypesIntervalMs: Long = workerLeaseRawMs
+
+    /** Interval at which the leader fetches the machine types. */
+    val machineTypesIntervalMs: Long = workerLeaseTtlMs
     val retryBaseMs: Long = heartbeatMs.toLong() / 4
 
-    /** A failed call is repeated after a jittered pause, so that controllers don't come in step. */
+    /** Pause before a failed call is retried, with jitter so that controllers don't retry in lockstep. */
     fun retryMs(): Long = retryBaseMs + random.nextLong(retryBaseMs + 1)
 
-    /** A moved task should be placed again with the next plan or two. */
+    /** For this long, a stopped task counts as being moved: one of the next two plans is expected to place it again. */
     val movingMs: Long = heartbeatMs.toLong() * 2
 
     /**
-     * Until the next machine may be emptied after one with replicas of [jobs] jobs. Each job is written twice for it,
-     * and moves may use a quarter of the write rate: so a large fleet shrinks as fast as its rates allow.
+     * Pause until the next machine may be emptied, after a machine with replicas of [jobs] jobs. A move writes the
+     * record of each job twice, and moves may use a quarter of the write rate, so that a large fleet shrinks as fast as
+     * its write rate allows.
      */
     fun movePauseMs(jobs: Int): Long {
-        if (jobs == 0) return noDrainPauseMs
+        if (jobs == 0) return noCandidatePauseMs
         return (jobs * 2 / (writeRps * 0.25) * 1000.0).toLong()
     }
 
+    /** A random duration from 0 to [maxMs]. */
     fun jitter(maxMs: Long): Long = if (maxMs <= 0) 0 else random.nextLong(maxMs + 1)
 
     companion object {
-        /** Timers fire in steps of up to a few milliseconds. */
-        const val CLOCK_STEP_MS = 50L
+        /** Allowance for the granularity of timers, which is up to a few milliseconds. */
+        const val TIMER_SLACK_MS = 50L
     }
 }
--- a/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
@@ -26,36 +26,36 @@
 import oxbowlug.wire.Transaction
 import kotlin.random.Random
 
-/** Who leads, who believes to, and who may only keep answering. */
+/** Which controller is elected leader, and which roles the other controllers have. */
 internal class LeaderElectionTest {
     private val world = World(1)
     private val store = SimStore(world)
-    private var readingJobsMs = 0L
+    private var jobReadDelayMs = 0L
     private var changesPerTransaction = 16
 
     private inner class Port : StatePort {
         var reachable = true
 
-        /** Every transaction is refused for its size. */
-        var isTooLarge = false
+        /** Refuses every transaction as too large. */
+        var refusesSize = false
 
-        /** All but readings of jobs and changes, which are asked for beside the election and don't delay it. */
+        /** Counts calls except renewals, releases and reads of jobs and changes, which don't delay the election. */
         var calls = 0
             private set
 
         private fun <T> answer(
-            away: T,
+            failure: T,
             done: (T) -> Unit,
             execute: () -> T,
         ) {
-            world.after(2) { if (reachable) done(execute()) else world.after(200) { done(away) } }
+            world.after(2) { if (reachable) done(execute()) else world.after(200) { done(failure) } }
         }
 
         override fun commit(
             transaction: Transaction,
             done: (CommitOutcome) -> Unit,
         ) = answer(CommitOutcome.Unanswered, done) {
-            if (isTooLarge) CommitOutcome.Invalid else store.commit(transaction)
+            if (refusesSize) CommitOutcome.Invalid else store.commit(transaction)
         }.also { calls++ }
 
         override fun readPage(
@@ -64,8 +64,8 @@
             done: (ReadPage?) -> Unit,
         ) {
             if (prefix == Keys.MEMBERSHIP) calls++
-            val slowMs = if (prefix == Keys.ROOT) readingJobsMs else 0
-            world.after(slowMs) { answer(null, done) { store.read(prefix, after, 100) } }
+            val delayMs = if (prefix == Keys.ROOT) jobReadDelayMs else 0
+            world.after(delayMs) { answer(null, done) { store.read(prefix, after, 100) } }
         }
 
         override fun changes(
@@ -90,13 +90,14 @@
 
     private inner class Node(
         label: String,
-        life: String,
+        incarnation: String,
     ) {
         private val clock = DriftingClock(world, 0.0, 0)
         private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(2))
         private val port = Port()
         private val cache = StateCache(port, clock, timing, Listener())
-        private val election = LeaderElection(Member(label, life), port, clock, timing, cache, changesPerTransaction)
+        private val election =
+            LeaderElection(Member(label, incarnation), port, clock, timing, cache, changesPerTransaction)
         private var alive = true
         val role: LeadershipRole get() = election.role()
         val calls: Int get() = port.calls
@@ -132,17 +133,17 @@
             alive = false
         }
 
-        fun refuseSizes(refuse: Boolean) {
-            port.isTooLarge = refuse
+        fun refuseTransactionSize(refuse: Boolean) {
+            port.refusesSize = refuse
         }
 
-        fun cutFromState() {
+        fun disconnectFromState() {
             port.reachable = false
         }
 
         val hasJobs: Boolean get() = cache.isSynced
 
-        fun hears(
+        fun observeEpoch(
             epoch: Long,
             leader: Member?,
         ) = election.observeEpoch(epoch, leader)
@@ -151,7 +152,7 @@
     private val leaseMs = Timing(SettingsFile.parse(SampleSettings.valid), Random(2)).leadershipLeaseTtlMs
 
     @Test
-    fun `one leads, and a successor comes only after the leader's lease`() {
+    fun `one controller leads, and a successor is elected only after the leader's lease expires`() {
         val first = Node("n0", "x")
         world.runUntil(500)
         val second = Node("n1", "y")
@@ -160,7 +161,7 @@
         assertEquals(LeadershipRole.Follower(Member("n0", "x")), second.role)
         first.crash()
         world.runUntil(1000 + leaseMs / 2)
-        assertTrue(second.role is LeadershipRole.Follower, "the lease still runs")
+        assertTrue(second.role is LeadershipRole.Follower, "the leader's lease is still valid")
         world.runUntil(1000 + leaseMs + 1500)
         val role = second.role
         assertTrue(
@@ -171,13 +172,13 @@
 
     @Test
     fun `a successor is elected before it has read the jobs, so that it can renew the workers' leases`() {
-        // Found on the bench: after the end of all controllers, hundreds of records were read first, and some workers'
-        // leases ran out meanwhile.
+        // After a crash of all controllers, a new controller first read hundreds of job records; some workers' leases
+        // expired in the meantime. Found on the bench.
         val first = Node("n0", "x")
         world.runUntil(500)
         first.crash()
         world.runUntil(500 + leaseMs + 200)
-        readingJobsMs = 10_000
+        jobReadDelayMs = 10_000
         val second = Node("n1", "y")
         world.runUntil(world.nowMs + 500)
         assertTrue(second.role is LeadershipRole.Leader, "${second.role}")
@@ -185,35 +186,35 @@
     }
 
     @Test
-    fun `a start takes three calls to leadership, or four where a transaction holds one change`() {
+    fun `a started controller leads after three calls, or four if a transaction holds only one change`() {
         for ((changes, calls) in listOf(16 to 3, 1 to 4)) {
             changesPerTransaction = changes
             val node = Node("n$changes", "x")
             var untilMs = world.nowMs
-            val givenUpMs = untilMs + leaseMs
-            while (node.role !is LeadershipRole.Leader && untilMs < givenUpMs) world.runUntil(++untilMs)
+            val deadlineMs = untilMs + leaseMs
+            while (node.role !is LeadershipRole.Leader && untilMs < deadlineMs) world.runUntil(++untilMs)
             assertTrue(node.role is LeadershipRole.Leader)
-            assertEquals(calls, node.calls, "with $changes changes a transaction")
+            assertEquals(calls, node.calls, "with $changes changes per transaction")
             node.crash()
             world.runUntil(world.nowMs + leaseMs + 200)
         }
     }
 
     @Test
-    fun `a transaction refused for its size ends no lease, and isn't repeated at each tick`() {
+    fun `a transaction refused for its size doesn't drop the lease, and isn't repeated at each tick`() {
         val node = Node("n0", "x")
-        node.refuseSizes(true)
+        node.refuseTransactionSize(true)
         world.runUntil(500)
-        val leases = node.calls
+        val callsBefore = node.calls
         world.runUntil(1_000)
-        assertTrue(node.calls - leases < 5, "${node.calls - leases} calls in half a second")
-        node.refuseSizes(false)
+        assertTrue(node.calls - callsBefore < 5, "${node.calls - callsBefore} calls in half a second")
+        node.refuseTransactionSize(false)
         world.runUntil(1_000 + 2 * leaseMs)
         assertTrue(node.role is LeadershipRole.Leader, "${node.role}")
     }
 
     @Test
-    fun `of two that start together one leads, and the other one is a member`() {
+    fun `of two controllers that start together one leads, and both register as members`() {
         val nodes = listOf(Node("n0", "x"), Node("n1", "y"))
         world.runUntil(500)
         assertEquals(1, nodes.count { it.role is LeadershipRole.Leader })
@@ -223,24 +224,24 @@
     }
 
     @Test
-    fun `a restarted leader is not taken for its earlier life`() {
+    fun `a restarted leader is not mistaken for its earlier incarnation`() {
         val first = Node("n0", "x")
         world.runUntil(500)
         first.crash()
-        val again = Node("n0", "z")
+        val restarted = Node("n0", "z")
         world.runUntil(800)
-        assertEquals(LeadershipRole.Follower(Member("n0", "x")), again.role)
+        assertEquals(LeadershipRole.Follower(Member("n0", "x")), restarted.role)
         world.runUntil(500 + leaseMs + 2000)
-        assertTrue(again.role is LeadershipRole.Leader)
+        assertTrue(restarted.role is LeadershipRole.Leader)
     }
 
     @Test
-    fun `a leader without the state service stops deciding before anybody can succeed it`() {
+    fun `a leader without the state service leaves the leader role before a successor can be elected`() {
         val first = Node("n0", "x")
         world.runUntil(500)
         val second = Node("n1", "y")
         world.runUntil(1000)
-        first.cutFromState()
+        first.disconnectFromState()
         while (second.role !is LeadershipRole.Leader && world.nowMs < 20_000) {
             world.runUntil(world.nowMs + 20)
             assertTrue(
@@ -250,15 +251,15 @@
         }
         assertTrue(second.role is LeadershipRole.Leader)
         assertTrue(first.role is LeadershipRole.RenewalOnly)
-        first.hears(2, Member("n1", "y"))
-        assertEquals(LeadershipRole.Follower(Member("n1", "y")), first.role, "it sends its workers on")
+        first.observeEpoch(2, Member("n1", "y"))
+        assertEquals(LeadershipRole.Follower(Member("n1", "y")), first.role, "the former leader redirects workers")
     }
 
     @Test
-    fun `a worker's newer token alone ends a leader's claim`() {
+    fun `a worker's newer token alone ends the leader role`() {
         val first = Node("n0", "x")
         world.runUntil(500)
-        first.hears(7, null)
+        first.observeEpoch(7, null)
         assertEquals(LeadershipRole.Unknown, first.role)
     }
 }
--- a/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
@@ -20,7 +20,7 @@
 import oxbowlug.wire.Transaction
 import kotlin.random.Random
 
-/** What the log says beside a decision. */
+/** The decision context in log lines, and the staleness of the state cache in it. */
 internal class LeadershipDecisionContextTest {
     private val clock = ManualClock()
     private val self = Member("n0", "x")
@@ -41,7 +41,7 @@
     private fun put(key: String) = store.commit(Transaction(emptyList(), listOf(Change.Put(key, mapOf("x" to 1L)))))
 
     @Test
-    fun `it names the role, the token, the lease's rest and the age of the copy`() {
+    fun `the context names the role, the token, the lease's remaining time and the staleness of the cache`() {
         assertEquals("role=unknown leaseRemainingMs=0 revision=0 stalenessMs=0", decisions.describe())
         store.commit(
             Transaction(
@@ -53,15 +53,15 @@
         election.tick()
         cache.catchUp {}
         clock.now += 250
-        val leftMs = timing.leadershipLeaseMs - 250
-        val copy = "revision=${cache.revision} stalenessMs=250"
-        assertEquals("role=leader epoch=7 token=5 leaseRemainingMs=$leftMs $copy", decisions.describe())
+        val remainingMs = timing.leadershipLeaseValidityMs - 250
+        val cacheState = "revision=${cache.revision} stalenessMs=250"
+        assertEquals("role=leader epoch=7 token=5 leaseRemainingMs=$remainingMs $cacheState", decisions.describe())
         clock.now += timing.leadershipLeaseTtlMs
         assertTrue(decisions.describe().startsWith("role=renewal-only epoch=7 token=5 leaseRemainingMs=0 "))
     }
 
     @Test
-    fun `a whole read is counted, and the copy stays as old as it was until changes are read`() {
+    fun `a full resync is counted, and the cache's staleness is reset only by a read of changes`() {
         cache.tick()
         repeat(3) { put("ox/x$it") }
         clock.now += 1_000
--- a/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
@@ -33,7 +33,7 @@
 import oxbowlug.wire.Zone
 import kotlin.random.Random
 
-/** When a lease is surely over although a deputy may have renewed it, and when a deputy may renew one. */
+/** When a lease is proven expired although a delegate may have renewed it, and when a delegate may renew a lease. */
 internal class LeaseRenewalDelegateTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val timing = Timing(settings, Random(1))
@@ -41,11 +41,11 @@
     private val leader = Member("n0", "x")
     private val delegate = Member("n1", "y")
     private val zone = Zone("b")
-    private var isAway = false
+    private var isStateUnreachable = false
 
     private val clock = ManualClock()
 
-    /** Answers at once, or not at all. */
+    /** Answers at once from the store. Watches stay open, and [isStateUnreachable] fails catch-up reads. */
     private inner class Port : StatePort {
         override fun commit(
             transaction: Transaction,
@@ -64,7 +64,7 @@
             waitMs: Long,
             done: (ChangesOutcome) -> Unit,
         ) {
-            if (waitMs == 0L) done(if (isAway) ChangesOutcome.Failed else store.changes(prefix, from))
+            if (waitMs == 0L) done(if (isStateUnreachable) ChangesOutcome.Failed else store.changes(prefix, from))
         }
 
         override fun grant(
@@ -94,14 +94,14 @@
         return StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
     }
 
-    private fun named(): LeaseRenewalDelegates {
+    private fun assignedDelegates(): LeaseRenewalDelegates {
         val cache = cache()
-        val leadership = cache.leadership ?: error("the view was read")
+        val leadership = cache.leadership ?: error("no leadership record was read")
         return LeaseRenewalDelegates(leadership, settings, Port(), clock, timing, cache).apply { tick(clock.now) }
     }
 
-    /** A word of the deputy: that it last heard the leader at [lastContactAt], and how much it has renewed. */
-    private fun word(
+    /** A heartbeat of the delegate that echoes the leader's heartbeat of [lastContactAt] and counts its [renewals]. */
+    private fun delegateHeartbeat(
         lastContactAt: Long,
         renewals: Long = 0,
     ) = PeerHeartbeat(
@@ -114,47 +114,59 @@
     )
 
     @Test
-    fun `a lease is surely over once the deputy's word covers all of it`() {
+    fun `a lease is proven expired once the delegate's idle period covers its whole TTL`() {
         class Case(
             val name: String,
             val zone: Zone,
-            val overAfterMs: Long?,
-            val said: (sinceMs: Long, nowMs: Long) -> PeerHeartbeat?,
+            val expiresAfterMs: Long?,
+            val heartbeat: (sinceMs: Long, nowMs: Long) -> PeerHeartbeat?,
         )
-        val expiry = timing.workerExpiryMs
+        val expiry = timing.workerLeaseExpiryMs
         val cases =
             listOf(
-                Case("no deputy there", Zone("a"), 0) { _, _ -> null },
-                Case("it says nothing", zone, null) { _, _ -> null },
-                Case("it renews nothing", zone, expiry) { _, now -> word(now - 5) },
-                Case("it stands still", zone, null) { since, now -> word(now - since) },
+                Case("the zone has no delegate", Zone("a"), 0) { _, _ -> null },
+                Case("the delegate is silent", zone, null) { _, _ -> null },
+                Case("the delegate renews nothing", zone, expiry) { _, now -> delegateHeartbeat(now - 5) },
+                Case("the delegate echoes the same heartbeat", zone, null) { since, now ->
+                    delegateHeartbeat(now - since)
+                },
                 Case(
-                    "it renewed until later",
+                    "the delegate renews leases for 3 s",
                     zone,
                     expiry + 3_000,
-                ) { since, now -> word(now - 5, minOf(since, 3_000)) },
-                Case("an earlier life", zone, null) { _, now -> word(now - 5).copy(sender = Member("n1", "old")) },
-                Case("of another leader", zone, null) { _, now ->
-                    word(now - 5).copy(echo = HeartbeatEcho(delegate, now, 0))
+                ) { since, now -> delegateHeartbeat(now - 5, minOf(since, 3_000)) },
+                Case("the sender is an earlier incarnation", zone, null) { _, now ->
+                    delegateHeartbeat(now - 5).copy(sender = Member("n1", "old"))
+                },
+                Case("the echo is of another leader's heartbeat", zone, null) { _, now ->
+                    delegateHeartbeat(now - 5).copy(echo = HeartbeatEcho(delegate, now, 0))
                 },
             )
         for (case in cases) {
-            val delegates = named()
-            val answeredAt = clock.now
-            var overAt: Long? = null
-            while (overAt == null && clock.now < answeredAt + expiry * 3) {
-                case.said(clock.now - answeredAt, clock.now)?.let(delegates::onHeartbeat)
-                if (delegates.isSurelyExpired(case.zone, answeredAt)) overAt = clock.now - answeredAt
+            val delegates = assignedDelegates()
+            val renewedAt = clock.now
+            var expiredAfterMs: Long? = null
+            while (expiredAfterMs == null && clock.now < renewedAt + expiry * 3) {
+                case.heartbeat(clock.now - renewedAt, clock.now)?.let(delegates::onHeartbeat)
+                if (delegates.isProvenExpired(case.zone, renewedAt)) expiredAfterMs = clock.now - renewedAt
                 clock.now += 100
             }
-            assertEquals(case.overAfterMs?.let { (it + 99) / 100 * 100 }, overAt, case.name)
+            assertEquals(case.expiresAfterMs?.let { (it + 99) / 100 * 100 }, expiredAfterMs, case.name)
         }
     }
 
     @Test
-    fun `one that is gone stays named until a later life of it is there`() {
+    fun `a delegate that is no longer a member stays assigned until its next incarnation registers`() {
         val cache = cache()
-        val delegates = LeaseRenewalDelegates(cache.leadership ?: error("read"), settings, Port(), clock, timing, cache)
+        val delegates =
+            LeaseRenewalDelegates(
+                cache.leadership ?: error("no leadership record was read"),
+                settings,
+                Port(),
+                clock,
+                timing,
+                cache,
+            )
         delegates.tick(clock.now)
         assertEquals(delegate, DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1).byZone[zone])
         store.commit(Transaction(emptyList(), listOf(Change.Delete(Keys.member(delegate)))))
@@ -166,80 +178,84 @@
         }
         val assigned = DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1)
         assertEquals(Member("n1", "z"), assigned.byZone[zone])
-        assertFalse(delegates.isSurelyExpired(zone, 0), "the former may have renewed something to its end")
+        assertFalse(delegates.isProvenExpired(zone, 0), "the former delegate may have renewed the lease until it ended")
     }
 
     @Test
-    fun `a deputy renews only while it hears neither the leader nor the state service`() {
+    fun `a delegate renews leases only while it reaches neither the leader nor the state service`() {
         put(Keys.DELEGATES, DelegateAssignments(FencingToken(3), mapOf(zone to delegate), 0).encode())
         val cache = cache()
-        val here = LeaseRenewalDelegate(delegate, zone, Regions(), clock, timing, cache)
-        val report = report(zone, 3)
-        isAway = true
-        here.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
-        assertNull(here.renew(report), "just heard")
-        clock.now += timing.delegateAfterMs
-        assertEquals(FencingToken(3), here.renew(report))
-        assertNull(here.renew(report(Zone("a"), 3)), "of another zone")
-        assertNull(here.renew(report(zone, 4)), "it knows a newer token")
-        assertEquals(HeartbeatEcho(leader, 7, 1), here.echo())
-        here.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 8))
-        assertNull(here.renew(report), "the leader is heard again")
-        clock.now += timing.delegateAfterMs
-        isAway = false
+        val renewalDelegate = LeaseRenewalDelegate(delegate, zone, Regions(), clock, timing, cache)
+        val heartbeat = workerHeartbeat(zone, 3)
+        isStateUnreachable = true
+        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
+        assertNull(renewalDelegate.renew(heartbeat), "the leader was reached just now")
+        clock.now += timing.delegateActivationMs
+        assertEquals(FencingToken(3), renewalDelegate.renew(heartbeat))
+        assertNull(renewalDelegate.renew(workerHeartbeat(Zone("a"), 3)), "a worker of another zone")
+        assertNull(renewalDelegate.renew(workerHeartbeat(zone, 4)), "the worker has seen a newer token")
+        assertEquals(HeartbeatEcho(leader, 7, 1), renewalDelegate.echo())
+        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 8))
+        assertNull(renewalDelegate.renew(heartbeat), "the leader is reached again")
+        clock.now += timing.delegateActivationMs
+        isStateUnreachable = false
         cache.catchUp {}
-        assertNull(here.renew(report), "the state service answers")
+        assertNull(renewalDelegate.renew(heartbeat), "the state service is reached again")
     }
 
-    private val regional = Regions(mapOf("south" to listOf(zone, Zone("c"), Zone("d"))))
+    private val southRegion = Regions(mapOf("south" to listOf(zone, Zone("c"), Zone("d"))))
 
     @Test
-    fun `a deputy renews for the zones of its region that it is named for`() {
+    fun `a delegate renews leases in the zones of its region that it is assigned to`() {
         val byZone = mapOf(zone to delegate, Zone("c") to delegate, Zone("d") to leader, Zone("e") to delegate)
         put(Keys.DELEGATES, DelegateAssignments(FencingToken(3), byZone, 0).encode())
-        val here = LeaseRenewalDelegate(delegate, zone, regional, clock, timing, cache())
-        isAway = true
-        here.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
-        clock.now += timing.delegateAfterMs
-        assertEquals(FencingToken(3), here.renew(report(Zone("c"), 3)))
-        assertNull(here.renew(report(Zone("d"), 3)), "another one is named")
-        assertEquals(leader, here.delegateFor(report(Zone("d"), 3)), "and the worker is sent there")
-        assertNull(here.renew(report(Zone("e"), 3)), "of no zone of its region, whatever the record says")
-        assertNull(here.renew(report(Zone("c"), 4)), "it knows a newer token")
-        assertEquals(1, here.echo()?.renewals)
+        val renewalDelegate = LeaseRenewalDelegate(delegate, zone, southRegion, clock, timing, cache())
+        isStateUnreachable = true
+        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
+        clock.now += timing.delegateActivationMs
+        assertEquals(FencingToken(3), renewalDelegate.renew(workerHeartbeat(Zone("c"), 3)))
+        assertNull(renewalDelegate.renew(workerHeartbeat(Zone("d"), 3)), "another delegate is assigned")
+        assertEquals(leader, renewalDelegate.delegateFor(workerHeartbeat(Zone("d"), 3)), "the worker is redirected")
+        assertNull(renewalDelegate.renew(workerHeartbeat(Zone("e"), 3)), "an assigned zone of another region")
+        assertNull(renewalDelegate.renew(workerHeartbeat(Zone("c"), 4)), "the worker has seen a newer token")
+        assertEquals(1, renewalDelegate.echo()?.renewals)
     }
 
     @Test
-    fun `a renewal in one zone takes the proof from every zone that the deputy is named for`() {
-        val wider =
+    fun `a renewal in one zone restarts the idle period in every zone of the delegate`() {
+        val threeZoneSettings =
             settings.copy(
                 zones = listOf(Zone("a"), zone, Zone("c")),
-                policy = settings.policy.copy(regions = regional),
+                policy = settings.policy.copy(regions = southRegion),
             )
         val cache = cache()
-        val leadership = cache.leadership ?: error("the view was read")
-        val delegates = LeaseRenewalDelegates(leadership, wider, Port(), clock, timing, cache).apply { tick(clock.now) }
+        val leadership = cache.leadership ?: error("no leadership record was read")
+        val delegates =
+            LeaseRenewalDelegates(leadership, threeZoneSettings, Port(), clock, timing, cache)
+                .apply { tick(clock.now) }
         val assigned = DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1).byZone
         assertEquals(mapOf(zone to delegate, Zone("c") to delegate), assigned)
-        val answeredAt = clock.now
-        val renewedAt = answeredAt + 3_000
-        val until = answeredAt + timing.workerExpiryMs + 200
+        val leaderRenewedAt = clock.now
+        val delegateRenewedAt = leaderRenewedAt + 3_000
+        val until = leaderRenewedAt + timing.workerLeaseExpiryMs + 200
         while (clock.now < until) {
-            delegates.onHeartbeat(word(clock.now - 5, renewals = if (clock.now < renewedAt) 0 else 1))
+            delegates.onHeartbeat(
+                delegateHeartbeat(clock.now - 5, renewals = if (clock.now < delegateRenewedAt) 0 else 1),
+            )
             clock.now += 100
         }
         assertFalse(
-            delegates.isSurelyExpired(Zone("c"), answeredAt),
-            "it renewed something, nobody knows in which zone",
+            delegates.isProvenExpired(Zone("c"), leaderRenewedAt),
+            "the delegate renewed a lease, in which zone is unknown",
         )
-        while (clock.now < renewedAt + timing.workerExpiryMs + 200) {
+        while (clock.now < delegateRenewedAt + timing.workerLeaseExpiryMs + 200) {
             clock.now += 100
-            delegates.onHeartbeat(word(clock.now - 5, renewals = 1))
+            delegates.onHeartbeat(delegateHeartbeat(clock.now - 5, renewals = 1))
         }
-        assertEquals(true, delegates.isSurelyExpired(Zone("c"), answeredAt), "nothing since")
+        assertEquals(true, delegates.isProvenExpired(Zone("c"), leaderRenewedAt), "no renewal since then")
     }
 
-    private fun report(
+    private fun workerHeartbeat(
         zone: Zone,
         token: Long,
     ) = WorkerHeartbeat(
