--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -20,9 +20,9 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /**
- * What a controller that doesn't lead does about cancelled work that no leader enforces: it asks the worker,
- * stops exactly the cancelled attempts there, and releases the machine where that fails in time. Late duplicates of
- * such stops harm nothing, since cancelled is final under every epoch.
+ * Lets a controller that isn't leading enforce cancellations that no leader enforces in time: it probes the workers,
+ * stops exactly the cancelled attempts, and releases a machine on which that doesn't succeed in time. A late duplicate
+ * of such a stop is harmless, because a cancelled job stays cancelled in every epoch.
  */
 internal class CancellationEnforcer(
     private val self: Member,
@@ -37,32 +37,34 @@
     private val budget: TokenBucket,
 ) {
     private val probes = HashMap<MachineId, MachineProbe>()
-    private val released = HashSet<MachineId>()
+    private val releasedMachines = HashSet<MachineId>()
     private var endpoints: Map<MachineId, Address> = emptyMap()
     private var isListing = false
     private var nextListAt = 0L
     private var isReleasing = false
     private var nextReleaseAt = 0L
-    private val callMs = (1000.0 / settings.cloud.rps * 2).toLong()
 
-    /** This controller's place among those that don't lead, so that they act one after the other. */
+    /** Time between the releases of two followers: twice the interval of cloud calls at the provider's rate limit. */
+    private val releaseStaggerMs = (1000.0 / settings.cloud.rps * 2).toLong()
+
+    /** This controller's index among the followers, which act one after the other; -1 if this controller leads. */
     private fun rank(): Int {
         val leader = cache.leadership?.leader?.label
         return (settings.peers.map { it.label } + self.label).filter { it != leader }.sorted().indexOf(self.label)
     }
 
-    /** The leader knows of it and is alive: it has until the last moment. */
+    /** Whether the leader is alive and has acknowledged the cancellation; followers then act as late as possible. */
     private fun isHandledByLeader(pending: PendingCancellation): Boolean {
         val leader = cache.leadership?.leader ?: return false
         val isAlive = peerHealth.incarnationOf(leader.label) == leader && peerHealth.isAlive(leader.label)
         return isAlive && leader in pending.acknowledged
     }
 
-    /** Probes workers, stops attempts and releases machines, as far as each is due. */
+    /** Probes workers, stops cancelled attempts and releases machines, where each is due. */
     fun tick() {
         if (cancellations.allPending.isEmpty()) {
             if (probes.isNotEmpty()) probes.clear()
-            released.clear()
+            releasedMachines.clear()
             return
         }
         val now = clock.steadyMs()
@@ -71,7 +73,7 @@
         for ((machine, attempts) in attemptsByMachine(due)) probe(machine, attempts, now)
         val toRelease =
             due
-                .filter { now - it.confirmedAt > timing.enforceByReleaseLatestMs + rank * callMs }
+                .filter { now - it.confirmedAt > timing.enforceByReleaseLatestMs + rank * releaseStaggerMs }
                 .flatMapTo(LinkedHashSet()) { pending ->
                     pending.attempts.filter { (machine, attempts) -> !areProvenAbsent(machine, attempts, now) }.keys
                 }
@@ -83,11 +85,14 @@
         now: Long,
         rank: Int,
     ): Boolean {
-        val fromMs = if (isHandledByLeader(pending)) timing.enforceByReleaseLatestMs * 3 / 4 else timing.enforceAfterMs
-        return now - pending.confirmedAt >= fromMs + rank * timing.enforceStepMs
+        val delayMs = if (isHandledByLeader(pending)) timing.enforceByReleaseLatestMs * 3 / 4 else timing.enforceAfterMs
+        return now - pending.confirmedAt >= delayMs + rank * timing.enforceStepMs
     }
 
-    /** All at once: asked about one job after the other, a machine that holds many would be asked about the first. */
+    /**
+     * Merges the due attempts of all jobs by machine. Only one probe of a machine is in flight at a time, so with a
+     * probe for each job, a machine that holds several cancelled jobs would only be probed for the first one.
+     */
     private fun attemptsByMachine(due: List<PendingCancellation>): Map<MachineId, Set<AttemptId>> {
         val result = LinkedHashMap<MachineId, HashSet<AttemptId>>()
         for (pending in due) {
@@ -96,18 +101,19 @@
         return result
     }
 
+    /** A worker's report that attempts are absent counts for [Timing.suspectMs]. */
     private fun areProvenAbsent(
         machine: MachineId,
         attempts: Set<AttemptId>,
         now: Long,
-    ): Boolean = machine in released || probes[machine]?.areAbsent(attempts, now - timing.suspectMs) ?: false
+    ): Boolean = machine in releasedMachines || probes[machine]?.areAbsent(attempts, now - timing.suspectMs) ?: false
 
     private fun probe(
         machine: MachineId,
         attempts: Set<AttemptId>,
         now: Long,
     ) {
-        if (machine in released) return
+        if (machine in releasedMachines) return
         val probe = probes.getOrPut(machine, ::MachineProbe)
         if (probe.isInFlight || now < probe.nextProbeAt) return
         val endpoint = endpoints[machine] ?: return refreshEndpoints(now)
@@ -125,7 +131,7 @@
         }
     }
 
-    /** Those of the attempts that are there, or that a start is about to bring there. */
+    /** The subset of [attempts] that hasn't exited on the worker, including attempts that it has yet to start. */
     private fun presentAttempts(
         heartbeat: WorkerHeartbeat,
         attempts: Set<AttemptId>,
@@ -140,7 +146,7 @@
         remaining: List<AttemptId>,
     ) {
         log.info("cancelled attempts stopped by a follower: attempts={} machine={}", remaining, heartbeat.machine)
-        // With the token that it knows already, so that no leader's token is superseded.
+        // Uses the token that the worker already knows, so that no leader's token becomes stale.
         val commands = remaining.map { WorkerCommand.Stop(it, 0.0) }
         workers.command(endpoint, heartbeat.token, heartbeat.incarnation, commands) { outcome ->
             probe.isInFlight = false
@@ -152,7 +158,7 @@
         }
     }
 
-    /** The addresses of all machines, from the provider's list. */
+    /** Reads the endpoints of all machines from the provider's list. */
     private fun refreshEndpoints(now: Long) {
         if (isListing || now < nextListAt || !budget.tryTake(1.0, now)) return
         isListing = true
@@ -178,7 +184,7 @@
         cloud.releaseMachines(machines) { ok ->
             isReleasing = false
             nextReleaseAt = clock.steadyMs() + timing.retryMs()
-            if (ok) released.addAll(machines)
+            if (ok) releasedMachines.addAll(machines)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -8,14 +8,16 @@
 import oxbowlug.timing.Timing
 
 /**
- * Up to when this controller surely knows every cancellation that was confirmed anywhere. One that keeps leases alive
- * without the state service must, or cancelled work would run on under the leases that it renews.
+ * Tracks until when this controller is sure to know every cancellation that any controller has confirmed to a user. A
+ * controller that renews worker leases without the state service depends on it: otherwise cancelled work would keep
+ * running under the renewed leases.
  *
- * A confirmed cancellation is sent here before its user is answered, so a controller's heartbeat covers all that it
- * confirmed before. One that is silent may have confirmed something and crashed: then this one may renew only as long
- * as the leases expire in time. The others beyond a cut between zones are trusted to act themselves
- * ([CancellationEnforcer]), since somebody there is alive; ending all work of a zone that is cut off for it would cost
- * much and cure nothing.
+ * A controller sends a cancellation to its peers before it confirms it to the user, so a peer's heartbeat covers all
+ * cancellations that the peer confirmed earlier. A silent peer may have confirmed a cancellation and crashed; leases
+ * may then be renewed only for as long as they expire within the time allowed for a cancellation
+ * ([Timing.blindRenewalMs]). Peers on the other side of a partition between zones are trusted to enforce their
+ * cancellations themselves ([CancellationEnforcer]), since some controller there is alive. Ending all work of a
+ * partitioned zone because of them would be expensive and solve nothing.
  */
 internal class CancellationFreshness(
     private val self: Member,
@@ -24,45 +26,45 @@
     private val timing: Timing,
     private val cache: StateCache,
 ) {
+    /** What is known of the cancellations that one incarnation of a peer has confirmed. */
     private class PeerConfirmations(
         val incarnation: Member,
     ) {
-        /** All that it confirmed up to then is known here. */
+        /** All cancellations that the peer confirmed up to this time are known, by this controller's steady clock. */
         var knownUpToMs = Long.MIN_VALUE / 2
         var lastContactAt = 0L
-        var senderMs = Long.MIN_VALUE
+
+        /** When the peer sent its newest heartbeat, by the peer's steady clock. */
+        var sentAtMs = Long.MIN_VALUE
         var mayConfirm = true
     }
 
     private val confirmationsByPeer = HashMap<String, PeerConfirmations>()
 
-    /**
-     * Peers that restarted after a silence in which they may have confirmed something: the time of the restart by
-     * label.
-     */
-    private val uncertainAtByLabel = HashMap<String, Long>()
+    /** By label, when a peer restarted that may have confirmed cancellations while it was silent before the restart. */
+    private val uncertainRestartAtByLabel = HashMap<String, Long>()
 
-    /** A peer's heartbeat: what it confirmed until it wrote the heartbeat may now be known here. */
+    /** Updates what is known of the sender's confirmations; an out-of-order heartbeat has no effect. */
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val now = clock.steadyMs()
         val label = heartbeat.sender.label
-        val present = confirmationsByPeer[label]
-        if (present != null && present.incarnation == heartbeat.sender && heartbeat.atMs < present.senderMs) return
+        val previous = confirmationsByPeer[label]
+        if (previous != null && previous.incarnation == heartbeat.sender && heartbeat.atMs < previous.sentAtMs) return
         val confirmations =
-            if (present?.incarnation ==
+            if (previous?.incarnation ==
                 heartbeat.sender
             ) {
-                present
+                previous
             } else {
                 PeerConfirmations(heartbeat.sender).also { confirmationsByPeer[label] = it }
             }
-        if (present != null && confirmations !== present) onRestarted(label, present, now)
+        if (previous != null && confirmations !== previous) onRestarted(label, previous, now)
         confirmations.lastContactAt = now
-        confirmations.senderMs = heartbeat.atMs
+        confirmations.sentAtMs = heartbeat.atMs
         confirmations.mayConfirm = heartbeat.mayConfirm
         val echo = heartbeat.echo
-        // It wrote this after it had received our heartbeat of that time, and had confirmed nothing by then that we
-        // don't know.
+        // The peer sent this heartbeat after it had received ours of that time, and by then it had confirmed no
+        // cancellation that this controller doesn't know.
         if (!heartbeat.hasUnacknowledged &&
             echo != null &&
             echo.leader == self
@@ -72,33 +74,35 @@
     }
 
     /**
-     * A peer that was heard until shortly before it was back has sent what it confirmed: its messages came over one
-     * connection.
+     * Records a restart after which cancellations may be unknown. A peer whose messages arrived until shortly before
+     * its restart has also delivered its cancellations, because all its messages use one connection.
      */
     private fun onRestarted(
         label: String,
-        former: PeerConfirmations,
+        previousIncarnation: PeerConfirmations,
         now: Long,
     ) {
-        val wasCutOff = now - former.lastContactAt > timing.workerLeaseRawMs
-        if (former.mayConfirm && wasCutOff) uncertainAtByLabel[label] = now
+        val wasCutOff = now - previousIncarnation.lastContactAt > timing.workerLeaseRawMs
+        if (previousIncarnation.mayConfirm && wasCutOff) uncertainRestartAtByLabel[label] = now
     }
 
-    /** Whether leases may be renewed here although the state service is out of reach. */
+    /** Whether this controller may renew worker leases although it can't reach the state service. */
     fun mayRenewLeases(): Boolean {
         val requiredFreshnessMs = clock.steadyMs() - timing.blindRenewalMs
         val readUpToMs = cache.freshAsOfMs
         if (readUpToMs >= requiredFreshnessMs) return true
-        uncertainAtByLabel.values.removeIf { it <= readUpToMs }
-        if (uncertainAtByLabel.isNotEmpty()) return false
+        uncertainRestartAtByLabel.values.removeIf { it <= readUpToMs }
+        if (uncertainRestartAtByLabel.isNotEmpty()) return false
         val memberLabels = cache.members().mapTo(HashSet()) { it.label }
         val expected = settings.peers.filter { it.label in confirmationsByPeer || it.label in memberLabels }
         if (expected.isEmpty()) return true
+        // A member that has sent no heartbeat to this controller counts as fresh.
         val (fresh, stale) =
             expected.partition {
                 (confirmationsByPeer[it.label]?.knownUpToMs ?: requiredFreshnessMs) >= requiredFreshnessMs
             }
         if (fresh.isEmpty()) return false
+        // A stale peer in a reachable zone may have crashed; one in another zone is on the far side of a partition.
         val reachableZones = fresh.mapTo(hashSetOf(settings.zone)) { it.zone }
         return stale.none { it.zone in reachableZones }
     }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -19,10 +19,11 @@
 import oxbowlug.wire.fields
 
 /**
- * Cancelled jobs whose attempts aren't proven terminated. A cancellation that is committed may be unknown to the
- * controller that keeps the workers' leases alive: the state service refused that one alone, and is then down for all.
- * So whoever confirms one notifies the others before the user, until each has acknowledged it; whoever learns of one
- * passes it on to those that may have missed it; and what no leader takes over is ended by [CancellationEnforcer].
+ * Tracks cancelled jobs whose attempts aren't proven terminated. The controller that renews the workers' leases may not
+ * know of a committed cancellation: the state service may have refused that controller alone and then gone down for
+ * all. So a controller that confirms a cancellation notifies its peers before it answers the user, and repeats the
+ * notice until each peer has acknowledged it. A controller that learns of a cancellation forwards it to peers that may
+ * have missed it. [CancellationEnforcer] terminates the attempts that no leader takes care of.
  */
 internal class CancellationTracker(
     private val self: Member,
@@ -32,23 +33,23 @@
     private val cache: StateCache,
     private val peerHealth: PeerHealth,
     private val peers: PeerPort,
-    /** What the leader here, if there is one, knows of the job's attempts; null: not its affair, or not known. */
+    /** Whether this controller, as leader, has proven all attempts of a job terminated; null if it can't tell. */
     private val isTerminationProvenHere: (JobId) -> Boolean?,
 ) : CancellationListener {
     private val pendingById = LinkedHashMap<JobId, PendingCancellation>()
     private var nextNoticeAt = 0L
 
-    /** Those whose termination is proven too, until the state cache has their final record. */
+    /** Includes cancellations with proven termination until the state cache holds a record without placements. */
     val allPending: Collection<PendingCancellation> get() = pendingById.values
 
-    /** Whether the leader doesn't yet know of one that was confirmed here. */
+    /** Whether this controller confirmed a cancellation that the leader hasn't acknowledged yet. */
     fun hasUnacknowledged(): Boolean {
         val leader = cache.leadership?.leader ?: return false
         return leader != self &&
             pendingById.values.any { it.isConfirmedHere && !it.isTerminationProven && leader !in it.acknowledged }
     }
 
-    /** Committed here, and about to be answered to its user: a crash of this process right after must not lose it. */
+    /** Notifies the peers before the user is answered, so that a crash right after the answer loses no cancellation. */
     override fun onCancellationCommitted(
         id: JobId,
         revision: Long,
@@ -58,7 +59,7 @@
         cache.applyRecord(id, revision, record)
     }
 
-    /** The state cache has a newer record of a job, from whatever source. */
+    /** Handles a newer record in the state cache, whether it came from the state service or from a peer. */
     fun onRecordChanged(
         id: JobId,
         stored: CachedJob,
@@ -76,23 +77,24 @@
         cancellation: Cancellation,
         isConfirmedHere: Boolean,
     ) {
-        val present = pendingById[cancellation.id]
-        if (present != null) {
-            if (cancellation.version > present.cancellation.version) present.cancellation = cancellation
-            // The watch may have brought our own write before its answer came.
-            if (isConfirmedHere) confirmHere(present)
+        val existing = pendingById[cancellation.id]
+        if (existing != null) {
+            if (cancellation.version > existing.cancellation.version) existing.cancellation = cancellation
+            // The watch may have delivered this controller's own write before the commit was answered.
+            if (isConfirmedHere) confirmHere(existing)
             return
         }
         val record = JobRecord.decode(cancellation.value)
         if (record.placements.isEmpty()) return
         val now = clock.steadyMs()
+        // The largest possible age: the wall clocks of two controllers differ by up to the configured skew.
         val ageMs = record.cancelledMs?.let { clock.wallMs() - it + settings.skewMs.toLong() } ?: 0
         val pending = PendingCancellation(cancellation, isConfirmedHere, now, now - ageMs.coerceIn(0, timing.cancelMs))
         pendingById[cancellation.id] = pending
         if (isConfirmedHere) sendToAll(pending)
     }
 
-    /** A user is about to be answered that it is cancelled from what was read here, which confirms it just as well. */
+    /** A user is about to be answered from a cached record, which confirms the cancellation just as well. */
     override fun onUserInformed(id: JobId) {
         pendingById[id]?.let(::confirmHere)
     }
@@ -108,7 +110,7 @@
         for (peer in settings.peers) peers.send(peer.label, CancellationNotice.Cancelled(self, pending.cancellation))
     }
 
-    /** Sends the notices that are due. */
+    /** Sends the notices that are due, at most once in a peer heartbeat interval. */
     fun tick() {
         val now = clock.steadyMs()
         if (pendingById.isEmpty() || now < nextNoticeAt) return
@@ -124,23 +126,23 @@
         now: Long,
     ) {
         for (peer in settings.peers) {
-            val present = peerHealth.incarnationOf(peer.label)
-            val knows = present != null && present in pending.acknowledged
+            val peerIncarnation = peerHealth.incarnationOf(peer.label)
+            val hasAcknowledged = peerIncarnation != null && peerIncarnation in pending.acknowledged
             val isLeader = cache.leadership?.leader?.label == peer.label
             val due =
                 when {
-                    // The leader is asked again whether it has ended: only then need nobody else see to it.
-                    knows -> isLeader && now - pending.observedAt > timing.enforceAfterMs
+                    // Only a leader's acknowledgement that proves termination ends the enforcement by this controller.
+                    hasAcknowledged -> isLeader && now - pending.observedAt > timing.enforceAfterMs
                     pending.isConfirmedHere -> true
-                    // By the watch all learn of it in time; one that lost the state service, or was started since,
-                    // doesn't.
+                    // The watch informs every peer in time, except one that lost the state service or that was started
+                    // since.
                     else -> now - pending.observedAt > timing.enforceAfterMs || peerHealth.isWithoutState(peer.label)
                 }
             if (due) peers.send(peer.label, CancellationNotice.Cancelled(self, pending.cancellation))
         }
     }
 
-    /** A peer's notice; a cancellation is acknowledged to it, unless the record contradicts. */
+    /** Handles a peer's notice. A cancellation is acknowledged unless the job's record contradicts it. */
     fun onNotice(notice: CancellationNotice) {
         when (notice) {
             is CancellationNotice.Cancelled -> onCancelled(notice)
@@ -158,10 +160,10 @@
 
     private fun onCancelled(notice: CancellationNotice.Cancelled) {
         val cancellation = notice.cancellation
-        val present = cache.job(cancellation.id)
-        val isFinal = JobRecord.phaseOf(cancellation.value.fields()) == Phase.CANCELLED
-        if (!isFinal || present?.phase == Phase.DONE) {
-            log.error("cancellation notice refused: job={} peer={}", cancellation.id, notice.sender.label)
+        val cachedJob = cache.job(cancellation.id)
+        val isCancelled = JobRecord.phaseOf(cancellation.value.fields()) == Phase.CANCELLED
+        if (!isCancelled || cachedJob?.phase == Phase.DONE) {
+            log.error("cancellation notice rejected: job={} peer={}", cancellation.id, notice.sender.label)
             return
         }
         cache.applyRecord(cancellation.id, cancellation.version, cancellation.value)
--- a/src/main/kotlin/oxbowlug/cancellation/MachineProbe.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/MachineProbe.kt
@@ -2,14 +2,14 @@
 
 import oxbowlug.wire.AttemptId
 
-/** What is known of the cancelled attempts on one machine from its worker's own accounts. */
+/** The probes of one machine's worker, and what it last reported about the cancelled attempts there. */
 internal class MachineProbe {
     var isInFlight = false
     var nextProbeAt = 0L
     private var absentAttempts: Set<AttemptId> = emptySet()
     private var absentAtMs = 0L
 
-    /** At [atMs] the worker reported that none of [attempts] is there. */
+    /** At [atMs] the worker reported that none of [attempts] is present. */
     fun recordAbsence(
         attempts: Set<AttemptId>,
         atMs: Long,
@@ -19,8 +19,9 @@
     }
 
     /**
-     * What it reported of one job's attempts says nothing of another's: mistaken for it, cancelled tasks on a
-     * shared machine ran on, and the machine was kept.
+     * Whether the worker reported after [sinceMs] that all of [attempts] are absent. The attempts are compared too:
+     * when the report about one job counted for another one, cancelled tasks on a shared machine kept running and the
+     * machine wasn't released.
      */
     fun areAbsent(
         attempts: Set<AttemptId>,
--- a/src/main/kotlin/oxbowlug/cancellation/PendingCancellation.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/PendingCancellation.kt
@@ -8,19 +8,20 @@
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.TaskId
 
-/** A cancelled job whose attempts may still be there. Times are milliseconds of the steady clock here. */
+/** A cancelled job whose attempts may still exist. Times are milliseconds of this controller's steady clock. */
 internal class PendingCancellation(
     var cancellation: Cancellation,
+    /** Whether this controller has confirmed the cancellation to a user, or is about to. */
     var isConfirmedHere: Boolean,
-    /** When it became known here. */
+    /** When this controller learned of the cancellation. */
     val observedAt: Long,
-    /** When it was committed at the earliest, so that all controllers count from the same moment. */
+    /** The earliest possible time of the commit, so that all controllers count from the same moment. */
     val confirmedAt: Long,
 ) {
-    /** The incarnations of controllers that have acknowledged it. */
+    /** The controller incarnations that have acknowledged the cancellation. */
     val acknowledged = HashSet<Member>()
 
-    /** The record that was cancelled names every machine on which an attempt can be, or can still arrive. */
+    /** By machine. The cancelled record names every machine on which an attempt may be, or may still be started. */
     val attempts: Map<MachineId, Set<AttemptId>>
         get() = decoded?.takeIf { decodedVersion == cancellation.version } ?: decode()
     private var decoded: Map<MachineId, Set<AttemptId>>? = null
@@ -38,11 +39,11 @@
         return result
     }
 
-    /** The leader has proven it. */
+    /** Whether the leader has proven that all attempts are terminated. */
     var isTerminationProven = false
         private set
 
-    /** From here on nobody probes workers or releases machines for it, so the log says who proved it. */
+    /** Ends enforcement of the cancellation here, so the log records which controller proved termination. */
     fun markTerminated(by: Member) {
         if (!isTerminationProven) {
             log.info(
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -50,27 +50,32 @@
 import java.util.BitSet
 import kotlin.random.Random
 
-/** What a follower does about cancelled work on a machine that several cancelled jobs share, with nobody leading. */
+/**
+ * Enforcement by a follower, without a leader, of two cancellations on one machine. A worker's report that one job's
+ * attempts are absent must not count for the other job: its attempts would keep running on a machine that is kept.
+ */
 internal class CancellationEnforcerTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val timing = Timing(settings, Random(1))
     private val world = World(1)
     private val store = SimStore(world)
     private val self = Member("n0", "x")
-    private val host = MachineId("host-000001")
-    private val first = JobId("run-000001")
-    private val second = JobId("run-000002")
+    private val machine = MachineId("host-000001")
+    private val firstJob = JobId("run-000001")
+    private val secondJob = JobId("run-000002")
 
     private val clock = ManualClock()
 
-    /** Attempts that run on the machine. */
+    /** The attempts that run on the machine. */
     private val running = LinkedHashSet<AttemptId>()
-    private var obeys = true
-    private val returned = ArrayList<MachineId>()
 
-    private fun account() =
+    /** Whether the worker executes and answers commands. */
+    private var executesCommands = true
+    private val releasedMachines = ArrayList<MachineId>()
+
+    private fun currentHeartbeat() =
         WorkerHeartbeat(
-            host,
+            machine,
             ENDPOINT,
             TypeName("g8"),
             Zone("a"),
@@ -87,7 +92,7 @@
             override fun status(
                 endpoint: Address,
                 done: (WorkerHeartbeat?) -> Unit,
-            ) = done(account())
+            ) = done(currentHeartbeat())
 
             override fun command(
                 endpoint: Address,
@@ -96,9 +101,9 @@
                 commands: List<WorkerCommand>,
                 done: (DirectOutcome) -> Unit,
             ) {
-                if (!obeys) return done(DirectOutcome.Unanswered)
+                if (!executesCommands) return done(DirectOutcome.Unanswered)
                 running.removeAll(commands.filterIsInstance<WorkerCommand.Stop>().map { it.attempt }.toSet())
-                done(DirectOutcome.Answered(account(), executed = true))
+                done(DirectOutcome.Answered(currentHeartbeat(), executed = true))
             }
         }
 
@@ -115,13 +120,15 @@
                 machines: List<MachineId>,
                 done: (Boolean) -> Unit,
             ) {
-                returned.addAll(machines)
+                releasedMachines.addAll(machines)
                 done(true)
             }
 
             override fun list(done: (List<ListedMachine>?) -> Unit) =
                 done(
-                    listOf(ListedMachine(host, ENDPOINT, TypeName("g8"), Zone("a"), false, MachineState.RUNNING, 60.0)),
+                    listOf(
+                        ListedMachine(machine, ENDPOINT, TypeName("g8"), Zone("a"), false, MachineState.RUNNING, 60.0),
+                    ),
                 )
         }
 
@@ -135,7 +142,7 @@
             override fun heartbeatChanged() = Unit
         }
 
-    private inner class Listener : StateCacheListener by IgnoringListener {
+    private inner class RecordListener : StateCacheListener by IgnoringListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
@@ -143,7 +150,7 @@
         ) = cancellations.onRecordChanged(id, job, value)
     }
 
-    private val cache = StateCache(ImmediateStatePort(store), clock, timing, Listener())
+    private val cache = StateCache(ImmediateStatePort(store), clock, timing, RecordListener())
     private val peerHealth = PeerHealth(settings.peers.size, clock, timing)
     private val cancellations: CancellationTracker =
         CancellationTracker(self, settings, clock, timing, cache, peerHealth, peers) { null }
@@ -163,7 +170,7 @@
 
     private fun attempt(job: JobId) = AttemptId(TaskId(job, 0), 1)
 
-    private fun cancelled(job: JobId) {
+    private fun storeCancelled(job: JobId) {
         val spec = JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(id = job)
         val record =
             JobRecord(
@@ -172,26 +179,26 @@
                 Phase.CANCELLED,
                 BitSet(),
                 2,
-                mapOf(0 to Placement(host, 1)),
+                mapOf(0 to Placement(machine, 1)),
                 "w",
                 cancelledMs = clock.now,
             )
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job(job.value), record.encode()))))
     }
 
-    /** The jobs are cancelled one after the other, and [there] still run. */
-    private fun play(
-        there: List<JobId>,
+    /** Cancels both jobs, one after the other, while those of [runningJobs] still run, and lets [forMs] pass. */
+    private fun cancelBoth(
+        runningJobs: List<JobId>,
         forMs: Long = timing.cancelMs,
     ) {
-        running.addAll(there.map(::attempt))
-        cancelled(first)
-        pass(timing.heartbeatLateMs)
-        cancelled(second)
-        pass(forMs)
+        running.addAll(runningJobs.map(::attempt))
+        storeCancelled(firstJob)
+        advanceClock(timing.heartbeatLateMs)
+        storeCancelled(secondJob)
+        advanceClock(forMs)
     }
 
-    private fun pass(ms: Long) {
+    private fun advanceClock(ms: Long) {
         val endMs = clock.now + ms
         while (clock.now < endMs) {
             cache.tick()
@@ -203,27 +210,27 @@
 
     @Test
     fun `each cancelled job's attempts on a shared machine are stopped`() {
-        play(listOf(first, second), forMs = timing.cancelPatienceMs)
+        cancelBoth(listOf(firstJob, secondJob), forMs = timing.cancelPatienceMs)
         assertEquals(emptySet<AttemptId>(), running)
     }
 
     @Test
-    fun `that one job's attempts are gone isn't taken for the other's`() {
-        play(listOf(second), forMs = timing.cancelPatienceMs)
+    fun `absence of one job's attempts does not count for the other job's`() {
+        cancelBoth(listOf(secondJob), forMs = timing.cancelPatienceMs)
         assertEquals(emptySet<AttemptId>(), running)
     }
 
     @Test
-    fun `a machine that doesn't stop one of them is returned in time`() {
-        obeys = false
-        play(listOf(second))
-        assertEquals(listOf(host), returned.distinct())
+    fun `a machine that does not stop a cancelled attempt is released in time`() {
+        executesCommands = false
+        cancelBoth(listOf(secondJob))
+        assertEquals(listOf(machine), releasedMachines.distinct())
     }
 
     @Test
-    fun `a machine on which none of them is left is kept`() {
-        play(emptyList())
-        assertTrue(returned.isEmpty(), "$returned")
+    fun `a machine without running cancelled attempts is not released`() {
+        cancelBoth(emptyList())
+        assertTrue(releasedMachines.isEmpty(), "$releasedMachines")
     }
 
     private companion object {
