--- a/src/main/kotlin/oxbowlug/request/AdaptiveConcurrencyLimit.kt
+++ b/src/main/kotlin/oxbowlug/request/AdaptiveConcurrencyLimit.kt
@@ -3,53 +3,57 @@
 import kotlin.math.sqrt
 
 /**
- * A limit on submissions in progress that follows measured commit times, gradient style: it grows while commits
- * take about as long as they did at their best, and shrinks as they take longer.
+ * A gradient-based limit on submissions in progress. It grows while commit latency stays close to the best seen, and
+ * shrinks as commits slow down.
  */
 internal class AdaptiveConcurrencyLimit(
-    private val min: Int = 4,
-    private val max: Int = 200,
+    private val minLimit: Int = 4,
+    private val maxLimit: Int = 200,
 ) {
-    private var estimate = START
+    private var estimate = INITIAL_LIMIT
     private var bestMs = 0.0
     var inProgress = 0
         private set
-    val limit: Int get() = estimate.toInt().coerceIn(min, max)
+    val limit: Int get() = estimate.toInt().coerceIn(minLimit, maxLimit)
 
-    /** Admits one submission, which has to [leave] when its commit is settled; false: the limit is reached. */
-    fun tryEnter(): Boolean {
+    /** Admits a submission; [release] must be called once its commit is settled. Returns false at the limit. */
+    fun tryAcquire(): Boolean {
         if (inProgress >= limit) return false
         inProgress++
         return true
     }
 
-    /** The commit took [elapsedMs]; one that wasn't [applied] shrinks the limit whatever time it took. */
-    fun leave(
+    /** Ends a submission whose commit took [elapsedMs]. A commit that wasn't [applied] always shrinks the limit. */
+    fun release(
         elapsedMs: Long,
         applied: Boolean,
     ) {
         val isHalfUsed = inProgress * 2 >= limit
         inProgress--
         if (!applied) {
-            estimate = maxOf(min.toDouble(), estimate * BACK_OFF)
+            estimate = maxOf(minLimit.toDouble(), estimate * BACKOFF_FACTOR)
             return
         }
         val elapsed = elapsedMs.coerceAtLeast(1).toDouble()
-        // The best time seen, which decays only slowly: an average would mistake a long slow spell for the usual thing.
+        // The best latency seen, raised only slowly: an average would take a long slow period for normal.
         bestMs = if (bestMs == 0.0 || elapsed < bestMs) elapsed else bestMs + (elapsed - bestMs) * BEST_DECAY
         val gradient = (TOLERANCE * bestMs / elapsed).coerceIn(0.5, 1.0)
+        // The square root of the limit is the headroom for growth, as usual in gradient limiters.
         val next = estimate * gradient + sqrt(estimate)
-        // Idle samples say nothing about what a larger limit would do.
+        // The limit grows only if at least half of it is used: idle samples say nothing about a larger limit.
         if (next < estimate || isHalfUsed) estimate += (next - estimate) * SMOOTHING
-        estimate = estimate.coerceIn(min.toDouble(), max.toDouble())
+        estimate = estimate.coerceIn(minLimit.toDouble(), maxLimit.toDouble())
     }
 
     private companion object {
-        const val START = 40.0
-        const val BACK_OFF = 0.9
+        const val INITIAL_LIMIT = 40.0
+        const val BACKOFF_FACTOR = 0.9
         const val BEST_DECAY = 0.0005
 
-        /** Commits are usually fast and now and then some hundred times slower; only a lasting change counts. */
+        /**
+         * Commits up to this many times slower than the best one don't shrink the limit. Single commits are now and
+         * then about a hundred times slower than usual; only a lasting change counts.
+         */
         const val TOLERANCE = 4.0
         const val SMOOTHING = 0.2
     }
--- a/src/main/kotlin/oxbowlug/request/Admission.kt
+++ b/src/main/kotlin/oxbowlug/request/Admission.kt
@@ -7,17 +7,17 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.TypeName
 
-/** Whether a job may be stored. */
+/** The outcome of the admission check. */
 internal sealed interface AdmissionResult {
     data object Admitted : AdmissionResult
 
-    /** It can never run; the user is answered [problem]. */
+    /** The job can never run; [problem] is returned to the user. */
     data class Rejected(
         val problem: String,
     ) : AdmissionResult
 }
 
-/** Admission of jobs: what can never run on any machine type or within the team's quota is rejected for good. */
+/** The admission check, which rejects jobs that can never run on any machine type or within the team's quota. */
 internal object Admission {
     fun check(
         spec: JobSpec,
--- a/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
@@ -8,6 +8,7 @@
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
+import oxbowlug.record.JobFields
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
 import oxbowlug.record.Phase
@@ -20,7 +21,7 @@
 import oxbowlug.wire.JobStatus
 import oxbowlug.wire.Transaction
 
-/** Cancels jobs by compare-and-swap on their records. Idempotent: a job that is final already is answered as it is. */
+/** Cancels jobs by compare-and-swap on their records. Idempotent: a job in a final phase is answered with its state. */
 internal class CancellationRequests(
     private val state: StatePort,
     private val clock: Clock,
@@ -35,16 +36,16 @@
         id: JobId,
         answer: (UserResponse) -> Unit,
     ) {
-        // Final is final: that can be answered also while the state service is away.
+        // A final phase never changes, so it can be answered even while the state service is unreachable.
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) {
-            answer(responder.current(id, stored))
+            answer(responder.currentResponse(id, stored))
         } else {
-            cancel(id, MAX_ATTEMPTS, answer)
+            cancel(id, MAX_COMMIT_ATTEMPTS, answer)
         }
     }
 
-    /** The cancellation is committed first and answered next; only then does the leader act on it. */
+    /** Commits the cancellation; only after that is the user answered, and only then does the leader act on it. */
     private fun cancel(
         id: JobId,
         attemptsLeft: Int,
@@ -56,7 +57,8 @@
             when {
                 !ok -> answer(responder.stateUnavailable())
                 stored == null -> answer(UserResponse.NotFound)
-                stored.phase.isFinal || stored.isUnreadable || value == null -> answer(responder.current(id, stored))
+                stored.phase.isFinal || stored.isUnreadable || value == null ->
+                    answer(responder.currentResponse(id, stored))
                 cache.writableFormat == WritableFormat.NONE ->
                     answer(responder.unavailable("the data is of a newer version"))
                 attemptsLeft == 0 -> answer(responder.unavailable("the job keeps changing"))
@@ -72,9 +74,10 @@
         attemptsLeft: Int,
         answer: (UserResponse) -> Unit,
     ) {
-        // All but the phase stays as the leader wrote it, so the leader knows its own record under the change.
+        // Everything but the phase and its time stays, also the id of the leader's write: by that id the leader
+        // recognizes its own record with a cancellation on top.
         val cancelled = LinkedHashMap(value)
-        cancelled["phase"] = Phase.CANCELLED.wire
+        cancelled[JobFields.PHASE] = Phase.CANCELLED.wire
         cancelled[JobRecord.CANCELLED_AT] = clock.wallMs()
         val changes = records.replace(id, value, cancelled)
         val transaction = Transaction(listOf(Condition(Keys.job(id.value), stored.version)), changes)
@@ -82,7 +85,7 @@
         state.commit(transaction) { outcome ->
             when (outcome) {
                 is CommitOutcome.Applied -> {
-                    // The changes are known by their own revision, and so is the number of parts.
+                    // The record must match what is stored at this revision, with the number of parts written there.
                     val parts = changes.size - 1
                     if (parts > 0) cancelled[RecordLayout.PARTS] = parts.toLong()
                     log.info("job cancelled: job={} revision={} {}", id, outcome.revision, decisions.describe())
@@ -98,6 +101,6 @@
 
     private companion object {
         val log = LoggerFactory.getLogger("request")
-        const val MAX_ATTEMPTS = 5
+        const val MAX_COMMIT_ATTEMPTS = 5
     }
 }
--- a/src/main/kotlin/oxbowlug/request/JobRecordChanges.kt
+++ b/src/main/kotlin/oxbowlug/request/JobRecordChanges.kt
@@ -8,7 +8,7 @@
 import oxbowlug.wire.Change
 import oxbowlug.wire.JobId
 
-/** The writes that store a job's record: its head and, in the format that allows it, its parts. */
+/** Builds the writes that store a job's record: its head and, if the writable format allows parts, its parts. */
 internal class JobRecordChanges(
     private val layout: RecordLayout,
     private val cache: StateCache,
@@ -20,15 +20,15 @@
         record: Map<String, Any?>,
     ): List<Change> {
         val whole = StoredForm(record, emptyList())
-        val isDivided = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
-        val form = if (isDivided) layout.split(record) ?: whole else whole
+        val allowsParts = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
+        val form = if (allowsParts) layout.split(record) ?: whole else whole
         return listOf(Change.Put(Keys.job(id.value), form.head)) +
             form.parts.mapIndexed { index, part -> Change.Put(Keys.part(id.value, index), part) }
     }
 
     /**
-     * Puts [record] in place of [stored], whose parts stay as they are; a record that was written whole by the version
-     * before is divided if need be.
+     * Replaces [stored] by [record]. Parts of [stored] stay as they are; a record that a controller of the previous
+     * software version stored whole is split if it is too large.
      */
     fun replace(
         id: JobId,
--- a/src/main/kotlin/oxbowlug/request/Submissions.kt
+++ b/src/main/kotlin/oxbowlug/request/Submissions.kt
@@ -24,7 +24,7 @@
 import oxbowlug.wire.TypeName
 import java.util.BitSet
 
-/** Admits and stores jobs. Idempotent: a repeated submission of an accepted job is answered with the job's state. */
+/** Admits and stores jobs. Idempotent: a repeated submission of an accepted job is answered with its current state. */
 internal class Submissions(
     private val requestIds: RequestIds,
     private val settings: Settings,
@@ -47,14 +47,14 @@
     ) {
         val now = clock.steadyMs()
         if (!cache.isSynced || !responder.isStateReachable(now)) return answer(responder.stateUnavailable())
-        // A repeated submission is answered whatever has changed since: it was accepted.
-        if (cache.job(spec.id) != null) return responder.answerAccepted(spec.id, answer)
+        // The job was accepted, so it isn't checked against settings and machine types that may have changed since.
+        if (cache.job(spec.id) != null) return responder.answerExistingJob(spec.id, answer)
         if (cache.writableFormat == WritableFormat.NONE) {
             return answer(responder.unavailable("the data is of a newer version"))
         }
         if (types.isEmpty()) return answer(responder.unavailable("the machine types are not known yet"))
         if (!records.isStorable(newRecord(spec, "").encode())) {
-            return answer(UserResponse.Malformed("${largestList(spec)}: is larger than can be stored"))
+            return answer(UserResponse.Malformed("${largestListField(spec)}: is larger than can be stored"))
         }
         when (val admission = Admission.check(spec, settings, types)) {
             AdmissionResult.Admitted -> Unit
@@ -62,7 +62,7 @@
                 return responder.afterCatchUp(spec.id, answer) { answer(UserResponse.Rejected(admission.problem)) }
         }
         if (spec.dependsOn.isNotEmpty()) {
-            // Controllers of the version before would drop what it waits for, and start it.
+            // Controllers of the previous software version would drop the job's dependencies and start it.
             if (cache.writableFormat != WritableFormat.HEAD_AND_PARTS) {
                 return answer(responder.unavailable("not all controllers can take jobs that wait for others yet"))
             }
@@ -71,17 +71,17 @@
         acceptIfNotOverloaded(spec, now, answer)
     }
 
-    /** Malformed, but a repeated submission of an accepted job is never answered so. */
+    /** A malformed submission that repeats an accepted job is answered with the job's state instead of the problem. */
     fun submitMalformed(
         id: JobId,
         problem: String,
         answer: (UserResponse) -> Unit,
     ) {
-        if (cache.job(id) != null) responder.answerAccepted(id, answer) else answer(UserResponse.Malformed(problem))
+        if (cache.job(id) != null) responder.answerExistingJob(id, answer) else answer(UserResponse.Malformed(problem))
     }
 
     /**
-     * Another controller may have accepted a predecessor a moment ago, so the state cache catches up before the job is
+     * Another controller may have accepted a predecessor just before, so the state cache catches up before the job is
      * rejected.
      */
     private fun submitAfterCatchUp(
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Null when all predecessors were accepted and can end. */
+    /** Returns null if all predecessors were accepted and can complete. */
     private fun predecessorProblem(spec: JobSpec): String? {
         for (predecessor in spec.dependsOn) {
             val stored = cache.job(predecessor)
@@ -116,7 +116,7 @@
         return null
     }
 
-    private fun largestList(spec: JobSpec): String =
+    private fun largestListField(spec: JobSpec): String =
         if (spec.dependsOn.size > spec.types.orEmpty().size) JobSpecCodec.DEPENDS_ON else JobSpecCodec.TYPES
 
     private fun acceptIfNotOverloaded(
@@ -124,7 +124,7 @@
         now: Long,
         answer: (UserResponse) -> Unit,
     ) {
-        if (budget.available(now) < 1.0 || !concurrency.tryEnter()) {
+        if (budget.available(now) < 1.0 || !concurrency.tryAcquire()) {
             return answer(responder.overloaded(inProgress, limit))
         }
         accept(spec, now, answer)
@@ -145,28 +145,29 @@
         budget.take(transaction.changes.size.toDouble(), now)
         state.commit(transaction) { outcome ->
             val elapsedMs = clock.steadyMs() - now
-            concurrency.leave(elapsedMs, outcome is CommitOutcome.Applied)
+            concurrency.release(elapsedMs, outcome is CommitOutcome.Applied)
             meters.committed(elapsedMs)
             when (outcome) {
                 is CommitOutcome.Applied -> answerCommitted(spec.id, answer)
-                is CommitOutcome.Conflict -> responder.answerAccepted(spec.id, answer)
+                is CommitOutcome.Conflict -> responder.answerExistingJob(spec.id, answer)
                 CommitOutcome.Refused -> answer(responder.unavailable("the state service is busy"))
                 CommitOutcome.Invalid, CommitOutcome.LeaseOver ->
                     answer(responder.unavailable("the state service did not take it"))
-                // Settled by reading, never guessed; if it isn't there it may still come, and the user asks again.
-                CommitOutcome.Unanswered -> responder.answerAccepted(spec.id, answer)
+                // Only a read tells whether the commit was applied. A job that is absent may still be stored later, so
+                // the user is asked to retry.
+                CommitOutcome.Unanswered -> responder.answerExistingJob(spec.id, answer)
             }
         }
     }
 
-    /** The commit's answer may have been slow, and another controller may have confirmed the job's cancellation. */
+    /** The commit's answer may have been slow, so another controller may already have confirmed a cancellation. */
     private fun answerCommitted(
         id: JobId,
         answer: (UserResponse) -> Unit,
     ) {
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) {
-            answer(responder.current(id, stored))
+            answer(responder.currentResponse(id, stored))
         } else {
             answer(UserResponse.Accepted(JobStatus(id, JobState.QUEUED, 0, 0)))
         }
--- a/src/main/kotlin/oxbowlug/request/UserRequestHandler.kt
+++ b/src/main/kotlin/oxbowlug/request/UserRequestHandler.kt
@@ -17,8 +17,9 @@
 import oxbowlug.wire.TypeName
 
 /**
- * Answers users: submissions, polls and cancellations. Every controller does, each with the same answers, because each
- * first catches up with the store. Called on the owner's event loop; the answers come on it too.
+ * Handles users' requests: submissions, polls and cancellations. Every controller serves them, and all give the same
+ * answers, because each first catches up with the state service. Called on the controller's event loop, on which the
+ * answers are given too.
  */
 internal class UserRequestHandler(
     requestIds: RequestIds,
@@ -39,10 +40,10 @@
     private val cancellationRequests =
         CancellationRequests(state, clock, cache, budget, records, responder, cancellations, decisions)
 
-    /** Submissions whose commits are in flight. */
+    /** The number of submissions whose commits are in flight. */
     val inProgress: Int get() = submissions.inProgress
 
-    /** The number of submissions that may be in flight now. */
+    /** The number of submissions whose commits may be in flight at present. */
     val limit: Int get() = submissions.limit
 
     fun submit(
--- a/src/main/kotlin/oxbowlug/request/UserResponder.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponder.kt
@@ -10,8 +10,8 @@
 import oxbowlug.wire.JobId
 
 /**
- * Answers from the state cache, which first catches up with the store unless the job's record is final already: so
- * every controller gives the same answers.
+ * Answers requests from the state cache. Unless the job's phase is final, the cache first catches up with the state
+ * service, so that all controllers give the same answers.
  */
 internal class UserResponder(
     private val cache: StateCache,
@@ -19,14 +19,14 @@
     private val meters: Meters,
     private val cancellations: CancellationListener,
 ) {
-    /** The state of a job, or that it was never accepted. */
+    /** Answers with the state of a job, or that no such job was accepted. */
     fun poll(
         id: JobId,
         answer: (UserResponse) -> Unit,
     ) = answerOrElse(id, answer) { UserResponse.NotFound }
 
-    /** The state of a job that was accepted for sure; if it cannot be read now, the user has to ask again. */
-    fun answerAccepted(
+    /** Answers with the state of a submitted job; if its record isn't found, the user has to retry. */
+    fun answerExistingJob(
         id: JobId,
         answer: (UserResponse) -> Unit,
     ) = answerOrElse(id, answer) { stateUnavailable() }
@@ -37,13 +37,13 @@
         ifAbsent: () -> UserResponse,
     ) {
         val stored = cache.job(id)
-        if (stored != null && stored.phase.isFinal) return answer(current(id, stored))
+        if (stored != null && stored.phase.isFinal) return answer(currentResponse(id, stored))
         afterCatchUp(id, answer) { answer(ifAbsent()) }
     }
 
     /**
-     * Catches up with the store, and only then does what [ifAbsent] says: a job that another controller accepted,
-     * perhaps under older machine types, must be answered with its state.
+     * Catches up with the state service, and calls [ifAbsent] only if the job doesn't exist then. A job that another
+     * controller accepted, perhaps under older machine types, must be answered with its state.
      */
     fun afterCatchUp(
         id: JobId,
@@ -53,16 +53,17 @@
         cache.catchUp { ok ->
             when {
                 !ok -> answer(stateUnavailable())
-                cache.job(id) != null -> answer(current(id))
+                cache.job(id) != null -> answer(currentResponse(id))
                 else -> ifAbsent()
             }
         }
     }
 
-    /** The state of a job whose record is in the cache. */
-    fun current(id: JobId): UserResponse = current(id, cache.job(id) ?: error("$id was just there"))
+    /** The state of a job whose record is in the state cache. */
+    fun currentResponse(id: JobId): UserResponse =
+        currentResponse(id, cache.job(id) ?: error("job $id is not in the state cache"))
 
-    fun current(
+    fun currentResponse(
         id: JobId,
         stored: CachedJob,
     ): UserResponse {
@@ -71,12 +72,12 @@
         return UserResponse.Known(stored.status(id))
     }
 
-    /** Whether the state service answered within the last moments. */
+    /** Whether the state service has answered a request sent within [Timing.stateUnreachableMs] before [now]. */
     fun isStateReachable(now: Long): Boolean = now - cache.lastContactMs < timing.stateUnreachableMs
 
     fun stateUnavailable(): UserResponse = unavailable("the state service is away")
 
-    /** [reason] is a metric's label too, so it must not contain ids. */
+    /** [reason] is also a metric label, so it must not contain ids. */
     fun unavailable(reason: String): UserResponse {
         log.debug("request unavailable: reason={}", reason)
         meters.refused(reason)
@@ -87,7 +88,7 @@
         inProgress: Int,
         limit: Int,
     ): UserResponse {
-        log.debug("submission refused for overload: inProgress={} limit={}", inProgress, limit)
+        log.debug("submission rejected for overload: inProgress={} limit={}", inProgress, limit)
         meters.refused("overload")
         return UserResponse.Overloaded(RETRY_AFTER_S)
     }
--- a/src/main/kotlin/oxbowlug/request/UserResponse.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponse.kt
@@ -2,38 +2,38 @@
 
 import oxbowlug.wire.JobStatus
 
-/** What a user is answered. */
+/** The response to a user's request. */
 internal sealed interface UserResponse {
-    /** Submitted and stored just now. */
+    /** The submitted job has been stored. */
     data class Accepted(
         val status: JobStatus,
     ) : UserResponse
 
-    /** The present status of a job that was accepted before. */
+    /** The current status of a job that was accepted earlier. */
     data class Known(
         val status: JobStatus,
     ) : UserResponse
 
-    /** Can never run. */
+    /** The submitted job can never run. */
     data class Rejected(
         val problem: String,
     ) : UserResponse
 
-    /** A field that is missing, mistyped or larger than the service can store. */
+    /** A field of the submission is missing, mistyped or larger than the service can store. */
     data class Malformed(
         val problem: String,
     ) : UserResponse
 
-    /** No job of this id was ever accepted. */
+    /** No job with this id was accepted. */
     data object NotFound : UserResponse
 
-    /** Can't be decided now: to be repeated after [retryAfterS] seconds. */
+    /** The request can't be decided now; the user has to retry after [retryAfterS] seconds. */
     data class Unavailable(
         val retryAfterS: Int,
         val reason: String,
     ) : UserResponse
 
-    /** Too many submissions are in progress: to be repeated after [retryAfterS] seconds. */
+    /** Too many submissions are in progress; the user has to retry after [retryAfterS] seconds. */
     data class Overloaded(
         val retryAfterS: Int,
     ) : UserResponse
--- a/src/test/kotlin/oxbowlug/request/AdaptiveConcurrencyLimitTest.kt
+++ b/src/test/kotlin/oxbowlug/request/AdaptiveConcurrencyLimitTest.kt
@@ -8,24 +8,24 @@
 internal class AdaptiveConcurrencyLimitTest {
     private fun AdaptiveConcurrencyLimit.serve(
         count: Int,
-        tookMs: Long,
+        latencyMs: Long,
     ) = repeat(count) {
-        var entered = 0
-        while (tryEnter()) entered++
-        repeat(entered) { leave(tookMs, applied = true) }
+        var admitted = 0
+        while (tryAcquire()) admitted++
+        repeat(admitted) { release(latencyMs, applied = true) }
     }
 
     @Test
-    fun `over the limit nobody enters, and whoever leaves makes room`() {
+    fun `at the limit no submission is admitted until another one ends`() {
         val limit = AdaptiveConcurrencyLimit()
-        repeat(limit.limit) { assertTrue(limit.tryEnter()) }
-        assertFalse(limit.tryEnter())
-        limit.leave(5, applied = true)
-        assertTrue(limit.tryEnter())
+        repeat(limit.limit) { assertTrue(limit.tryAcquire()) }
+        assertFalse(limit.tryAcquire())
+        limit.release(5, applied = true)
+        assertTrue(limit.tryAcquire())
     }
 
     @Test
-    fun `it shrinks as commits slow down and recovers when they are fast again`() {
+    fun `the limit shrinks as commits slow down and recovers when they are fast again`() {
         val limit = AdaptiveConcurrencyLimit()
         limit.serve(20, 5)
         val fast = limit.limit
@@ -38,11 +38,11 @@
     }
 
     @Test
-    fun `refused commits shrink it, though never to nothing`() {
+    fun `refused commits shrink the limit, but not below its minimum`() {
         val limit = AdaptiveConcurrencyLimit()
         repeat(500) {
-            assertTrue(limit.tryEnter())
-            limit.leave(1, applied = false)
+            assertTrue(limit.tryAcquire())
+            limit.release(1, applied = false)
         }
         assertEquals(4, limit.limit)
     }
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -42,7 +42,10 @@
 import java.util.BitSet
 import kotlin.random.Random
 
-/** Users' requests that meet another controller's write in the very moment of their own. */
+/**
+ * Users' requests that race with writes of other controllers, and requests under the data formats and size limits of
+ * stored records.
+ */
 internal class UserRequestHandlerTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val world = World(1)
@@ -55,18 +58,18 @@
             MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, listOf(Zone("a"))),
         ).associateBy { it.name }
 
-    /** Runs just before the next transaction is carried out. */
-    private var meanwhile: () -> Unit = {}
+    /** Runs once, just before the next transaction is executed. */
+    private var beforeCommit: () -> Unit = {}
 
-    /** Runs after it, before its answer is heard. */
+    /** Runs once, after the next transaction is executed and before its outcome is delivered. */
     private var beforeAnswer: () -> Unit = {}
 
-    private inner class Port : ImmediateStatePort(store) {
+    private inner class RacingStatePort : ImmediateStatePort(store) {
         override fun commit(
             transaction: Transaction,
             done: (CommitOutcome) -> Unit,
         ) {
-            meanwhile().also { meanwhile = {} }
+            beforeCommit().also { beforeCommit = {} }
             val outcome = store.commit(transaction)
             beforeAnswer().also { beforeAnswer = {} }
             done(outcome)
@@ -74,99 +77,99 @@
     }
 
     private val timing = Timing(settings, Random(1))
-    private val cache = StateCache(Port(), clock, timing, IgnoringListener)
-    private val told = ArrayList<String>()
+    private val cache = StateCache(RacingStatePort(), clock, timing, IgnoringListener)
+    private val listenerCalls = ArrayList<String>()
 
     private inner class RecordingListener(
-        private val recordsAnswers: Boolean,
+        private val recordsInformedUsers: Boolean,
     ) : CancellationListener {
         override fun onCancellationCommitted(
             id: JobId,
             revision: Long,
             record: Map<String, Any?>,
         ) {
-            told.add("confirmed $id of ${machines(record)} machines")
+            listenerCalls.add("committed $id with ${machineCount(record)} machines")
         }
 
         override fun onUserInformed(id: JobId) {
-            if (recordsAnswers) told.add("told $id")
+            if (recordsInformedUsers) listenerCalls.add("informed $id")
         }
     }
 
-    private fun jobRequests(copy: StateCache) =
+    private fun requestHandler(stateCache: StateCache) =
         UserRequestHandler(
             RequestIds(Member("n0", "x")),
             settings,
-            Port(),
+            RacingStatePort(),
             clock,
             timing,
-            copy,
+            stateCache,
             TokenBucket(10.0),
             FailingMeters,
-            RecordingListener(recordsAnswers = true),
+            RecordingListener(recordsInformedUsers = true),
             permissiveContext,
         )
 
-    private fun machines(value: Map<String, Any?>): Int = (value["run"] as? Map<*, *>)?.size ?: 0
+    private fun machineCount(value: Map<String, Any?>): Int = (value["run"] as? Map<*, *>)?.size ?: 0
 
-    private fun write(
+    private fun storeJob(
         phase: Phase,
-        placedOn: List<String>,
+        machineIds: List<String>,
         done: Int = 0,
     ) {
-        val placements = placedOn.withIndex().associate { (task, host) -> task to Placement(MachineId(host), 1) }
-        val record = JobRecord(spec, 5, phase, BitSet().apply { set(0, done) }, 2, placements, "w-$phase-$placedOn")
+        val placements = machineIds.withIndex().associate { (task, host) -> task to Placement(MachineId(host), 1) }
+        val record = JobRecord(spec, 5, phase, BitSet().apply { set(0, done) }, 2, placements, "w-$phase-$machineIds")
         store.commit(Transaction(emptyList(), listOf(Change.Put(key, record.encode()))))
     }
 
     @Test
-    fun `what another controller wrote in the same moment isn't written over`() {
+    fun `a cancellation does not overwrite a concurrent write of another controller`() {
         class Case(
             val name: String,
-            val meanwhile: () -> Unit,
-            val shown: JobState,
-            val said: List<String>,
-            val machines: Int,
+            val beforeCommit: () -> Unit,
+            val expectedState: JobState,
+            val expectedCalls: List<String>,
+            val machineCount: Int,
         )
         val cases =
             listOf(
-                Case("nothing", {}, JobState.CANCELLED, listOf("confirmed ${spec.id} of 1 machines"), 1),
-                // Written over, the last end would be taken back, or a start that is on its way forgotten.
-                Case("the last end", { write(Phase.DONE, emptyList(), 2) }, JobState.DONE, emptyList(), 0),
+                Case("no write", {}, JobState.CANCELLED, listOf("committed ${spec.id} with 1 machines"), 1),
+                // Overwritten, a completion would be undone, or an attempt that is being started lost from the record.
+                Case("the last completion", { storeJob(Phase.DONE, emptyList(), 2) }, JobState.DONE, emptyList(), 0),
                 Case(
                     "a placement",
-                    { write(Phase.ACTIVE, listOf("host-1", "host-2")) },
+                    { storeJob(Phase.ACTIVE, listOf("host-1", "host-2")) },
                     JobState.CANCELLED,
-                    listOf("confirmed ${spec.id} of 2 machines"),
+                    listOf("committed ${spec.id} with 2 machines"),
                     2,
                 ),
                 Case(
                     "another cancellation",
-                    { write(Phase.CANCELLED, listOf("host-1")) },
+                    { storeJob(Phase.CANCELLED, listOf("host-1")) },
                     JobState.CANCELLED,
-                    listOf("told ${spec.id}"),
+                    listOf("informed ${spec.id}"),
                     1,
                 ),
             )
         for (case in cases) {
-            told.clear()
-            write(Phase.ACTIVE, listOf("host-1"))
-            // A new copy for each, since final states are remembered for good.
+            listenerCalls.clear()
+            storeJob(Phase.ACTIVE, listOf("host-1"))
+            // Each case has a state cache of its own, since a cache never drops a final phase.
             val answers = ArrayList<UserResponse>()
-            val fresh = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
-            meanwhile = case.meanwhile
-            jobRequests(fresh).cancel(spec.id) { answers.add(it) }
+            val caseCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+            beforeCommit = case.beforeCommit
+            requestHandler(caseCache).cancel(spec.id) { answers.add(it) }
             world.runUntil(world.nowMs + 1_000)
-            repeat(5) { fresh.tick() }
-            val shown = answers.map { (it as UserResponse.Known).status.state }
-            assertEquals(listOf(case.shown), shown, case.name)
-            assertEquals(case.said, told, case.name)
+            repeat(5) { caseCache.tick() }
+            val states = answers.map { (it as UserResponse.Known).status.state }
+            assertEquals(listOf(case.expectedState), states, case.name)
+            assertEquals(case.expectedCalls, listenerCalls, case.name)
             val stored = JobRecord.decode(store.entry(key)?.value.orEmpty())
-            assertEquals(case.machines, stored.placements.size, case.name)
+            assertEquals(case.machineCount, stored.placements.size, case.name)
         }
     }
 
-    private fun accept(
+    private fun storeAccepted(
         id: String,
         kind: JobKind = JobKind.ARRAY,
         phase: Phase = Phase.ACTIVE,
@@ -184,168 +187,168 @@
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job(id), record.encode()))))
     }
 
-    private fun switchFormatOn() {
+    private fun enableNewestFormat() {
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))))
     }
 
-    private fun answerTo(
-        copy: StateCache,
+    private fun submitAndAnswer(
+        stateCache: StateCache,
         spec: JobSpec,
     ): UserResponse {
         val answers = ArrayList<UserResponse>()
-        jobRequests(copy).submit(spec, types) { answers.add(it) }
+        requestHandler(stateCache).submit(spec, types) { answers.add(it) }
         world.runUntil(world.nowMs + 1_000)
-        repeat(5) { copy.tick() }
+        repeat(5) { stateCache.tick() }
         return answers.single()
     }
 
     @Test
-    fun `jobs to wait for have to be known for sure, and known by another controller is known`() {
+    fun `predecessors must have been accepted, by any controller`() {
         class Case(
             val name: String,
             val dependsOn: String,
             val expected: String,
-            val meanwhile: () -> Unit = {},
+            val beforeSubmission: () -> Unit = {},
         )
         val cases =
             listOf(
                 Case("accepted", "run-a", "Accepted"),
                 Case("done", "run-done", "Accepted"),
                 Case("cancelled", "run-gone", "Accepted"),
-                Case("accepted by another controller a moment ago", "run-new", "Accepted") { accept("run-new") },
+                Case("accepted by another controller a moment ago", "run-new", "Accepted") { storeAccepted("run-new") },
                 Case("never submitted", "run-never", "Rejected"),
                 Case("a service", "run-service", "Rejected"),
                 Case("the job itself", spec.id.value, "Rejected"),
                 Case("a record that can't be read", "run-torn", "Unavailable"),
             )
         for (case in cases) {
-            switchFormatOn()
-            accept("run-a")
-            accept("run-done", phase = Phase.DONE)
-            accept("run-gone", phase = Phase.CANCELLED)
-            accept("run-service", kind = JobKind.SERVICE)
-            val torn = mapOf<String, Any?>("phase" to "unheard of")
-            store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job("run-torn"), torn))))
+            enableNewestFormat()
+            storeAccepted("run-a")
+            storeAccepted("run-done", phase = Phase.DONE)
+            storeAccepted("run-gone", phase = Phase.CANCELLED)
+            storeAccepted("run-service", kind = JobKind.SERVICE)
+            val unreadable = mapOf<String, Any?>("phase" to "unheard of")
+            store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job("run-torn"), unreadable))))
             store.commit(Transaction(emptyList(), listOf(Change.Delete(key))))
-            val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
-            case.meanwhile()
-            val answer = answerTo(copy, spec.copy(dependsOn = listOf(JobId(case.dependsOn))))
+            val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+            case.beforeSubmission()
+            val answer = submitAndAnswer(stateCache, spec.copy(dependsOn = listOf(JobId(case.dependsOn))))
             assertEquals(case.expected, answer::class.simpleName, case.name)
         }
     }
 
     @Test
-    fun `while a controller may be of the version before, jobs that wait for others are sent away for a while`() {
-        accept("run-a")
-        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
-        val answer = answerTo(copy, spec.copy(dependsOn = listOf(JobId("run-a"))))
+    fun `jobs with dependencies are unavailable while a controller may run the previous software version`() {
+        storeAccepted("run-a")
+        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val answer = submitAndAnswer(stateCache, spec.copy(dependsOn = listOf(JobId("run-a"))))
         assertEquals(true, answer is UserResponse.Unavailable && answer.retryAfterS > 0)
-        assertEquals(true, answerTo(copy, spec) is UserResponse.Accepted, "others are taken")
+        assertEquals(true, submitAndAnswer(stateCache, spec) is UserResponse.Accepted, "independent jobs are accepted")
     }
 
     @Test
-    fun `nothing is written under a newer version's marker`() {
+    fun `nothing is written under the format marker of a newer version`() {
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(99)))))
-        accept("run-a")
-        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
-        val before = store.revision
-        assertEquals(true, answerTo(copy, spec) is UserResponse.Unavailable)
-        jobRequests(copy).cancel(JobId("run-a")) { assertEquals(true, it is UserResponse.Unavailable) }
-        assertEquals(before, store.revision)
+        storeAccepted("run-a")
+        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val revisionBefore = store.revision
+        assertEquals(true, submitAndAnswer(stateCache, spec) is UserResponse.Unavailable)
+        requestHandler(stateCache).cancel(JobId("run-a")) { assertEquals(true, it is UserResponse.Unavailable) }
+        assertEquals(revisionBefore, store.revision)
     }
 
     @Test
-    fun `a repeated submission gets the job's present state, whatever its list says`() {
-        accept("run-a")
-        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
-        val never = spec.copy(id = JobId("run-a"), dependsOn = listOf(JobId("run-never")))
-        assertEquals(true, answerTo(copy, never) is UserResponse.Known)
+    fun `a repeated submission gets the job's current state, whatever its dependencies`() {
+        storeAccepted("run-a")
+        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val repeated = spec.copy(id = JobId("run-a"), dependsOn = listOf(JobId("run-never")))
+        assertEquals(true, submitAndAnswer(stateCache, repeated) is UserResponse.Known)
         for ((id, expected) in listOf("run-a" to "Known", "run-b" to "Malformed")) {
             val answers = ArrayList<UserResponse>()
-            jobRequests(copy).submitMalformed(JobId(id), "waits_on: must be a list") { answers.add(it) }
+            requestHandler(stateCache).submitMalformed(JobId(id), "waits_on: must be a list") { answers.add(it) }
             world.runUntil(world.nowMs + 1_000)
-            repeat(5) { copy.tick() }
+            repeat(5) { stateCache.tick() }
             assertEquals(listOf(expected), answers.map { it::class.simpleName }, id)
         }
     }
 
     @Test
-    fun `a job whose record is larger than can be stored is refused by its field, and nothing is stored`() {
-        switchFormatOn()
+    fun `a job whose record is too large to store is rejected with the field's name, and nothing is stored`() {
+        enableNewestFormat()
         val names = List(120) { "a".repeat(90) + it }
-        names.forEach { accept(it) }
-        val small = settings.state.copy(next = WriteLimits(15.0, 2.0, 4))
-        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
-        val jobRequests =
+        names.forEach { storeAccepted(it) }
+        val smallLimits = settings.state.copy(next = WriteLimits(15.0, 2.0, 4))
+        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val requestHandler =
             UserRequestHandler(
                 RequestIds(Member("n0", "x")),
-                settings.copy(state = small),
-                Port(),
+                settings.copy(state = smallLimits),
+                RacingStatePort(),
                 clock,
                 timing,
-                copy,
+                stateCache,
                 TokenBucket(10.0),
                 FailingMeters,
-                RecordingListener(recordsAnswers = false),
+                RecordingListener(recordsInformedUsers = false),
                 permissiveContext,
             )
-        val before = store.revision
+        val revisionBefore = store.revision
         val answers = ArrayList<UserResponse>()
-        jobRequests.submit(spec.copy(dependsOn = names.map(::JobId)), types) { answers.add(it) }
+        requestHandler.submit(spec.copy(dependsOn = names.map(::JobId)), types) { answers.add(it) }
         assertEquals(UserResponse.Malformed("waits_on: is larger than can be stored"), answers.single())
-        assertEquals(before, store.revision)
+        assertEquals(revisionBefore, store.revision)
     }
 
     @Test
-    fun `a large job is cancelled by its head alone, and one of the version before is divided for it`() {
+    fun `a large job is cancelled by its head alone, and a record stored whole by the previous version is split`() {
         val placements = (0 until 240).associateWith { Placement(MachineId("host-%06d".format(it)), 1) }
         val record = JobRecord(spec.copy(tasks = 240), 5, Phase.ACTIVE, BitSet(), 2, placements, "w-1").encode()
         val limits = WriteLimits(15.0, 2.0, 4)
         val form = RecordLayout(limits).split(record) ?: error("doesn't fit")
-        val divided =
+        val splitRecord =
             listOf(Change.Put(key, form.head)) +
                 form.parts.mapIndexed { index, part -> Change.Put(Keys.part(spec.id.value, index), part) }
-        for (changes in listOf(divided, listOf(Change.Put(key, record)))) {
+        for (changes in listOf(splitRecord, listOf(Change.Put(key, record)))) {
             store.limits = null
-            switchFormatOn()
+            enableNewestFormat()
             store.commit(Transaction(emptyList(), changes))
-            val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+            val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
             store.limits = limits
             world.runUntil(world.nowMs + 2_000)
-            told.clear()
-            val jobRequests =
+            listenerCalls.clear()
+            val requestHandler =
                 UserRequestHandler(
                     RequestIds(Member("n0", "x")),
                     settings.copy(state = settings.state.copy(next = limits)),
-                    Port(),
+                    RacingStatePort(),
                     clock,
                     timing,
-                    copy,
+                    stateCache,
                     TokenBucket(10.0),
                     FailingMeters,
-                    RecordingListener(recordsAnswers = false),
+                    RecordingListener(recordsInformedUsers = false),
                     permissiveContext,
                 )
             val answers = ArrayList<UserResponse>()
-            jobRequests.cancel(spec.id) { answers.add(it) }
+            requestHandler.cancel(spec.id) { answers.add(it) }
             world.runUntil(world.nowMs + 1_000)
             assertEquals(JobState.CANCELLED, (answers.single() as UserResponse.Known).status.state)
-            assertEquals(listOf("confirmed ${spec.id} of 240 machines"), told)
-            val read = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }.job(spec.id)
-            assertEquals(240, read?.placed, "whoever reads it knows every machine")
+            assertEquals(listOf("committed ${spec.id} with 240 machines"), listenerCalls)
+            val read = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }.job(spec.id)
+            assertEquals(240, read?.placed, "the stored record names every machine")
             store.limits = null
         }
     }
 
     @Test
-    fun `a slow answer to an accepted job doesn't speak over its cancellation`() {
+    fun `a submission whose commit is answered slowly is answered with a later cancellation`() {
         cache.tick()
         beforeAnswer = {
-            write(Phase.CANCELLED, emptyList())
+            storeJob(Phase.CANCELLED, emptyList())
             cache.catchUp {}
         }
         val answers = ArrayList<UserResponse>()
-        jobRequests(cache).submit(spec, types) { answers.add(it) }
+        requestHandler(cache).submit(spec, types) { answers.add(it) }
         assertEquals(listOf(UserResponse.Known(JobStatus(spec.id, JobState.CANCELLED, 0, 0))), answers)
     }
 }
