--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -37,13 +37,13 @@
 import kotlin.random.Random
 
 /**
- * The single owner of all state, and its wiring. Adapters offer events to its queue; it works through them in batches,
- * and whatever a batch changed is sent once, after it. Nothing else touches the model; all but [offer] belongs to the
- * event loop's thread.
+ * The single owner of a controller's state, which wires its components together. Adapters offer events to the queue;
+ * the event loop handles them in batches, and sends the resulting changes once after each batch. No other code changes
+ * the state, and everything except [offer] may only be called on the event loop's thread.
  */
 internal class Controller(
     private val settings: Settings,
-    /** This controller, under an incarnation that no earlier process had. */
+    /** This controller, with an incarnation that no earlier process has used. */
     val self: Member,
     private val state: StatePort,
     private val cloud: CloudPort,
@@ -54,7 +54,7 @@
     private val peers: PeerPort,
     wake: () -> Unit,
 ) {
-    /** The durations by which all parts go. */
+    /** All durations, derived from the settings. */
     val timing = Timing(settings, random)
     private val load = ControllerLoad(meters, timing.tickMs, (settings.policy.replanS * MS_PER_S).toLong())
     private val queue = EventQueue(queueCapacity(settings), wake)
@@ -109,46 +109,46 @@
             cancellations,
             decisions,
         )
-    private val heartbeats =
+    private val heartbeatRouter =
         HeartbeatRouter(self, clock, timing, cache, election, terms, delegate, renewals, freshness)
 
-    /** What operators see of this controller. */
+    /** The values that are published in this controller's metrics. */
     val status = ControllerStatus(clock, queue, cache, election, terms, limits, requests, cancellations)
     private var loggedRole: LeadershipRole = LeadershipRole.Unknown
     private var leaderChanged = false
     private var rememberedImages: Map<MachineId, List<ImageName>> = emptyMap()
     private val isLeading: Boolean get() = election.role() is LeadershipRole.Leader
 
-    /** False when the queue is full: the caller answers "unavailable" itself. May be called by any thread. */
+    /** May be called on any thread. Returns false if the queue is full; the caller then answers "unavailable". */
     fun offer(event: ControllerEvent): Boolean = queue.offer(event)
 
-    /** Works through what is in the queue now, and sends what that changed. */
+    /** Handles the events that are in the queue now, and sends the resulting changes. */
     fun drain() {
         val beganNs = clock.nanoTime()
         queue.drain(::handle)
         if (leaderChanged) {
             leaderChanged = false
-            heartbeats.answerWaiting()
+            heartbeatRouter.retryDeferred()
         }
         terms.current()?.flush()
         load.stepped(clock.nanoTime() - beganNs)
     }
 
-    /** Whether users and workers can be served here, or at least no worse than elsewhere. */
+    /** Whether this controller can serve users and workers, or at least no worse than the other controllers. */
     fun isHealthy(): Boolean =
-        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.isStateVisibleToOthers())
+        cache.isSynced && catalog.types.isNotEmpty() && (reachesState() || !peerHealth.isStateVisibleToOthers())
 
     private fun isElected(): Boolean = cache.leadership?.leader == self
 
-    private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateUnreachableMs * 2
+    private fun reachesState() = clock.steadyMs() - cache.lastContactMs < timing.stateUnreachableMs * 2
 
-    /** What the other controllers are told of this one. */
+    /** This controller's present heartbeat to its peers. */
     fun heartbeat(): PeerHeartbeat =
         PeerHeartbeat(
             self,
             cache.leadership?.epoch ?: 0,
             cache.leadership?.leader,
-            seesState(),
+            reachesState(),
             clock.steadyMs(),
             delegate.echo(),
             hasUnacknowledged = cancellations.hasUnacknowledged(),
@@ -156,8 +156,9 @@
         )
 
     /**
-     * Which images the machines hold, told by the leader to those who may succeed it: heartbeats don't say it, and a
-     * successor that didn't know would have replicas fetch again what lies on the next machine. Empty elsewhere.
+     * The images on each machine, which the leader sends to its possible successors; empty unless this controller
+     * leads. Worker heartbeats don't list images, and a successor without this map would place replicas where they have
+     * to fetch an image again that another machine already holds.
      */
     fun images(): Map<MachineId, List<ImageName>> {
         val machines = if (isLeading) terms.latest?.cluster?.machines else null
@@ -172,7 +173,7 @@
             is ControllerEvent.Cancel -> requests.cancel(event.id, event.answer)
             is ControllerEvent.Heartbeat -> {
                 load.reported()
-                heartbeats.accept(event)
+                heartbeatRouter.accept(event)
             }
             is ControllerEvent.PeerHeartbeatReceived -> onPeerHeartbeat(event.heartbeat)
             is ControllerEvent.CancellationNoticeReceived -> cancellations.onNotice(event.notice)
@@ -197,7 +198,7 @@
         val now = clock.steadyMs()
         load.ticked(now)
         logRoleChange()
-        heartbeats.answerWaiting()
+        heartbeatRouter.retryDeferred()
         catalog.tick(now)
         cancellations.tick()
         formatUpgrade.tick(cache.leadership?.takeIf { isLeading })
@@ -215,14 +216,14 @@
         now: Long,
     ) {
         term.tick(catalog.types)
-        // Cut from the workers alone, a leader would redirect them all to itself until their leases expire.
+        // If only the workers can't reach the leader, the followers redirect them to it until their leases expire.
         if (term.hasLostItsWorkers(now) && cache.memberCount() > 1) {
-            log.info("no worker reaches this leader: {}", decisions.describe())
+            log.info("leader resigns without worker heartbeats: {}", decisions.describe())
             election.resign()
         }
     }
 
-    /** A line whenever what this controller may do is another than at the last tick. */
+    /** Logs the role if it differs from the role at the last tick. */
     private fun logRoleChange() {
         val role = election.role()
         if (role == loggedRole) return
@@ -246,7 +247,7 @@
             limits.cloudCalls,
             load,
             rememberedImages,
-            formerLeader::mayAnswer,
+            formerLeader::mayStillAnswerWorkers,
         )
 
     private inner class CacheListener : StateCacheListener {
@@ -275,7 +276,8 @@
         override fun onWritableFormat(format: WritableFormat) {
             log.info("data format changed: format={}", format)
             if (format != WritableFormat.HEAD_AND_PARTS) return
-            // From here on everything is built for both limits, so that the moment at which they change doesn't matter.
+            // From here on all writes keep to both the current and the next limits of the state service, so it doesn't
+            // matter when the service switches to the next ones.
             limits.lowerWrites(settings.state.lowest.writeRps)
             terms.latest?.divideLargeRecords()
         }
@@ -283,8 +285,8 @@
 
     private companion object {
         /**
-         * HTTP requests aren't pipelined, so each socket brings one event at a time; the rest is ticks, peers and
-         * timers. A full queue can't take the outcome of a call, and that ends the process.
+         * HTTP requests aren't pipelined, so each socket has at most one event in the queue; the rest of the capacity
+         * is for ticks, peer messages and timers. If the outcome of a call finds the queue full, the process ends.
          */
         fun queueCapacity(settings: Settings): Int = maxOf(MIN_QUEUE, settings.limits.maxSockets * 2)
 
--- a/src/main/kotlin/oxbowlug/controller/ControllerEvent.kt
+++ b/src/main/kotlin/oxbowlug/controller/ControllerEvent.kt
@@ -10,14 +10,14 @@
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.WorkerHeartbeat
 
-/** What adapters put into the controller's queue; each [answer] is called once, on the event loop. */
+/** An event that an adapter puts into the controller's queue. Its `answer` is called once, on the event loop. */
 internal sealed interface ControllerEvent {
     class Submit(
         val spec: JobSpec,
         val answer: (UserResponse) -> Unit,
     ) : ControllerEvent
 
-    /** A submission with a field that can't be taken, whose id may be known all the same. */
+    /** A submission with an invalid field; its id may still be that of an accepted job. */
     class SubmitMalformed(
         val id: JobId,
         val problem: String,
@@ -47,12 +47,13 @@
         val notice: CancellationNotice,
     ) : ControllerEvent
 
+    /** A part of the leader's images by machine; the first part replaces all that were received before. */
     class ImagesReceived(
         val images: Map<MachineId, List<ImageName>>,
         val isFirst: Boolean,
     ) : ControllerEvent
 
-    /** The outcome of a call that the controller made. */
+    /** The outcome of a call through one of the controller's ports, which [action] handles. */
     class CallCompleted(
         val action: () -> Unit,
     ) : ControllerEvent
--- a/src/main/kotlin/oxbowlug/controller/ControllerStatus.kt
+++ b/src/main/kotlin/oxbowlug/controller/ControllerStatus.kt
@@ -7,7 +7,7 @@
 import oxbowlug.port.Clock
 import oxbowlug.request.UserRequestHandler
 
-/** What operators see of a controller; read by the event loop's thread alone. */
+/** The values of a controller that its metrics publish. Read on the event loop's thread only. */
 internal class ControllerStatus(
     private val clock: Clock,
     private val queue: EventQueue,
@@ -29,7 +29,7 @@
             ?.machines
             ?.size ?: 0
 
-    /** Changes that the leader's bucket allows at once. */
+    /** Changes that the leader's token bucket allows at once. */
     val writesLeft: Double get() = limits.leaderWrites.available(clock.steadyMs())
     val cloudCallsLeft: Double get() = limits.cloudCalls.available(clock.steadyMs())
     val openCancellations: Int get() = cancellations.allPending.count { !it.isTerminationProven }
--- a/src/main/kotlin/oxbowlug/controller/EventQueue.kt
+++ b/src/main/kotlin/oxbowlug/controller/EventQueue.kt
@@ -4,8 +4,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The bounded queue of the event loop: any thread may offer, and only the owner of the model drains. [wake] is called
- * after each event that was accepted.
+ * The bounded queue of the event loop. Any thread may offer events; only the event loop's thread drains them. [wake] is
+ * called after each accepted event.
  */
 internal class EventQueue(
     capacity: Int,
@@ -13,17 +13,17 @@
 ) {
     private val events = ManyToOneConcurrentArrayQueue<ControllerEvent>(capacity)
 
-    /** How many events wait. */
+    /** The number of queued events. */
     val depth: Int get() = events.size
 
-    /** False when the queue is full: the caller answers "unavailable" itself. */
+    /** Returns false if the queue is full; the caller then answers "unavailable". */
     fun offer(event: ControllerEvent): Boolean {
         val isAccepted = events.offer(event)
         if (isAccepted) wake()
         return isAccepted
     }
 
-    /** Hands over what is in the queue now; what is offered meanwhile waits for the next call. */
+    /** Passes the events that are in the queue now to [handle]; events offered meanwhile stay for the next call. */
     fun drain(handle: (ControllerEvent) -> Unit) {
         var left = events.size
         while (left-- > 0) {
@@ -31,7 +31,7 @@
             try {
                 handle(event)
             } catch (e: RuntimeException) {
-                // One event's failure must not end the process with all that it holds.
+                // One failed event must not end the process and lose all of its state.
                 log.error("event failed: event={}", event.javaClass.simpleName, e)
             }
         }
--- a/src/main/kotlin/oxbowlug/controller/FormerLeader.kt
+++ b/src/main/kotlin/oxbowlug/controller/FormerLeader.kt
@@ -4,17 +4,17 @@
 import oxbowlug.membership.PeerHealth
 import oxbowlug.record.Member
 
-/** Whoever led before the present leader, and may not know that it was succeeded. */
+/** The leader before the present one, which may not know of its successor. */
 internal class FormerLeader(
     private val self: Member,
     private val cache: StateCache,
     private val peerHealth: PeerHealth,
 ) {
     /**
-     * Whether it may still answer workers without having heard of its successor. One that has a later incarnation has
-     * ended, and one that is alive hears of its successor as well.
+     * Whether the former leader may still answer workers without knowing of its successor. A former leader with a later
+     * incarnation has ended; one whose heartbeats arrive here also learns of its successor from its peers.
      */
-    fun mayAnswer(): Boolean {
+    fun mayStillAnswerWorkers(): Boolean {
         val former = cache.formerLeader ?: return false
         val incarnation = peerHealth.incarnationOf(former.label)
         val hasRestarted = incarnation != null && incarnation != former
--- a/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
@@ -14,8 +14,9 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /**
- * Decides who answers a worker's heartbeat: this controller as leader, as one that only extends leases, or as renewal
- * delegate of a zone that is cut off; otherwise the worker is redirected to the leader, or told to try elsewhere.
+ * Decides which controller answers a worker's heartbeat. This controller does so as leader, as a leader that
+ * may only renew leases, or as renewal delegate of a partitioned zone. Otherwise the worker is redirected to the leader
+ * or the delegate, or gets the response that no controller is available.
  */
 internal class HeartbeatRouter(
     private val self: Member,
@@ -28,38 +29,43 @@
     private val renewals: WorkerLeaseRenewals,
     private val freshness: CancellationFreshness,
 ) {
-    private class WaitingHeartbeat(
+    private class DeferredHeartbeat(
         val event: ControllerEvent.Heartbeat,
-        val untilMs: Long,
+        val deadlineMs: Long,
     )
 
-    private val waiting = ArrayDeque<WaitingHeartbeat>()
+    private val deferred = ArrayDeque<DeferredHeartbeat>()
 
-    /** Answers [event] now, or keeps it for a moment while a leader is about to be known. */
+    /** Answers [event] now, or defers it for up to [Timing.heartbeatWaitMs] while a leader is about to be known. */
     fun accept(event: ControllerEvent.Heartbeat) =
-        answerOrWait(WaitingHeartbeat(event, clock.steadyMs() + timing.heartbeatWaitMs))
+        answerOrDefer(DeferredHeartbeat(event, clock.steadyMs() + timing.heartbeatWaitMs))
 
-    /** Tries again what waits; called on every tick, and as soon as another leader is known. */
-    fun answerWaiting() {
-        repeat(waiting.size) { waiting.removeFirstOrNull()?.let(::answerOrWait) }
+    /** Retries the deferred heartbeats. Called on every tick, and when the leadership record changes. */
+    fun retryDeferred() {
+        repeat(deferred.size) { deferred.removeFirstOrNull()?.let(::answerOrDefer) }
     }
 
     /**
-     * A worker that is refused goes on to the next controller a second later, and after the end of all controllers its
-     * lease has few of them left. So while a leader is about to be known, its heartbeat waits a moment for that.
+     * A worker that gets no renewal and no redirect tries the next controller a second later, and after a crash of all
+     * controllers its lease has only a few seconds left. So its heartbeat is deferred while a leader is about to be
+     * known.
      */
-    private fun answerOrWait(next: WaitingHeartbeat) {
+    private fun answerOrDefer(next: DeferredHeartbeat) {
         val response = respond(next.event.heartbeat)
-        if (response.isFinal && !isLeaderGone() && !mayBeDelegated(response) || clock.steadyMs() >= next.untilMs) {
+        if (response.isFinal && !isLeaderGone() && !mayBeDelegated(response) || clock.steadyMs() >= next.deadlineMs) {
             next.event.answer(response)
         } else {
-            waiting.addLast(next)
+            deferred.addLast(next)
         }
     }
 
+    /** Whether the response renews the lease or redirects the worker. */
     private val HeartbeatResponse.isFinal: Boolean get() = this !is HeartbeatResponse.Unavailable
 
-    /** The record still names a leader whose lease has expired: workers sent to it would come back a second later. */
+    /**
+     * Whether the leadership record still names a leader whose lease has expired. Workers redirected to that leader
+     * would come back a second later.
+     */
     private fun isLeaderGone(): Boolean {
         val role = election.role()
         return role is LeadershipRole.Follower &&
@@ -68,7 +74,10 @@
             !cache.hasMember(Keys.member(role.leader))
     }
 
-    /** Redirected to a leader that is out of reach, a worker would lose a third of its lease for nothing. */
+    /**
+     * Whether a delegate may be about to answer this worker. A redirect to an unreachable leader would cost the worker
+     * a third of its lease.
+     */
     private fun mayBeDelegated(response: HeartbeatResponse) =
         response is HeartbeatResponse.Redirect && delegate.isNearingIsolation()
 
@@ -83,7 +92,7 @@
             delegate.delegateFor(heartbeat)?.let { return HeartbeatResponse.Redirect(it.label) }
         }
         val leader = leaderOf(role) ?: return HeartbeatResponse.Unavailable
-        // An earlier incarnation of ours led: until the next election nobody does.
+        // An earlier incarnation of this controller led, so there is no leader until the next election.
         if (leader != self && leader.label == self.label) return HeartbeatResponse.Unavailable
         if (leader != self) return HeartbeatResponse.Redirect(leader.label)
         return respondAsLeader(heartbeat, role)
@@ -109,8 +118,8 @@
     }
 
     /**
-     * Elected, but without the jobs' records yet: the lease is renewed and nothing commanded, so that the work runs on
-     * while they are read. After the end of all controllers there are a few seconds left for that, no more.
+     * A leader that was elected but has yet to read the job records renews the lease without its own commands, so that
+     * tasks keep running meanwhile. After a crash of all controllers, only a few seconds are left for that read.
      */
     private fun respondBeforeTerm(
         heartbeat: WorkerHeartbeat,
--- a/src/main/kotlin/oxbowlug/controller/LeaderTerms.kt
+++ b/src/main/kotlin/oxbowlug/controller/LeaderTerms.kt
@@ -10,37 +10,37 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.wire.JobId
 
-/** Holds the term in which this controller leads, if it does, and [begin]s it when all that it needs is known. */
+/** Holds the term in which this controller leads, if it does; calls [begin] once the state cache has what it needs. */
 internal class LeaderTerms(
     private val self: Member,
     private val election: LeaderElection,
     private val cache: StateCache,
     private val begin: (LeadershipRecord) -> LeaderTerm,
 ) {
-    /** The term that was begun last, until this controller is found not to lead; it may be deposed or outdated. */
+    /** The latest term, until this controller is found not to lead; possibly deposed, or of an earlier record. */
     var latest: LeaderTerm? = null
         private set
 
     /**
-     * The term under the present leadership record, or null while this controller may not act as its leader. It begins
-     * once the state cache holds all that was committed before it.
+     * The term under the current leadership record, or null while this controller may not act as its leader. A term
+     * begins once the state cache holds everything that was committed before that record.
      */
     fun current(): LeaderTerm? {
         val leadership = cache.leadership
-        if (leadership == null || !isOurs(leadership)) {
+        if (leadership == null || !mayLeadUnder(leadership)) {
             latest = null
             return null
         }
-        val present = latest
-        if (present != null && present.leadership.version == leadership.version) {
-            return present.takeUnless { it.isDeposed }
+        val existing = latest
+        if (existing != null && existing.leadership.version == leadership.version) {
+            return existing.takeUnless { it.isDeposed }
         }
         if (!cache.isSynced || cache.revision < leadership.version) return null
-        log.info("leading: epoch={} token={}", leadership.epoch, leadership.token.value)
+        log.info("leader term started: epoch={} token={}", leadership.epoch, leadership.token.value)
         return begin(leadership).also { latest = it }
     }
 
-    /** Whether all attempts of a job are proven gone by the leader here; null: not its affair, or not known. */
+    /** Whether this controller, as leader, has proven all attempts of a job terminated; null if it can't tell. */
     fun isTerminationProven(id: JobId): Boolean? =
         when (election.role()) {
             is LeadershipRole.Leader, is LeadershipRole.RenewalOnly -> {
@@ -50,7 +50,7 @@
             is LeadershipRole.Follower, LeadershipRole.Unknown -> null
         }
 
-    private fun isOurs(leadership: LeadershipRecord): Boolean =
+    private fun mayLeadUnder(leadership: LeadershipRecord): Boolean =
         leadership.leader == self &&
             election.role() !is LeadershipRole.Follower &&
             cache.writableFormat != WritableFormat.NONE
--- a/src/main/kotlin/oxbowlug/controller/RateLimits.kt
+++ b/src/main/kotlin/oxbowlug/controller/RateLimits.kt
@@ -4,23 +4,25 @@
 import oxbowlug.timing.TokenBucket
 
 /**
- * This controller's shares of the published rates: writes in changes per second, cloud calls in requests per second.
+ * This controller's shares of the rate limits of the state service, in changes per second, and of the cloud, in
+ * requests per second.
  *
- * Half of the write rate is for accepting and cancelling. A controller may use all of that half, since users are rarely
- * everywhere at once; where they are, the state service refuses the surplus and it is tried again.
+ * Half of the write rate is for accepting and cancelling jobs. Each controller may use all of that half, since users
+ * rarely load all controllers at once; if they do, the state service refuses the surplus, and those writes are tried
+ * again.
  */
 internal class RateLimits(
     settings: Settings,
 ) {
-    /** Of whoever leads: job records and what else only a leader writes. */
+    /** For the leader: job records and everything else that only a leader writes. */
     val leaderWrites = TokenBucket(settings.state.writeRps * LEADER_SHARE)
 
-    /** Of every controller: jobs that it accepts and cancels for users. */
+    /** For every controller: jobs that it accepts and cancels for users. */
     val userWrites = TokenBucket(settings.state.writeRps * (1 - LEADER_SHARE))
 
     val cloudCalls = TokenBucket(settings.cloud.rps * CLOUD_SHARE)
 
-    /** From now on the state service takes no more than [writeRps] changes per second. */
+    /** Keeps writes from now on within a state service limit of [writeRps] changes per second. */
     fun lowerWrites(writeRps: Double) {
         leaderWrites.limit(writeRps * LEADER_SHARE)
         userWrites.limit(writeRps * (1 - LEADER_SHARE))
@@ -29,7 +31,7 @@
     private companion object {
         const val LEADER_SHARE = 0.5
 
-        /** The rest is left for the calls of other controllers. */
+        /** The rest of the rate is left for the calls of other controllers. */
         const val CLOUD_SHARE = 0.8
     }
 }
