--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -73,7 +73,7 @@
         for ((machine, attempts) in attemptsByMachine(due)) probe(machine, attempts, now)
         val toRelease =
             due
-                .filter { now - it.confirmedAt > timing.enforceByReleaseLatestMs + rank * releaseStaggerMs }
+                .filter { now - it.confirmedAt > timing.enforceByReleaseAfterMs + rank * releaseStaggerMs }
                 .flatMapTo(LinkedHashSet()) { pending ->
                     pending.attempts.filter { (machine, attempts) -> !areProvenAbsent(machine, attempts, now) }.keys
                 }
@@ -85,8 +85,8 @@
         now: Long,
         rank: Int,
     ): Boolean {
-        val delayMs = if (isHandledByLeader(pending)) timing.enforceByReleaseLatestMs * 3 / 4 else timing.enforceAfterMs
-        return now - pending.confirmedAt >= delayMs + rank * timing.enforceStepMs
+        val delayMs = if (isHandledByLeader(pending)) timing.enforceByReleaseAfterMs * 3 / 4 else timing.enforceAfterMs
+        return now - pending.confirmedAt >= delayMs + rank * timing.enforceStaggerMs
     }
 
     /**
@@ -101,12 +101,12 @@
         return result
     }
 
-    /** A worker's report that attempts are absent counts for [Timing.suspectMs]. */
+    /** A worker's report that attempts are absent counts for [Timing.suspectAfterMs]. */
     private fun areProvenAbsent(
         machine: MachineId,
         attempts: Set<AttemptId>,
         now: Long,
-    ): Boolean = machine in releasedMachines || probes[machine]?.areAbsent(attempts, now - timing.suspectMs) ?: false
+    ): Boolean = machine in releasedMachines || probes[machine]?.areAbsent(attempts, now - timing.suspectAfterMs) ?: false
 
     private fun probe(
         machine: MachineId,
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -15,7 +15,7 @@
  * A controller sends a cancellation to its peers before it confirms it to the user, so a peer's heartbeat covers all
  * cancellations that the peer confirmed earlier. A silent peer may have confirmed a cancellation and crashed; leases
  * may then be renewed only for as long as they expire within the time allowed for a cancellation
- * ([Timing.blindRenewalMs]). Peers on the other side of a partition between zones are trusted to enforce their
+ * ([Timing.maxRenewalStalenessMs]). Peers on the other side of a partition between zones are trusted to enforce their
  * cancellations themselves ([CancellationEnforcer]), since some controller there is alive. Ending all work of a
  * partitioned zone because of them would be expensive and solve nothing.
  */
@@ -82,13 +82,13 @@
         previousIncarnation: PeerConfirmations,
         now: Long,
     ) {
-        val wasCutOff = now - previousIncarnation.lastContactAt > timing.workerLeaseRawMs
+        val wasCutOff = now - previousIncarnation.lastContactAt > timing.workerLeaseTtlMs
         if (previousIncarnation.mayConfirm && wasCutOff) uncertainRestartAtByLabel[label] = now
     }
 
     /** Whether this controller may renew worker leases although it can't reach the state service. */
     fun mayRenewLeases(): Boolean {
-        val requiredFreshnessMs = clock.steadyMs() - timing.blindRenewalMs
+        val requiredFreshnessMs = clock.steadyMs() - timing.maxRenewalStalenessMs
         val readUpToMs = cache.freshAsOfMs
         if (readUpToMs >= requiredFreshnessMs) return true
         uncertainRestartAtByLabel.values.removeIf { it <= readUpToMs }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -89,7 +89,7 @@
         val now = clock.steadyMs()
         // The largest possible age: the wall clocks of two controllers differ by up to the configured skew.
         val ageMs = record.cancelledMs?.let { clock.wallMs() - it + settings.skewMs.toLong() } ?: 0
-        val pending = PendingCancellation(cancellation, isConfirmedHere, now, now - ageMs.coerceIn(0, timing.cancelMs))
+        val pending = PendingCancellation(cancellation, isConfirmedHere, now, now - ageMs.coerceIn(0, timing.cancelDeadlineMs))
         pendingById[cancellation.id] = pending
         if (isConfirmedHere) sendToAll(pending)
     }
@@ -136,7 +136,7 @@
                     pending.isConfirmedHere -> true
                     // The watch informs every peer in time, except one that lost the state service or that was started
                     // since.
-                    else -> now - pending.observedAt > timing.enforceAfterMs || peerHealth.isWithoutState(peer.label)
+                    else -> now - pending.observedAt > timing.enforceAfterMs || peerHealth.isCutOffFromState(peer.label)
                 }
             if (due) peers.send(peer.label, CancellationNotice.Cancelled(self, pending.cancellation))
         }
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -136,7 +136,7 @@
 
     /** Whether this controller can serve users and workers, or at least no worse than the other controllers. */
     fun isHealthy(): Boolean =
-        cache.isSynced && catalog.types.isNotEmpty() && (reachesState() || !peerHealth.isStateVisibleToOthers())
+        cache.isSynced && catalog.types.isNotEmpty() && (reachesState() || !peerHealth.isStateReachableByOthers())
 
     private fun isElected(): Boolean = cache.leadership?.leader == self
 
@@ -152,7 +152,7 @@
             clock.steadyMs(),
             delegate.echo(),
             hasUnacknowledged = cancellations.hasUnacknowledged(),
-            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmMs,
+            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
         )
 
     /**
--- a/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
@@ -79,7 +79,7 @@
      * a third of its lease.
      */
     private fun mayBeDelegated(response: HeartbeatResponse) =
-        response is HeartbeatResponse.Redirect && delegate.isNearingIsolation()
+        response is HeartbeatResponse.Redirect && delegate.isNearingActivation()
 
     private fun respond(heartbeat: WorkerHeartbeat): HeartbeatResponse {
         val role = election.role()
--- a/src/main/kotlin/oxbowlug/controller/RateLimits.kt
+++ b/src/main/kotlin/oxbowlug/controller/RateLimits.kt
@@ -24,8 +24,8 @@
 
     /** Keeps writes from now on within a state service limit of [writeRps] changes per second. */
     fun lowerWrites(writeRps: Double) {
-        leaderWrites.limit(writeRps * LEADER_SHARE)
-        userWrites.limit(writeRps * (1 - LEADER_SHARE))
+        leaderWrites.lowerRate(writeRps * LEADER_SHARE)
+        userWrites.lowerRate(writeRps * (1 - LEADER_SHARE))
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -53,7 +53,7 @@
     ) {
         val endpoint = machine.endpoint ?: return
         inFlight++
-        nextAt[machine] = now + timing.suspectMs
+        nextAt[machine] = now + timing.suspectAfterMs
         workers.status(endpoint) { heartbeat ->
             if (heartbeat == null || heartbeat.machine != machine.id || heartbeat.token >= cluster.token) {
                 inFlight--
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -88,7 +88,7 @@
     }
 
     /** Large records are looked for once, when a lease's time has passed: a new leader has more urgent things to do. */
-    private var divideLargeRecordsAt = startedAt + timing.workerLeaseRawMs
+    private var divideLargeRecordsAt = startedAt + timing.workerLeaseTtlMs
 
     private fun divideLargeRecordsWhenDue(now: Long) {
         val isDue = now >= divideLargeRecordsAt && cache.writableFormat == WritableFormat.HEAD_AND_PARTS
@@ -119,7 +119,7 @@
     fun hasLostItsWorkers(now: Long): Boolean {
         val last = lastHeartbeatAt ?: return false
         val expected = cluster.machines.values.any { it.lastContactAt != null && !it.isReleasing }
-        return expected && now - last > timing.workersLostMs
+        return expected && now - last > timing.resignAfterSilenceMs
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -64,7 +64,7 @@
         if (machine.isReleasing) return
         // Where no other can be had, a machine that may go on is worth more than the rent of its silence.
         val patience = if (scaler.isScarce(machine, now)) SCARCE_PATIENCE else 1
-        val silentMs = (settings.policy.silentLeases * timing.workerLeaseRawMs).toLong() * patience
+        val silentMs = (settings.policy.silentLeases * timing.workerLeaseTtlMs).toLong() * patience
         val lastHeard = machine.lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
         val expected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
         if (expected && now - lastHeard > silentMs && liveness.isMajorityAlive(machine.zone)) {
@@ -93,16 +93,16 @@
         types: Map<TypeName, MachineType>,
     ): Boolean {
         if (!isSuspect(machine, now) || machine.isLeaseExpired) return false
-        val countsFrom = machine.lease.countsFromMs ?: return false
+        val countsFrom = machine.lease.ttlStartMs ?: return false
         val type = types[machine.type] ?: return false
-        val leftS = (timing.workerExpiryMs - (now - countsFrom)) / 1000.0
+        val leftS = (timing.workerLeaseExpiryMs - (now - countsFrom)) / 1000.0
         return Pricing.isWorthGivingUp(round.replicaWeight(machine), leftS, type, machine.spot, types.values)
     }
 
     private fun isSuspect(
         machine: Machine,
         now: Long,
-    ): Boolean = machine.lastContactAt?.let { now - it > timing.suspectMs } ?: false
+    ): Boolean = machine.lastContactAt?.let { now - it > timing.suspectAfterMs } ?: false
 
     /** Tasks that can save are stopped just in time for it; others run on until the cloud takes the machine. */
     private fun drain(
@@ -123,10 +123,10 @@
         liveness: ZoneLiveness,
     ) {
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
-        val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
+        val mayBeOver = decisions.mayLead && delegates.isProvenExpired(machine.zone, machine.lease.ttlStartMs ?: now)
         if (mayBeOver) cluster.expire(machine, now)
         val isPartitioned = liveness.isPartitioned(machine.zone)
-        val patienceMs = if (isPartitioned) timing.partitionPatienceMs else timing.cancelPatienceMs
+        val patienceMs = if (isPartitioned) timing.partitionedCancelReleaseAfterMs else timing.cancelReleaseAfterMs
         for (attempt in machine.attempts.values) {
             val cancelledAt = attempt.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -111,7 +111,7 @@
                 // more is rented.
                 RentalOutcome.Refused, RentalOutcome.Unanswered -> {
                     order.nextRequestAt = now + timing.retryMs() * 2
-                    if (now > order.orderedAt + timing.orderPatienceMs) pendingOrders.remove(order)
+                    if (now > order.orderedAt + timing.orderTimeoutMs) pendingOrders.remove(order)
                 }
             }
             cluster.planWanted = true
@@ -198,7 +198,7 @@
         }
         for (machine in cluster.machines.values.toList()) {
             // Lists lag and can go backwards: only one asked for long after the machine was known proves its absence.
-            if (machine.id !in present && machine.firstSeenAt < askedAt - timing.machineListAgeMs) {
+            if (machine.id !in present && machine.firstSeenAt < askedAt - timing.machineListLagMs) {
                 cluster.removeMachine(machine.id, RemovalReason.NOT_LISTED)
             }
         }
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -72,7 +72,7 @@
             return if (machine.token == cluster.token) 0.0 else SOON_S
         }
         if (machine.listed == MachineState.RUNNING) {
-            return if (now - maxOf(startedAt, machine.firstSeenAt) < timing.workerLeaseRawMs) SOON_S else null
+            return if (now - maxOf(startedAt, machine.firstSeenAt) < timing.workerLeaseTtlMs) SOON_S else null
         }
         return maxOf(SOON_S, type.bootS - (now - machine.rentedAt) / 1000.0)
     }
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -189,7 +189,7 @@
     /** Cancels both jobs, one after the other, while those of [runningJobs] still run, and lets [forMs] pass. */
     private fun cancelBoth(
         runningJobs: List<JobId>,
-        forMs: Long = timing.cancelMs,
+        forMs: Long = timing.cancelDeadlineMs,
     ) {
         running.addAll(runningJobs.map(::attempt))
         storeCancelled(firstJob)
@@ -210,13 +210,13 @@
 
     @Test
     fun `each cancelled job's attempts on a shared machine are stopped`() {
-        cancelBoth(listOf(firstJob, secondJob), forMs = timing.cancelPatienceMs)
+        cancelBoth(listOf(firstJob, secondJob), forMs = timing.cancelReleaseAfterMs)
         assertEquals(emptySet<AttemptId>(), running)
     }
 
     @Test
     fun `absence of one job's attempts does not count for the other job's`() {
-        cancelBoth(listOf(secondJob), forMs = timing.cancelPatienceMs)
+        cancelBoth(listOf(secondJob), forMs = timing.cancelReleaseAfterMs)
         assertEquals(emptySet<AttemptId>(), running)
     }
 
