--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -171,7 +171,7 @@
             is ControllerEvent.Poll -> requests.poll(event.id, event.answer)
             is ControllerEvent.Cancel -> requests.cancel(event.id, event.answer)
             is ControllerEvent.Heartbeat -> {
-                load.reported()
+                load.heartbeatReceived()
                 heartbeats.accept(event)
             }
             is ControllerEvent.PeerHeartbeatReceived -> onPeerHeartbeat(event.heartbeat)
@@ -216,7 +216,7 @@
     ) {
         term.tick(catalog.types)
         // Cut from the workers alone, a leader would redirect them all to itself until their leases expire.
-        if (term.hasLostItsWorkers(now) && cache.memberCount() > 1) {
+        if (term.hasLostAllWorkers(now) && cache.memberCount() > 1) {
             log.info("no worker reaches this leader: {}", decisions.describe())
             election.resign()
         }
@@ -277,7 +277,7 @@
             if (format != WritableFormat.HEAD_AND_PARTS) return
             // From here on everything is built for both limits, so that the moment at which they change doesn't matter.
             limits.lowerWrites(settings.state.lowest.writeRps)
-            terms.latest?.divideLargeRecords()
+            terms.latest?.splitLargeRecords()
         }
     }
 
