--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -16,14 +16,14 @@
 import oxbowlug.wire.TaskState
 import oxbowlug.wire.TypeName
 
-/** The machines of a snapshot with their free room: those that are there, and those that are ordered. */
+/** Builds the machines of a planner snapshot with their free resources: known machines and those of pending rentals. */
 internal class AvailableMachines(
     private val cluster: ClusterState,
     private val timing: Timing,
     private val weights: ClassWeights,
     private val termStartedAt: Long,
 ) {
-    /** [machine] as the planner sees it, or null if nothing may be placed there. */
+    /** The planner's view of [machine], or null if no task may be placed there. */
     fun of(
         machine: Machine,
         types: Map<TypeName, MachineType>,
@@ -33,13 +33,13 @@
     ): PlanMachine? {
         val type = types[machine.type ?: return null] ?: return null
         val zone = machine.zone ?: return null
-        val isUnfit =
+        val isUnschedulable =
             machine.isReleasing ||
                 machine.isDraining ||
                 machine.isQuarantined ||
                 now < machine.unresponsiveUntil ||
                 machine.isLeaseExpired
-        if (isUnfit || machine.noticeUntil != null) return null
+        if (isUnschedulable || machine.noticeUntil != null) return null
         val readyInS = readyInS(machine, type, now) ?: return null
         return PlanMachine(
             id = machine.id,
@@ -51,7 +51,7 @@
             images = machine.images,
             fetching = machine.fetching(),
             isEmpty = machine.attempts.isEmpty(),
-            leaving = leaving(machine),
+            leaving = usageOfUnwantedAttempts(machine),
             tenants =
                 lazy(LazyThreadSafetyMode.NONE) {
                     machine.attempts.values.map { tenant(it, type, zoneTaskCounts, now) }
@@ -60,7 +60,7 @@
         )
     }
 
-    /** Zero for a machine that can be given work, null for one that can't be counted on. */
+    /** Seconds until [machine] can take work: 0 if it can now, null if no work may be planned for it. */
     private fun readyInS(
         machine: Machine,
         type: MachineType,
@@ -69,15 +69,20 @@
         val lastContactAt = machine.lastContactAt
         if (lastContactAt != null) {
             if (now - lastContactAt > timing.heartbeatLateMs) return null
-            return if (machine.token == cluster.token) 0.0 else SOON_S
+            // Until the worker's heartbeat carries this leader's token, it may still execute a former leader's starts.
+            return if (machine.token == cluster.token) 0.0 else MIN_DELAY_S
         }
         if (machine.listed == MachineState.RUNNING) {
-            return if (now - maxOf(termStartedAt, machine.firstSeenAt) < timing.workerLeaseRawMs) SOON_S else null
+            // A running machine's first heartbeat to this leader is expected within one worker lease.
+            return if (now - maxOf(termStartedAt, machine.firstSeenAt) < timing.workerLeaseRawMs) MIN_DELAY_S else null
         }
-        return maxOf(SOON_S, type.bootS - (now - machine.rentedAt) / 1000.0)
+        return maxOf(MIN_DELAY_S, type.bootS - (now - machine.rentedAt) / 1000.0)
     }
 
-    /** Tasks that the worker reports but whose attempts were removed hold their room until they have exited. */
+    /**
+     * Resources of the tasks that the worker still reports although their attempts were removed. They stay in use until
+     * these tasks exit.
+     */
     fun unmanagedUsage(machine: Machine): Resources {
         var sum = Resources.NONE
         for (task in machine.tasks.values) {
@@ -87,7 +92,10 @@
         return sum
     }
 
-    /** Room for tasks that are being stopped to go there: taken by others, it would leave them without a place. */
+    /**
+     * Resources on each target machine for the tasks that are being stopped to move there. If another task took them,
+     * the moved task would have no place.
+     */
     fun reservedForMoves(): Map<MachineId, Resources> {
         val result = HashMap<MachineId, Resources>()
         for (job in cluster.jobs.values) {
@@ -99,12 +107,13 @@
         return result
     }
 
-    private fun leaving(machine: Machine): Resources {
+    private fun usageOfUnwantedAttempts(machine: Machine): Resources {
         var sum = Resources.NONE
         for (attempt in machine.attempts.values) if (!attempt.isWanted) sum += attempt.job.need
         return sum
     }
 
+    /** The lowest priority among the wanted attempts, or null if there is none. Lower priorities compare greater. */
     private fun leastUrgent(machine: Machine): Priority? {
         var least: Priority? = null
         for (attempt in machine.attempts.values) {
@@ -134,19 +143,20 @@
         )
     }
 
-    /** The machines of an order whose answer is awaited. */
+    /** The machines of a rental that the cloud hasn't answered yet. */
     fun ofPendingRental(
-        order: PendingRental,
+        rental: PendingRental,
         types: Map<TypeName, MachineType>,
         now: Long,
     ): List<PlanMachine> {
-        val request = order.request
+        val request = rental.request
         val type = types[request.type] ?: return emptyList()
-        val readyInS = maxOf(SOON_S, type.bootS - (now - order.firstRequestedAt) / 1000.0)
+        val readyInS = maxOf(MIN_DELAY_S, type.bootS - (now - rental.firstRequestedAt) / 1000.0)
         return List(request.count) { PlanMachine.pendingOrders(type, request.zone, request.spot, readyInS) }
     }
 
     private companion object {
-        const val SOON_S = 1.0
+        /** The least delay of a machine that isn't ready yet. With 0, the planner would start tasks there now. */
+        const val MIN_DELAY_S = 1.0
     }
 }
--- a/src/main/kotlin/oxbowlug/scheduling/ClassWeights.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/ClassWeights.kt
@@ -4,13 +4,16 @@
 import oxbowlug.config.Settings
 import oxbowlug.wire.ClassName
 
-/** Tardiness weights: the shorter the wait that the objectives allow a class, the dearer each second of it. */
+/**
+ * Tardiness weights of job classes: the shorter the wait that an objective allows a class, the more each second of
+ * delay costs. Weights of the policy replace those derived from objectives.
+ */
 internal class ClassWeights(
     settings: Settings,
 ) {
     private val weights = HashMap<ClassName, Double>()
 
-    /** Of work that a guarantee covers, whatever its class. */
+    /** The weight of work within its team's guarantee, whatever its class; 0 without such an objective. */
     var guarantee = 0.0
         private set
 
@@ -26,5 +29,6 @@
         weights.putAll(settings.policy.classWeights)
     }
 
+    /** The weight of the class [name]; 1 if neither an objective nor the policy gives it one. */
     fun of(name: ClassName): Double = weights[name] ?: 1.0
 }
--- a/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
@@ -6,40 +6,45 @@
 import oxbowlug.wire.MachineType
 
 /**
- * What a job inherits from the jobs that need it: the most urgent of their priorities, and the latest moment at which
- * it may end so that each of them can keep its deadline by the estimates. Users set both on a pipeline's last job only.
+ * Propagates priorities and deadlines from each waiting job to its predecessors, because users set both only on the
+ * last job of a pipeline. A predecessor gets the most urgent of its own priority and those of its successors, and the
+ * latest end time with which each of them can still meet its deadline according to the estimates.
  */
 internal object InheritedPriority {
     private const val MS_PER_S = 1000.0
 
-    /** [stageMs] is what a stage takes beside its run: the commit of an end, a plan, a start. */
+    /**
+     * Sets the priority and the latest end of all [jobs]. [stageMs] is the overhead of a pipeline stage beside its run
+     * time: committing the end of the previous stage, planning, and starting the tasks.
+     */
     fun update(
         jobs: Map<JobId, Job>,
         types: Collection<MachineType>,
         stageMs: Long,
     ) {
-        val successors = HashMap<Job, Int>()
+        val unvisitedSuccessors = HashMap<Job, Int>()
         for (job in jobs.values) {
             job.priority = job.spec.priority
             job.latestEndMs = job.spec.deadlineS?.let { job.submittedMs + (it * MS_PER_S).toLong() }
-            forEachPredecessor(job, jobs) { predecessor -> successors.merge(predecessor, 1, Int::plus) }
+            forEachPredecessor(job, jobs) { predecessor -> unvisitedSuccessors.merge(predecessor, 1, Int::plus) }
         }
-        if (successors.isEmpty()) return
-        // From the last jobs back to the first: a job passes on what it has once all that need it have told it.
-        val toVisit = ArrayDeque(jobs.values.filter { it !in successors && isWaiting(it) })
+        if (unvisitedSuccessors.isEmpty()) return
+        // Reverse topological order: a job is visited after all its successors, so that its values are final.
+        val toVisit = ArrayDeque(jobs.values.filter { it !in unvisitedSuccessors && isWaiting(it) })
         while (toVisit.isNotEmpty()) {
             val job = toVisit.removeFirst()
-            val latestStartMs = job.latestEndMs?.let { it - lengthMs(job, types) - stageMs }
+            val latestStartMs = job.latestEndMs?.let { it - expectedDurationMs(job, types) - stageMs }
             forEachPredecessor(job, jobs) { predecessor ->
                 predecessor.priority = minOf(predecessor.priority, job.priority)
                 predecessor.latestEndMs = earliest(predecessor.latestEndMs, latestStartMs)
-                val left = successors.getValue(predecessor) - 1
-                successors[predecessor] = left
-                if (left == 0 && isWaiting(predecessor)) toVisit.add(predecessor)
+                val remaining = unvisitedSuccessors.getValue(predecessor) - 1
+                unvisitedSuccessors[predecessor] = remaining
+                if (remaining == 0 && isWaiting(predecessor)) toVisit.add(predecessor)
             }
         }
     }
 
+    /** Whether some predecessor of the active [job] isn't done yet. */
     private fun isWaiting(job: Job): Boolean =
         job.phase == Phase.ACTIVE && job.readyMs == null && job.spec.dependsOn.isNotEmpty()
 
@@ -52,7 +57,8 @@
         for (id in job.spec.dependsOn) jobs[id]?.let(action)
     }
 
-    private fun lengthMs(
+    /** The estimated run time, with the image fetched on the machine type that fetches fastest. */
+    private fun expectedDurationMs(
         job: Job,
         types: Collection<MachineType>,
     ): Long {
@@ -63,6 +69,7 @@
         return ((job.spec.estimateS + fetchS) * MS_PER_S).toLong()
     }
 
+    /** The earlier of two times, of which null means no limit. */
     private fun earliest(
         one: Long?,
         other: Long?,
--- a/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
@@ -10,14 +10,14 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.TypeName
 
-/** The jobs of a snapshot: what waits for machines, and what is expected to come. */
+/** Builds the jobs of a planner snapshot: those with pending tasks, and reservations for forecast demand. */
 internal class PendingJobs(
     private val cluster: ClusterState,
     private val clock: Clock,
     private val weights: ClassWeights,
     private val recordCapacity: RecordCapacity,
 ) {
-    /** [job] as the planner sees it, or null if none of its tasks may be placed now. */
+    /** The planner's view of [job], or null if none of its tasks may be placed now. */
     fun of(
         job: Job,
         zoneTaskCounts: ZoneTaskCounts,
@@ -25,8 +25,9 @@
     ): PlanJob? {
         if (job.phase != Phase.ACTIVE || now < job.holdUntil) return null
         val readyMs = job.readyMs ?: return null
-        // A gang starts again only as a whole: what is left of it ends by itself when its mates are gone.
+        // A gang restarts only as a whole: its remaining tasks exit by themselves once their peers are gone.
         if (job.spec.kind == JobKind.GANG && job.attempts.isNotEmpty()) return null
+        // The zone of a single-zone job is fixed by its attempts, so the job waits until their zones are known.
         if (job.spec.oneZone && !zoneTaskCounts.areAllZonesKnown(job)) return null
         val pending = job.pendingTasks(minOf(MAX_TASKS_PER_ROUND, recordCapacity.maxAdditionalTasks(job)))
         if (pending.isEmpty()) return null
@@ -48,7 +49,7 @@
         )
     }
 
-    /** Room for what is expected to come while a machine boots, as one job a class. */
+    /** Capacity reservations for the tasks that are expected to arrive while a machine boots: one job per class. */
     fun forecastReservations(types: Map<TypeName, MachineType>): List<PlanJob> {
         val expected =
             cluster.forecast.expected(clock.wallMs()) { spec ->
@@ -57,6 +58,7 @@
         return expected.map { (example, count) ->
             PlanJob(
                 id = JobId("reserve-${example.className}"),
+                // With twice the tasks, the zone cap of a spread job doesn't limit the reservation.
                 spec = example.copy(tasks = count * 2, zone = null, oneZone = false),
                 pending = IntArray(count) { it },
                 zoneUse = emptyMap(),
--- a/src/main/kotlin/oxbowlug/scheduling/RecordCapacity.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/RecordCapacity.kt
@@ -8,32 +8,34 @@
 import oxbowlug.record.TaskRanges
 import oxbowlug.record.WritableFormat
 
-/** How many attempts a job's record can still name inside the value limit of the state service. */
+/** Limits the attempts of a job so that its record fits the value size that the state service accepts. */
 internal class RecordCapacity(
     settings: Settings,
     private val cluster: ClusterState,
     private val writableFormat: () -> WritableFormat,
 ) {
-    private val valueLimit = (settings.state.valueKb * 1024).toInt()
-    private val dividedRecords = RecordLayout(settings.state.lowest)
-    private var machineNameBytes = LONG_MACHINE_NAME
+    private val valueLimitBytes = (settings.state.valueKb * 1024).toInt()
+    private val recordLayout = RecordLayout(settings.state.lowest)
+    private var machineNameBytes = DEFAULT_MACHINE_NAME_BYTES
 
-    /** Call it once a snapshot: asked for each job, it would scan all machines each time. */
+    /** Has to be called once per snapshot. Measured for each job, the names would cost a scan of all machines each. */
     fun updateMachineNameBytes() {
-        machineNameBytes = longestMachineName()
+        machineNameBytes = longestNameWithoutPrefix()
     }
 
-    /** How many more tasks may be placed so that the record stays inside the value limit, however they end. */
+    /** How many more tasks of [job] may be placed so that its record fits the limit in whatever order they end. */
     fun maxAdditionalTasks(job: Job): Int {
-        if (writableFormat() == WritableFormat.HEAD_AND_PARTS) return dividedRoom(job)
-        val perTask = JobRecord.PLACEMENT_BOUND + TaskRanges.RANGE_BOUND
-        val room = valueLimit - JobRecord.SPEC_BOUND - TaskRanges.sizeBound(job.done)
-        val many = (room - cluster.machines.size * JobRecord.MACHINE_BOUND) / perTask
-        val few = room / (perTask + JobRecord.MACHINE_BOUND)
-        return (maxOf(many, few) - job.attempts.size).coerceAtLeast(0)
+        if (writableFormat() == WritableFormat.HEAD_AND_PARTS) return maxAdditionalTasksInParts(job)
+        val taskBytes = JobRecord.PLACEMENT_BOUND + TaskRanges.RANGE_BOUND
+        val availableBytes = valueLimitBytes - JobRecord.SPEC_BOUND - TaskRanges.sizeBound(job.done)
+        // A record names no more machines than the cluster has, and no more than it has tasks. Either bound is safe.
+        val boundByMachines = (availableBytes - cluster.machines.size * JobRecord.MACHINE_BOUND) / taskBytes
+        val boundByTasks = availableBytes / (taskBytes + JobRecord.MACHINE_BOUND)
+        return (maxOf(boundByMachines, boundByTasks) - job.attempts.size).coerceAtLeast(0)
     }
 
-    private fun dividedRoom(job: Job): Int {
+    /** As [maxAdditionalTasks], for a record that may be split into a head and parts. */
+    private fun maxAdditionalTasksInParts(job: Job): Int {
         val occupancy =
             RecordLayout.Occupancy(
                 tasks = job.spec.tasks,
@@ -46,17 +48,19 @@
                         .size,
                 nameBytes = machineNameBytes,
             )
-        return dividedRecords.roomForTasks(occupancy).coerceAtLeast(if (job.attempts.isEmpty()) 1 else 0)
+        // One task at a time is always allowed, or a job with many ranges of done tasks could never finish.
+        return recordLayout.roomForTasks(occupancy).coerceAtLeast(if (job.attempts.isEmpty()) 1 else 0)
     }
 
-    /** The longest machine name less what all of them share. */
-    private fun longestMachineName(): Int {
+    /** The length of the longest machine name without the prefix that all names share. */
+    private fun longestNameWithoutPrefix(): Int {
         val names = cluster.machines.keys.map { it.value }
-        val longest = names.maxOfOrNull { it.length } ?: return LONG_MACHINE_NAME
+        val longest = names.maxOfOrNull { it.length } ?: return DEFAULT_MACHINE_NAME_BYTES
         return longest - if (names.size > 1) RecordLayout.commonPrefix(names).length else 0
     }
 
     private companion object {
-        const val LONG_MACHINE_NAME = 24
+        /** Assumed while no machine is known. */
+        const val DEFAULT_MACHINE_NAME_BYTES = 24
     }
 }
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -24,7 +24,7 @@
 
 /**
  * One round of scheduling: turns the cluster state into the planner's snapshot, and the plan into attempts, stops and
- * rentals. When rounds are due is not decided here.
+ * rentals. The leader's planning loop decides when a round is due.
  */
 internal class SchedulingRound(
     private val settings: Settings,
@@ -41,7 +41,7 @@
     private val pendingJobs = PendingJobs(cluster, clock, weights, recordCapacity)
     private val availableMachines = AvailableMachines(cluster, timing, weights, termStartedAt)
 
-    /** What the planner needs of the present state. [mayMove] allows moves that only consolidate. */
+    /** The planner's input, taken from the present cluster state. [mayMove] allows moves that only consolidate. */
     fun snapshot(
         types: Map<TypeName, MachineType>,
         mayMove: Boolean,
@@ -56,7 +56,7 @@
         for (machine in cluster.machines.values) {
             availableMachines.of(machine, types, zoneTaskCounts, reservedForMoves, now)?.let(machines::add)
         }
-        for (order in scaler.pendingRentals) machines.addAll(availableMachines.ofPendingRental(order, types, now))
+        for (rental in scaler.pendingRentals) machines.addAll(availableMachines.ofPendingRental(rental, types, now))
         return Snapshot(
             jobs =
                 cluster.jobs.values.mapNotNull { pendingJobs.of(it, zoneTaskCounts, now) } +
@@ -92,6 +92,7 @@
         return teams
     }
 
+    /** The most cores and memory that any active GPU job needs beside each GPU. */
     private fun resourcesPerGpu(): Resources {
         var cores = 0.0
         var memoryGb = 0.0
@@ -104,13 +105,16 @@
         return Resources(cores, 0.0, memoryGb)
     }
 
-    /** What the replicas on a machine weigh together, for each second that they are down. */
+    /** The summed tardiness weights of the service replicas on [machine], for each second that they are down. */
     fun replicaWeight(machine: Machine): Double =
         machine.attempts.values
             .filter { it.isWanted && it.job.spec.kind == JobKind.SERVICE }
             .sumOf { weights.of(it.job.spec.className) }
 
-    /** Whether what these machines hold would fit elsewhere, with some to spare since room comes in pieces. */
+    /**
+     * Whether the wanted attempts on [machines] would fit on ready machines that aren't spot. The need is multiplied by
+     * [HEADROOM_FACTOR], because free capacity is fragmented over many machines.
+     */
     fun hasRoomFor(
         machines: List<Machine>,
         types: Map<TypeName, MachineType>,
@@ -127,41 +131,44 @@
                 !machine.isReleasing && machine.lastContactAt?.let { now - it <= timing.heartbeatLateMs } ?: false
             if (isReady && !machine.spot) free += machine.free(type, availableMachines.unmanagedUsage(machine))
         }
-        return (need * SPARE).fitsIn(free)
+        return (need * HEADROOM_FACTOR).fitsIn(free)
     }
 
-    /** Nothing is sent here: attempts are started once their records are stored, stops go out with the next flush. */
+    /**
+     * Applies [plan] to the cluster state and requests its rentals. No command is sent to a worker here: a start is
+     * sent once the job's record is stored, a stop with the next flush.
+     */
     fun apply(plan: Plan) {
-        val touched = LinkedHashSet<Job>()
+        val placedJobs = LinkedHashSet<Job>()
         for (start in plan.starts) {
             val job = cluster.jobs[start.job] ?: continue
             val machine = cluster.machines[start.machine] ?: continue
             cluster.place(job, start.task, machine)
-            touched.add(job)
+            placedJobs.add(job)
         }
-        for (job in touched) job.nextRound()
+        for (job in placedJobs) job.nextRound()
         for (id in plan.stops) {
-            val attempt = attemptOf(id) ?: continue
+            val attempt = currentAttempt(id) ?: continue
             cluster.stop(attempt, StopReason.PREEMPTED, plan.targets[id])
         }
         plan.move?.let { move ->
             cluster.machines[move.machine]?.isDraining = true
             for ((id, target) in move.targets) {
-                val attempt = attemptOf(id) ?: continue
+                val attempt = currentAttempt(id) ?: continue
                 cluster.stop(attempt, StopReason.DRAINED, target)
             }
         }
         for ((kind, count) in plan.rentals) scaler.rent(kind, count)
     }
 
-    /** The attempt that the plan names, if it is still the one of its task. */
-    private fun attemptOf(id: AttemptId): TaskAttempt? =
+    /** The attempt [id], or null if its task has no attempt or another one by now. */
+    private fun currentAttempt(id: AttemptId): TaskAttempt? =
         cluster.jobs[id.task.job]
             ?.attempts
             ?.get(id.task.index)
             ?.takeIf { it.id == id }
 
     private companion object {
-        const val SPARE = 2.0
+        const val HEADROOM_FACTOR = 2.0
     }
 }
