--- a/src/main/kotlin/oxbowlug/scaling/CapacityRefusals.kt
+++ b/src/main/kotlin/oxbowlug/scaling/CapacityRefusals.kt
@@ -7,7 +7,7 @@
 import oxbowlug.timing.Timing
 import kotlin.math.pow
 
-/** For which kinds of machines the cloud had no capacity of late. */
+/** The machine kinds for which the cloud recently had no capacity. */
 internal class CapacityRefusals(
     private val timing: Timing,
 ) {
@@ -15,8 +15,8 @@
 
     private class RefusalState(
         var count: Int,
-        var until: Long,
-        var lastAt: Long,
+        var blockedUntil: Long,
+        var lastRefusedAt: Long,
     )
 
     /** All machines of a request were rented. */
@@ -24,31 +24,38 @@
         refusals.remove(kind)
     }
 
+    /**
+     * The cloud rented fewer machines of [kind] than requested. The backoff doubles with each refusal in a row, at most
+     * [MAX_DOUBLINGS] times.
+     */
     fun onRefused(
         kind: MachineKind,
         now: Long,
     ) {
         val state = refusals.getOrPut(kind) { RefusalState(0, 0, now) }
         state.count++
-        state.lastAt = now
-        state.until = now + (timing.refusalBaseMs shl minOf(state.count - 1, MAX_DOUBLINGS))
-        log.info("capacity refused: kind={} retryAfterMs={}", kind, state.until - now)
+        state.lastRefusedAt = now
+        state.blockedUntil = now + (timing.refusalBaseMs shl minOf(state.count - 1, MAX_DOUBLINGS))
+        log.info("capacity refused: kind={} retryAfterMs={}", kind, state.blockedUntil - now)
     }
 
-    /** A kind that refused of late costs more, less so as time goes by, and isn't asked at all for a while. */
-    fun prices(now: Long): Map<MachineKind, CapacityRefusal> =
+    /**
+     * How the planner has to treat each refused kind: it is blocked during its backoff, and its price carries a penalty
+     * that grows with each refusal and decays by half in each [Timing.refusalHalfLifeMs].
+     */
+    fun byKind(now: Long): Map<MachineKind, CapacityRefusal> =
         refusals.mapValues { (_, state) ->
-            val age = (now - state.lastAt).toDouble() / timing.refusalHalfLifeMs
-            CapacityRefusal(blocked = now < state.until, penalty = state.count * 0.5.pow(age))
+            val halfLives = (now - state.lastRefusedAt).toDouble() / timing.refusalHalfLifeMs
+            CapacityRefusal(blocked = now < state.blockedUntil, penalty = state.count * 0.5.pow(halfLives))
         }
 
-    /** Whether a machine of this kind was refused of late, so that it could hardly be replaced. */
+    /** Whether the cloud recently refused this machine's kind, so that a replacement is unlikely. */
     fun isScarce(
         machine: Machine,
         now: Long,
     ): Boolean {
         val state = refusals[MachineKind(machine.type ?: return false, machine.zone ?: return false, machine.spot)]
-        return state != null && now - state.lastAt < timing.refusalHalfLifeMs * SCARCE_HALF_LIVES
+        return state != null && now - state.lastRefusedAt < timing.refusalHalfLifeMs * SCARCE_HALF_LIVES
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -24,8 +24,8 @@
 import oxbowlug.wire.TypeName
 
 /**
- * Scales the fleet out and in: lists machines, rents what was planned, releases machines, and knows for which kinds the
- * cloud has no capacity.
+ * Scales the fleet out and in: lists the rented machines, rents what the planner decided, releases machines, and
+ * records for which kinds the cloud has no capacity.
  */
 internal class MachineScaler(
     private val requestIds: RequestIds,
@@ -40,32 +40,32 @@
     val pendingRentals = ArrayList<PendingRental>()
     private val refusals = CapacityRefusals(timing)
     private val toRelease = LinkedHashSet<MachineId>()
-    private var isListing = false
+    private var isListInFlight = false
     private var nextListAt = 0L
     private var isReleaseInFlight = false
     private var nextReleaseAt = 0L
 
-    /** A list was applied in this term. Nothing is rented before, since what is there isn't known. */
+    /** Whether a list was applied in this term. Before that the present fleet isn't known, so nothing is rented. */
     var hasInventory = false
         private set
 
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
-        if (!isListing && now >= nextListAt && budget.tryTake(1.0, now)) list(now, types)
+        if (!isListInFlight && now >= nextListAt && budget.tryTake(1.0, now)) list(now, types)
         sendDueReleases()
-        for (order in pendingRentals.toList()) {
-            if (!order.isRequestInFlight && now >= order.nextRequestAt && budget.tryTake(1.0, now)) requestRental(order)
+        for (rental in pendingRentals.toList()) {
+            if (!rental.isInFlight && now >= rental.nextRequestAt && budget.tryTake(1.0, now)) requestRental(rental)
         }
     }
 
-    /** Sends the next batch of releases if none is in flight. */
+    /** Sends the next batch of releases if none is in flight and the retry pause of a failed one is over. */
     fun sendDueReleases() {
         val now = clock.steadyMs()
         val isDue = !isReleaseInFlight && toRelease.isNotEmpty() && now >= nextReleaseAt
         if (isDue && budget.tryTake(1.0, now)) releaseBatch()
     }
 
-    /** Orders machines. An order is repeated under its request id until it is answered or too old. */
+    /** Rents [count] machines. A request is repeated under its request id until it is answered or too old. */
     fun rent(
         kind: MachineKind,
         count: Int,
@@ -75,51 +75,56 @@
         while (left > 0) {
             val part = minOf(left, CloudCodec.MAX_RENTED)
             left -= part
-            val order =
+            val rental =
                 PendingRental(RentalRequest(requestIds.next(), kind.type, kind.zone, kind.spot, part), now, false, now)
-            pendingRentals.add(order)
-            if (budget.tryTake(1.0, now)) requestRental(order)
+            pendingRentals.add(rental)
+            if (budget.tryTake(1.0, now)) requestRental(rental)
         }
     }
 
-    private fun requestRental(order: PendingRental) {
-        order.isRequestInFlight = true
-        val request = order.request
+    private fun requestRental(rental: PendingRental) {
+        rental.isInFlight = true
+        val request = rental.request
         val kind = MachineKind(request.type, request.zone, request.spot)
         cloud.rent(request) { outcome ->
             val now = clock.steadyMs()
-            order.isRequestInFlight = false
+            rental.isInFlight = false
             when (outcome) {
                 is RentalOutcome.Rented -> {
-                    pendingRentals.remove(order)
-                    log.info("rented: machines={} requested={} kind={}", outcome.machines.size, request.count, kind)
+                    pendingRentals.remove(rental)
+                    log.info(
+                        "machines rented: machines={} requested={} kind={}",
+                        outcome.machines.size,
+                        request.count,
+                        kind,
+                    )
                     for (id in outcome.machines) {
                         val machine = cluster.machine(id) ?: continue
                         machine.type = request.type
                         machine.zone = request.zone
                         machine.spot = request.spot
-                        machine.rentedAt = order.firstRequestedAt
+                        machine.rentedAt = rental.firstRequestedAt
                     }
-                    val isWhole = outcome.machines.size >= request.count
-                    if (isWhole) refusals.onRented(kind) else refusals.onRefused(kind, now)
+                    val isFulfilled = outcome.machines.size >= request.count
+                    if (isFulfilled) refusals.onRented(kind) else refusals.onRefused(kind, now)
                 }
                 RentalOutcome.NoCapacity -> {
-                    pendingRentals.remove(order)
+                    pendingRentals.remove(rental)
                     refusals.onRefused(kind, now)
                 }
-                // The same request id again, so it is idempotent: if the first request was executed after all, nothing
-                // more is rented.
+                // The retry has the same request id and so is idempotent: if the cloud executed the first request after
+                // all, no more machines are rented.
                 RentalOutcome.Refused, RentalOutcome.Unanswered -> {
-                    order.nextRequestAt = now + timing.retryMs() * 2
-                    if (now > order.firstRequestedAt + timing.orderPatienceMs) pendingRentals.remove(order)
+                    rental.nextRequestAt = now + timing.retryMs() * 2
+                    if (now > rental.firstRequestedAt + timing.orderPatienceMs) pendingRentals.remove(rental)
                 }
             }
             cluster.planWanted = true
         }
     }
 
-    /** See [CapacityRefusals.prices]. */
-    fun capacityRefusals(now: Long): Map<MachineKind, CapacityRefusal> = refusals.prices(now)
+    /** See [CapacityRefusals.byKind]. */
+    fun capacityRefusals(now: Long): Map<MachineKind, CapacityRefusal> = refusals.byKind(now)
 
     /** See [CapacityRefusals.isScarce]. */
     fun isScarce(
@@ -127,7 +132,7 @@
         now: Long,
     ): Boolean = refusals.isScarce(machine, now)
 
-    /** Releases [machine] with the next batch; until then nothing is placed on it. Repeated, it has no effect. */
+    /** Releases [machine] with the next batch; nothing is placed on it from now on. A repeated call has no effect. */
     fun scheduleRelease(
         machine: Machine,
         reason: ReleaseReason,
@@ -154,24 +159,24 @@
     }
 
     private fun list(
-        askedAt: Long,
+        requestedAt: Long,
         types: Map<TypeName, MachineType>,
     ) {
-        isListing = true
+        isListInFlight = true
         cloud.list { machines ->
-            isListing = false
+            isListInFlight = false
             nextListAt = clock.steadyMs() + if (machines == null) timing.retryMs() * 2 else timing.machineListIntervalMs
             if (machines != null) {
                 if (!hasInventory) cluster.planWanted = true
                 hasInventory = true
-                applyList(machines, askedAt, types)
+                applyList(machines, requestedAt, types)
             }
         }
     }
 
     private fun applyList(
         machines: List<ListedMachine>,
-        askedAt: Long,
+        requestedAt: Long,
         types: Map<TypeName, MachineType>,
     ) {
         val now = clock.steadyMs()
@@ -197,14 +202,15 @@
             }
         }
         for (machine in cluster.machines.values.toList()) {
-            // Lists lag and can go backwards: only one asked for long after the machine was known proves its absence.
-            if (machine.id !in present && machine.firstSeenAt < askedAt - timing.machineListAgeMs) {
+            // The cloud's lists lag and may be older than the one before. Only a list that was requested long after the
+            // machine was first seen proves that the machine is gone.
+            if (machine.id !in present && machine.firstSeenAt < requestedAt - timing.machineListAgeMs) {
                 cluster.removeMachine(machine.id, RemovalReason.NOT_LISTED)
             }
         }
     }
 
-    /** Some machines never come up and are charged until they are released. */
+    /** Releases a machine that boots for too long: some never come up, and the cloud charges for them until then. */
     private fun checkBoot(
         machine: Machine,
         now: Long,
--- a/src/main/kotlin/oxbowlug/scaling/PendingRental.kt
+++ b/src/main/kotlin/oxbowlug/scaling/PendingRental.kt
@@ -2,10 +2,10 @@
 
 import oxbowlug.wire.RentalRequest
 
-/** A rental whose answer is awaited: its machines count as coming. */
+/** A rental that the cloud hasn't answered yet. The planner counts its machines as booting. */
 internal class PendingRental(
     val request: RentalRequest,
     val firstRequestedAt: Long,
-    var isRequestInFlight: Boolean,
+    var isInFlight: Boolean,
     var nextRequestAt: Long,
 )
