--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -9,12 +9,15 @@
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
 
-/** The last check of commands before they are sent: each violation is a fault of this program. */
+/** Checks commands against invariants just before they are sent. Each violation is a bug in the controller. */
 internal class CommandChecks(
     private val cache: StateCache,
     private val invariants: Invariants,
 ) {
-    /** The cluster state and the state cache have to agree on what is cancelled, or one of them lacks it. */
+    /**
+     * Reports a violation unless [commands] stop every attempt in [heartbeat] that is cancelled according to the state
+     * cache. If one is missing, the cluster state lacks a cancellation that the cache has.
+     */
     fun requireStopsOfCancelledWork(
         heartbeat: WorkerHeartbeat,
         commands: List<WorkerCommand>,
@@ -27,7 +30,7 @@
         )
     }
 
-    /** All starts pass here on their way out: those that no stored record names are dropped. */
+    /** Drops, and reports as violations, the starts whose attempts aren't in a stored record. All starts pass here. */
     fun dropUnstoredStarts(
         machine: Machine,
         commands: List<WorkerCommand>,
--- a/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
+++ b/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
@@ -4,14 +4,15 @@
 import oxbowlug.port.Meters
 
 /**
- * What the steps of the controller's thread cost, so that a controller that falls behind can be seen to: a step is one
- * batch of commands with all that follows from it, and a tick that comes late shows how long everything else waits too.
+ * Measures the load of the controller's event loop, and logs it so that an overloaded controller can be recognized. A
+ * step is one batch of events with everything that follows from it. A late tick shows how long other events wait, too.
  */
 internal class ControllerLoad(
     private val meters: Meters,
     private val tickMs: Long,
-    private val everyMs: Long,
+    private val logIntervalMs: Long,
 ) {
+    /** The measurements since [since], which the next log line reports. */
     private class Window(
         val since: Long,
     ) {
@@ -22,6 +23,8 @@
         var longestPlanNs = 0L
         var plansNs = 0L
         var heartbeats = 0
+
+        /** The longest delay of a tick. */
         var latestTickMs = 0L
     }
 
@@ -50,11 +53,11 @@
     }
 
     fun ticked(now: Long) {
-        val late = lastTickAt?.let { (now - it - tickMs).coerceAtLeast(0) } ?: 0
+        val delayMs = lastTickAt?.let { (now - it - tickMs).coerceAtLeast(0) } ?: 0
         lastTickAt = now
-        meters.waited(late)
-        window.latestTickMs = maxOf(window.latestTickMs, late)
-        if (now - window.since < everyMs) return
+        meters.waited(delayMs)
+        window.latestTickMs = maxOf(window.latestTickMs, delayMs)
+        if (now - window.since < logIntervalMs) return
         log.info("{}", this)
         window = Window(now)
     }
@@ -65,6 +68,7 @@
             "heartbeats=${window.heartbeats} latestTickMs=${window.latestTickMs}"
 
     private companion object {
+        /** One millisecond in nanoseconds. */
         const val MS = 1_000_000
         val log = LoggerFactory.getLogger("leader")
     }
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -10,8 +10,8 @@
 import oxbowlug.wire.WorkerCommand
 
 /**
- * Sends commands to workers at once where waiting for their next heartbeat would cost time. At most one call a machine
- * is in flight. What isn't sent here goes out in the answer to a heartbeat.
+ * Sends commands to workers directly instead of waiting for their next heartbeat. At most one call per machine is in
+ * flight. Commands that aren't sent here go out in the response to the worker's next heartbeat.
  */
 internal class DirectCommands(
     private val cluster: ClusterState,
@@ -21,17 +21,17 @@
     private val decisions: DecisionContext,
     private val checks: CommandChecks,
 ) {
-    /** Sends what [ClusterState.pendingPushes] asks for. */
+    /** Sends the commands of all machines in [ClusterState.pendingPushes]. */
     fun flush(now: Long) {
         if (cluster.pendingPushes.isEmpty()) return
         for (id in cluster.pendingPushes.toList()) {
             val machine = cluster.machines[id]
-            if (machine == null || commandDirectly(machine, now)) cluster.pendingPushes.remove(id)
+            if (machine == null || trySend(machine, now)) cluster.pendingPushes.remove(id)
         }
     }
 
-    /** True once nothing is left to be said directly. */
-    private fun commandDirectly(
+    /** Returns false if a call to [machine] is in flight, so that its commands have to be sent with a later flush. */
+    private fun trySend(
         machine: Machine,
         now: Long,
     ): Boolean {
@@ -50,6 +50,7 @@
             } else {
                 cluster.cancelledStops(machine)
             }
+        // That the worker forgets exited attempts can wait for its next heartbeat.
         if (commands.all { it is WorkerCommand.Forget }) return true
         machine.isDirectCommandInFlight = true
         machine.directStartsInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
@@ -71,7 +72,8 @@
             is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
             DirectOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.heartbeatLateMs
             DirectOutcome.Unanswered -> {
-                // It may be executed minutes later; from here on the answers to heartbeats carry the commands.
+                // The call may still be executed minutes later. During the pause, only the responses to heartbeats
+                // carry commands.
                 machine.unresolvedStarts.addAll(starts)
                 machine.nextDirectCommandAt = clock.steadyMs() + timing.workerLeaseRawMs
             }
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -7,10 +7,11 @@
 import oxbowlug.wire.MachineState
 
 /**
- * A worker stays with an earlier leader for as long as that one answers it: one cut from the state service and the
- * other controllers knows of no successor. So the successor shows its token, by a command that orders nothing, to
- * machines that it expects and doesn't hear. The worker's next heartbeat then shows the token to the earlier leader,
- * which steps down. This renews no lease and proves nothing: the worker has to send its heartbeat here for that.
+ * Makes workers of a former leader known to its successor's fencing token. A worker stays with a leader for as long as
+ * that one answers its heartbeats, and a leader that is partitioned from the state service and the other controllers
+ * doesn't learn of its successor. So the successor sends its token, with an empty list of commands, to machines that
+ * should send heartbeats here but don't. The worker's next heartbeat carries the token to the former leader, which then
+ * steps down. This renews no lease and proves nothing about attempts: only heartbeats that arrive here do.
  */
 internal class FencingTokenPropagation(
     private val cluster: ClusterState,
@@ -18,28 +19,30 @@
     private val timing: Timing,
     private val termStartedAt: Long,
     private val maxInFlight: Int,
-    /** The former leader may still answer workers, and doesn't hear of this one from the other controllers. */
+    /** Whether the former leader may still answer workers without knowing of this leader from other controllers. */
     private val formerLeaderMayAnswer: () -> Boolean,
 ) {
-    private val nextAt = HashMap<Machine, Long>()
+    private val nextAttemptAt = HashMap<Machine, Long>()
     private var inFlight = 0
-    private var nextRoundAt = 0L
+    private var nextBatchAt = 0L
 
-    /** Shows the token to some of the machines that are due for it. */
+    /** Sends the token to the next batch of machines that are due for it. */
     fun tick(now: Long) {
-        if (now - termStartedAt < timing.propagateTokenAfterMs || now < nextRoundAt || !formerLeaderMayAnswer()) return
-        nextRoundAt = now + timing.peerHeartbeatMs
-        // All of them at once would take the time that those who report need.
-        var left = (cluster.machines.size * timing.peerHeartbeatMs / timing.propagateTokenAfterMs + 1).toInt()
+        if (now - termStartedAt < timing.propagateTokenAfterMs || now < nextBatchAt || !formerLeaderMayAnswer()) return
+        nextBatchAt = now + timing.peerHeartbeatMs
+        // Calls to the whole fleet at once would delay the responses to workers that do send heartbeats here, so they
+        // are spread over [Timing.propagateTokenAfterMs].
+        var remaining = (cluster.machines.size * timing.peerHeartbeatMs / timing.propagateTokenAfterMs + 1).toInt()
         for (machine in cluster.machines.values) {
-            if (left == 0 || inFlight >= maxInFlight) return
-            if (!isMissing(machine, now) || now < (nextAt[machine] ?: 0)) continue
-            left--
-            showToken(machine, now)
+            if (remaining == 0 || inFlight >= maxInFlight) return
+            if (!isOutOfContact(machine, now) || now < (nextAttemptAt[machine] ?: 0)) continue
+            remaining--
+            sendToken(machine, now)
         }
     }
 
-    private fun isMissing(
+    /** Whether [machine] should send heartbeats to this leader, but hasn't sent any in this term. */
+    private fun isOutOfContact(
         machine: Machine,
         now: Long,
     ) = machine.lastContactAt == null &&
@@ -47,13 +50,14 @@
         now - machine.firstSeenAt > timing.heartbeatLateMs &&
         (machine.listed == MachineState.RUNNING || machine.attempts.isNotEmpty())
 
-    private fun showToken(
+    /** Asks for the worker's incarnation first, because the worker refuses commands for another one. */
+    private fun sendToken(
         machine: Machine,
         now: Long,
     ) {
         val endpoint = machine.endpoint ?: return
         inFlight++
-        nextAt[machine] = now + timing.suspectMs
+        nextAttemptAt[machine] = now + timing.suspectMs
         workers.status(endpoint) { heartbeat ->
             if (heartbeat == null || heartbeat.machine != machine.id || heartbeat.token >= cluster.token) {
                 inFlight--
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -28,7 +28,7 @@
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.sizeAsJson
 
-/** All that a controller has while it leads: everything here ends with its term. */
+/** The state and components of a controller during one term as leader. All of it is discarded when the term ends. */
 internal class LeaderTerm(
     val leadership: LeadershipRecord,
     requestIds: RequestIds,
@@ -60,7 +60,7 @@
             invariants,
         )
     val delegates = LeaseRenewalDelegates(leadership, settings, state, clock, timing, cache)
-    private val commits =
+    private val recordWriter =
         JobRecordWriter(leadership, requestIds, settings, state, clock, timing, writeBudget, cache, cluster, decisions)
     private val scaler = MachineScaler(requestIds, settings, cloud, clock, timing, cloudBudget, cluster, decisions)
     private val round =
@@ -76,36 +76,39 @@
             workers,
             timing,
             termStartedAt,
-            settings.limits.maxSockets / PROPAGATION_SOCKET_SHARE,
+            settings.limits.maxSockets / PROPAGATION_SOCKET_DIVISOR,
             formerLeaderMayAnswer,
         )
 
-    val isDeposed: Boolean get() = commits.isDeposed
-    val commitBacklog: Int get() = commits.backlog
+    val isDeposed: Boolean get() = recordWriter.isDeposed
+    val commitBacklog: Int get() = recordWriter.backlog
     val waitingTasks: Int get() = planning.waitingTasks
 
     init {
         cache.forEachActive { id, stored -> stored.value?.let { cluster.applyJob(id, stored, it) } }
     }
 
-    /** Large records are looked for once, when a lease's time has passed: a new leader has more urgent things to do. */
-    private var divideLargeRecordsAt = termStartedAt + timing.workerLeaseRawMs
+    /**
+     * Large records are searched for once in a term, one worker lease after its start: until then a new leader has more
+     * urgent work.
+     */
+    private var splitLargeRecordsAt = termStartedAt + timing.workerLeaseRawMs
 
-    private fun divideLargeRecordsWhenDue(now: Long) {
-        val isDue = now >= divideLargeRecordsAt && cache.writableFormat == WritableFormat.HEAD_AND_PARTS
+    private fun splitLargeRecordsIfDue(now: Long) {
+        val isDue = now >= splitLargeRecordsAt && cache.writableFormat == WritableFormat.HEAD_AND_PARTS
         if (!isDue) return
-        divideLargeRecordsAt = Long.MAX_VALUE
+        splitLargeRecordsAt = Long.MAX_VALUE
         if (settings.state.next != null) splitLargeRecords()
     }
 
     /**
-     * Records that were written whole and are larger than values may be soon are written anew, the largest first, as
-     * the least urgent of all writes.
+     * Rewrites records that are stored as a single value larger than the lower of the present and the next value limit,
+     * the largest first. These writes are the least urgent of all.
      */
     fun splitLargeRecords() {
         val limit = settings.state.lowest.valueKb * BYTES_PER_KB
         val now = clock.steadyMs()
-        // What was too large to be written whole may be written in parts at once.
+        // Records that were too large for a single value can now be written in parts without further delay.
         for (job in cluster.jobs.values) job.writeNotBefore = now
         cluster.jobs.values
             .map { job -> job to if (job.storedParts.isEmpty()) job.record("").encode().sizeAsJson() else 0 }
@@ -116,26 +119,29 @@
 
     private var lastHeartbeatAt: Long? = null
 
-    /** Workers sent heartbeats in this term, and for some time none does: either all hang, or we are cut off. */
+    /**
+     * Whether workers sent heartbeats in this term, but none for [Timing.workersLostMs]: then either all workers hang,
+     * or this controller is partitioned from them.
+     */
     fun hasLostAllWorkers(now: Long): Boolean {
         val last = lastHeartbeatAt ?: return false
-        val expected = cluster.machines.values.any { it.lastContactAt != null && !it.isReleasing }
-        return expected && now - last > timing.workersLostMs
+        val isAnyExpected = cluster.machines.values.any { it.lastContactAt != null && !it.isReleasing }
+        return isAnyExpected && now - last > timing.workersLostMs
     }
 
     /**
-     * The commands for a heartbeat under our lead, to which [WorkerLeaseRenewals] adds the stops of cancelled work.
-     * Null: the machine or its incarnation is gone, and nothing may renew it.
+     * Applies a heartbeat and returns the commands for its response, to which [WorkerLeaseRenewals] adds the stops of
+     * cancelled work. Returns null if the machine or its incarnation is gone: its lease must not be renewed.
      */
     fun onHeartbeat(heartbeat: WorkerHeartbeat): List<WorkerCommand>? {
         val machine = cluster.applyHeartbeat(heartbeat, isHeartbeat = true) ?: return null
         lastHeartbeatAt = clock.steadyMs()
-        // A duplicate that came late, or our proof was wrong: renewed, the incarnation would live on with all attempts
-        // that were removed with it and that nobody stops there.
+        // Either the heartbeat is a late duplicate, or the lease was wrongly taken for expired. If the lease were
+        // renewed, the incarnation would keep running attempts that were removed with it, and nothing would stop them.
         if (machine.lease.hasEnded(heartbeat.incarnation)) return null
         if (!decisions.mayLead) return emptyList()
         val position = HeartbeatPosition(heartbeat.incarnation, heartbeat.sequence)
-        // The answer to a duplicate goes nowhere; it must not look as if the worker had been told.
+        // The worker discards the response to a duplicate, so no start may be recorded as sent with it.
         if (position < machine.lastHeartbeat) return emptyList()
         val commands = checks.dropUnstoredStarts(machine, cluster.commands(machine, clock.steadyMs()))
         if (position == machine.position) checks.requireStopsOfCancelledWork(heartbeat, commands)
@@ -146,13 +152,13 @@
         return commands
     }
 
-    /** One periodic step, in this order: leases end before machines are released and work is placed. */
+    /** One periodic step. The order matters: leases are expired before machines are released and tasks are placed. */
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
         delegates.tick(now)
         supervisor.tick(types, planning.reserved, now)
         cluster.removeOrphans()
-        divideLargeRecordsWhenDue(now)
+        splitLargeRecordsIfDue(now)
         tokenPropagation.tick(now)
         scaler.tick(types)
         planning.tick(types, now)
@@ -161,8 +167,8 @@
     }
 
     /**
-     * What a leader without the state service still has to do: end cancelled work, by the release of its machines if
-     * need be. It decides nothing else.
+     * The periodic step of a leader that can't reach the state service: it may only end cancelled work, if necessary by
+     * releasing the machines that hold it, and decides nothing else.
      */
     fun endCancelledWork() {
         val now = clock.steadyMs()
@@ -172,16 +178,19 @@
         flush()
     }
 
-    /** Sends what the last batch changed; without the right to decide, only that cancelled work is to end. */
+    /**
+     * Sends the record writes and direct commands that follow from the last batch of events; without a valid leadership
+     * lease only the stops of cancelled work.
+     */
     fun flush() {
-        if (decisions.mayLead) commits.flush()
+        if (decisions.mayLead) recordWriter.flush()
         directCommands.flush(clock.steadyMs())
     }
 
     private companion object {
         const val BYTES_PER_KB = 1024
 
-        /** Machines that can't be reached hold a socket each until the call is given up. */
-        const val PROPAGATION_SOCKET_SHARE = 16
+        /** The part of all sockets for token propagation: a call to an unreachable machine holds one until it fails. */
+        const val PROPAGATION_SOCKET_DIVISOR = 16
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -19,8 +19,8 @@
 import oxbowlug.wire.TypeName
 
 /**
- * Watches the health of machines: ends leases that expired, drains machines of which the cloud gave notice, and has
- * those released that are silent, quarantined, idle, or that hold cancelled work for too long.
+ * Supervises the health of machines: expires leases, drains machines for which the cloud gave a termination notice, and
+ * schedules the release of machines that are silent, quarantined, idle, or hold cancelled work for too long.
  */
 internal class MachineSupervisor(
     private val cluster: ClusterState,
@@ -32,7 +32,7 @@
     private val decisions: DecisionContext,
     private val termStartedAt: Long,
 ) {
-    /** [reserved] machines have a task coming: they aren't released as idle. */
+    /** One periodic step. The last plan relies on the [reserved] machines, so they aren't released as idle. */
     fun tick(
         types: Map<TypeName, MachineType>,
         reserved: Set<MachineId>,
@@ -45,10 +45,10 @@
         }
     }
 
-    /** The part of [tick] that needs no right to decide. */
+    /** The part of [tick] that is allowed without a valid leadership lease. */
     fun endCancelledWork(now: Long) {
         val liveness = ZoneLiveness(cluster.machines.values, timing, termStartedAt, now)
-        for (machine in cluster.machines.values.toList()) endCancelled(machine, now, liveness)
+        for (machine in cluster.machines.values.toList()) endCancelledAttempts(machine, now, liveness)
     }
 
     private fun supervise(
@@ -59,15 +59,15 @@
         liveness: ZoneLiveness,
         hasRoom: () -> Boolean,
     ) {
-        endCancelled(machine, now, liveness)
+        endCancelledAttempts(machine, now, liveness)
         drain(machine, now)
         if (machine.isReleasing) return
-        // Where no other can be had, a machine that may go on is worth more than the rent of its silence.
-        val patience = if (scaler.isScarce(machine, now)) SCARCE_PATIENCE else 1
-        val silentMs = (settings.policy.silentLeases * timing.workerLeaseRawMs).toLong() * patience
-        val lastHeard = machine.lastContactAt ?: maxOf(termStartedAt, machine.firstSeenAt)
-        val expected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
-        if (expected && now - lastHeard > silentMs && liveness.isMajorityAlive(machine.zone)) {
+        // A machine that may recover is worth more than the rent of its silence where no replacement can be rented.
+        val silenceFactor = if (scaler.isScarce(machine, now)) SCARCE_SILENCE_FACTOR else 1
+        val maxSilenceMs = (settings.policy.silentLeases * timing.workerLeaseRawMs).toLong() * silenceFactor
+        val silentSince = machine.lastContactAt ?: maxOf(termStartedAt, machine.firstSeenAt)
+        val isExpected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
+        if (isExpected && now - silentSince > maxSilenceMs && liveness.isMajorityAlive(machine.zone)) {
             scaler.scheduleRelease(machine, ReleaseReason.SILENT)
         }
         if (isWorthReleasing(machine, now, types) &&
@@ -83,9 +83,9 @@
     }
 
     /**
-     * A silent machine's replicas can go elsewhere once its lease is over, or at once if it is released. That costs
-     * another machine's boot, so it must save more than that. When a zone is cut off nothing is released, and where
-     * no other machine can be had, there must be room enough without it.
+     * Whether releasing a silent machine now saves more than the boot of another one costs. Its replicas can restart
+     * elsewhere at once if it is released, otherwise only when its lease has expired. The caller also requires that the
+     * zone isn't partitioned and, where no other machine can be rented, that the remaining ones have enough capacity.
      */
     private fun isWorthReleasing(
         machine: Machine,
@@ -93,10 +93,10 @@
         types: Map<TypeName, MachineType>,
     ): Boolean {
         if (!isSuspect(machine, now) || machine.isLeaseExpired) return false
-        val countsFrom = machine.lease.countsFromMs ?: return false
+        val leaseCountsFrom = machine.lease.countsFromMs ?: return false
         val type = types[machine.type] ?: return false
-        val leftS = (timing.workerExpiryMs - (now - countsFrom)) / 1000.0
-        return Pricing.isWorthGivingUp(round.replicaWeight(machine), leftS, type, machine.spot, types.values)
+        val leaseLeftS = (timing.workerExpiryMs - (now - leaseCountsFrom)) / 1000.0
+        return Pricing.isWorthGivingUp(round.replicaWeight(machine), leaseLeftS, type, machine.spot, types.values)
     }
 
     private fun isSuspect(
@@ -104,7 +104,10 @@
         now: Long,
     ): Boolean = machine.lastContactAt?.let { now - it > timing.suspectMs } ?: false
 
-    /** Tasks that can save are stopped just in time for it; others run on until the cloud takes the machine. */
+    /**
+     * Stops tasks that save their work just in time to do so before the cloud ends the machine. Other tasks run until
+     * then.
+     */
     private fun drain(
         machine: Machine,
         now: Long,
@@ -117,20 +120,24 @@
         }
     }
 
-    private fun endCancelled(
+    /**
+     * Expires the lease of [machine] if it has surely run out, and schedules the release of the machine if cancelled
+     * attempts remain on it for too long.
+     */
+    private fun endCancelledAttempts(
         machine: Machine,
         now: Long,
         liveness: ZoneLiveness,
     ) {
-        // One that only renews may have been succeeded, and its successor may have renewed this lease.
-        val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
-        if (mayBeOver) cluster.expire(machine, now)
+        // Without a valid lease of its own, this controller may have a successor that renewed the worker's lease.
+        val mayExpire = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
+        if (mayExpire) cluster.expire(machine, now)
         val isPartitioned = liveness.isPartitioned(machine.zone)
-        val patienceMs = if (isPartitioned) timing.partitionPatienceMs else timing.cancelPatienceMs
+        val graceMs = if (isPartitioned) timing.partitionPatienceMs else timing.cancelPatienceMs
         for (attempt in machine.attempts.values) {
             val cancelledAt = attempt.job.cancelledAt ?: continue
-            // A cancelled task that we can't see ended in time is ended with its machine.
-            if (now > cancelledAt + patienceMs) scaler.scheduleRelease(machine, ReleaseReason.HOLDS_CANCELLED_WORK)
+            // A cancelled attempt that isn't proven to have ended in time is ended by releasing its machine.
+            if (now > cancelledAt + graceMs) scaler.scheduleRelease(machine, ReleaseReason.HOLDS_CANCELLED_WORK)
         }
     }
 
@@ -140,12 +147,12 @@
         types: Map<TypeName, MachineType>,
         reserved: Set<MachineId>,
     ) {
-        val busy =
+        val isBusy =
             machine.attempts.isNotEmpty() ||
                 machine.id in reserved ||
                 machine.lastContactAt == null ||
                 machine.tasks.values.any { it.state != TaskState.EXITED }
-        if (busy) {
+        if (isBusy) {
             machine.idleSince = null
             return
         }
@@ -161,6 +168,6 @@
     }
 
     private companion object {
-        const val SCARCE_PATIENCE = 3
+        const val SCARCE_SILENCE_FACTOR = 3
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/PlanSummary.kt
+++ b/src/main/kotlin/oxbowlug/leader/PlanSummary.kt
@@ -3,7 +3,7 @@
 import oxbowlug.plan.Plan
 import oxbowlug.plan.Snapshot
 
-/** A plan in one line, for whoever wants to know why work waits. */
+/** Formats a plan as one log line that shows why tasks wait: free capacity by machine type, and the waiting jobs. */
 internal class PlanSummary(
     private val plan: Plan,
     private val snapshot: Snapshot,
--- a/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
+++ b/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
@@ -14,8 +14,9 @@
 import oxbowlug.wire.TypeName
 
 /**
- * When the leader plans: at once after a change that a plan could use, though not without pause, and at the latest
- * after `replan_s`. Holds what the last plan left for the next step.
+ * Decides when the leader plans, and runs the scheduling rounds: soon after a change that a plan can use, though with a
+ * minimum interval between plans, and at the latest after `replan_s`. Keeps those results of the last plan that are
+ * needed until the next one.
  */
 internal class PlanningLoop(
     private val cluster: ClusterState,
@@ -27,15 +28,15 @@
     private val decisions: DecisionContext,
     termStartedAt: Long,
 ) {
-    private var nextPlanAt = 0L
-    private var nextRoundAt = 0L
+    private var earliestPlanAt = 0L
+    private var planDueAt = 0L
     private var nextMoveAt = termStartedAt + (settings.policy.replanS * 1000).toLong()
 
-    /** Machines that the last plan keeps for tasks that can't start there yet: they aren't idle. */
+    /** Machines on which the last plan relies for tasks that can't start yet, so they must not be released as idle. */
     var reserved: Set<MachineId> = emptySet()
         private set
 
-    /** Tasks for which the last plan found no room. */
+    /** The number of tasks for which the last plan found no capacity. */
     var waitingTasks = 0
         private set
 
@@ -43,7 +44,7 @@
         types: Map<TypeName, MachineType>,
         now: Long,
     ) {
-        if (types.isNotEmpty() && (now >= nextRoundAt || (cluster.planWanted && now >= nextPlanAt))) plan(types, now)
+        if (types.isNotEmpty() && (now >= planDueAt || (cluster.planWanted && now >= earliestPlanAt))) plan(types, now)
     }
 
     private fun plan(
@@ -51,13 +52,13 @@
         now: Long,
     ) {
         cluster.planWanted = false
-        val began = clock.nanoTime()
+        val beganNs = clock.nanoTime()
         val mayMove = now >= nextMoveAt
         val snapshot = round.snapshot(types, mayMove)
         val plan = Planner(snapshot).plan()
         if (log.isDebugEnabled) log.debug("{}", PlanSummary(plan, snapshot))
         round.apply(plan)
-        val elapsedNs = clock.nanoTime() - began
+        val elapsedNs = clock.nanoTime() - beganNs
         load.planned(elapsedNs, plan.priced)
         if (plan.starts.isNotEmpty() || plan.stops.isNotEmpty()) {
             log.info(
@@ -68,10 +69,10 @@
                 decisions.describe(),
             )
         }
-        schedule(plan, mayMove, elapsedNs, now)
+        scheduleNextPlan(plan, mayMove, elapsedNs, now)
     }
 
-    private fun schedule(
+    private fun scheduleNextPlan(
         plan: Plan,
         mayMove: Boolean,
         elapsedNs: Long,
@@ -80,15 +81,16 @@
         if (mayMove) nextMoveAt = now + timing.movePauseMs(plan.move?.jobs ?: 0)
         reserved = plan.reserved
         waitingTasks = plan.unplaced
-        // On a large fleet plans take long: they may take a part of the time only, or nobody else is answered.
-        nextPlanAt = now + maxOf(timing.planGapMs, elapsedNs / NS_PER_MS * PLAN_RESTS)
-        val soon = plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.holdUntil }
-        nextRoundAt = now + if (soon) timing.replanSoonMs else (settings.policy.replanS * 1000).toLong()
+        // A plan of a large fleet takes long, and the event loop answers no request meanwhile: its share is bounded.
+        earliestPlanAt = now + maxOf(timing.planGapMs, elapsedNs / NS_PER_MS * PLAN_INTERVAL_FACTOR)
+        val isWorkWaiting =
+            plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.holdUntil }
+        planDueAt = now + if (isWorkWaiting) timing.replanSoonMs else (settings.policy.replanS * 1000).toLong()
     }
 
     private companion object {
-        /** A plan is followed by a pause of this many times its length less one. */
-        const val PLAN_RESTS = 5
+        /** The next plan begins at least this many times the duration of the last one after the last one's start. */
+        const val PLAN_INTERVAL_FACTOR = 5
         const val NS_PER_MS = 1_000_000
         val log = LoggerFactory.getLogger("leader")
     }
