--- a/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -37,7 +37,7 @@
 import java.util.BitSet
 import kotlin.random.Random
 
-/** What a controller's copy makes of jobs that wait for others, and of records that it can't read. */
+/** Tests how the state cache tracks dependencies between jobs, unreadable job records, and the data format. */
 internal class DependenciesTest {
     private val world = World(1)
     private val clock = DriftingClock(world, 0.0, 0)
@@ -46,7 +46,8 @@
     private val pending = ArrayList<Event>()
     private val changed = ArrayList<String>()
 
-    private inner class Port : StatePort {
+    /** A state service that answers reads of changes with the [pending] events. */
+    private inner class FakeStatePort : StatePort {
         override fun commit(
             transaction: Transaction,
             done: (CommitOutcome) -> Unit,
@@ -83,7 +84,8 @@
         override fun release(lease: Long) = Unit
     }
 
-    private inner class Listener : StateCacheListener {
+    /** Records the jobs whose dependencies changed in [changed]. */
+    private inner class RecordingListener : StateCacheListener {
         override fun onMembershipRead() = Unit
 
         override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
@@ -102,7 +104,7 @@
     }
 
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
-    private val cache = StateCache(Port(), clock, timing, Listener()).apply { tick() }
+    private val cache = StateCache(FakeStatePort(), clock, timing, RecordingListener()).apply { tick() }
 
     private fun asStored(value: Map<String, Any?>) = Cbor.decode(Cbor.encode(value))
 
@@ -112,8 +114,8 @@
         dependsOn: List<String>,
     ): Map<String, Any?> {
         val done = BitSet().apply { if (phase == Phase.DONE) set(0, spec.tasks) }
-        val named = spec.copy(id = JobId(id), dependsOn = dependsOn.map(::JobId))
-        return asStored(JobRecord(named, 5, phase, done, 2, emptyMap(), "w-$revision").encode())
+        val jobSpec = spec.copy(id = JobId(id), dependsOn = dependsOn.map(::JobId))
+        return asStored(JobRecord(jobSpec, 5, phase, done, 2, emptyMap(), "w-$revision").encode())
     }
 
     private fun write(
@@ -125,7 +127,7 @@
         pending.add(Event(Keys.job(id), value(id, phase, dependsOn.toList()), revision))
     }
 
-    /** Reads are paced, so time has to pass. */
+    /** The cache limits the rate of its reads, so simulated time has to pass between them. */
     private fun catchUp() {
         cache.catchUp {}
         world.after(1_000) {}
@@ -133,29 +135,29 @@
         cache.tick()
     }
 
-    private fun shown(vararg ids: String): List<JobState?> =
+    private fun jobStates(vararg ids: String): List<JobState?> =
         ids.map { id -> cache.job(JobId(id))?.status(JobId(id))?.state }
 
-    private fun state(id: String) = cache.dependencyState(cache.job(JobId(id))?.dependsOn.orEmpty())
+    private fun dependencyState(id: String) = cache.dependencyState(cache.job(JobId(id))?.dependsOn.orEmpty())
 
     @Test
-    fun `a job is ready once all that it needs are done`() {
+    fun `a job is ready once all its predecessors are done`() {
         write("a")
         write("b")
         write("c", Phase.ACTIVE, "a", "b")
         catchUp()
-        assertEquals(DependencyState.WAITING, state("c"))
+        assertEquals(DependencyState.WAITING, dependencyState("c"))
         write("a", Phase.DONE)
         catchUp()
-        assertEquals(DependencyState.WAITING, state("c"))
+        assertEquals(DependencyState.WAITING, dependencyState("c"))
         write("b", Phase.DONE)
         catchUp()
-        assertEquals(DependencyState.READY, state("c"))
+        assertEquals(DependencyState.READY, dependencyState("c"))
         assertEquals(listOf("c", "c"), changed)
     }
 
     @Test
-    fun `a cancellation ends what needs the job, through chains, fans and diamonds, and nothing else`() {
+    fun `a cancellation cancels all direct and indirect dependents and no other job`() {
         write("a")
         write("b", Phase.ACTIVE, "a")
         write("c", Phase.ACTIVE, "a")
@@ -164,36 +166,36 @@
         write("e", Phase.ACTIVE, "other")
         catchUp()
         write("a", Phase.CANCELLED)
-        // Submitted after it, and accepted all the same.
+        // A dependent may also be submitted after the cancellation.
         write("f", Phase.ACTIVE, "d")
         catchUp()
-        assertEquals(List(5) { JobState.CANCELLED }, shown("a", "b", "c", "d", "f"))
-        assertEquals(List(2) { JobState.QUEUED }, shown("other", "e"))
-        val open = ArrayList<String>()
-        cache.forEachActive { id, _ -> open.add(id.value) }
-        assertTrue(open.containsAll(listOf("b", "c", "d", "f")), "their records still have to say so")
+        assertEquals(List(5) { JobState.CANCELLED }, jobStates("a", "b", "c", "d", "f"))
+        assertEquals(List(2) { JobState.QUEUED }, jobStates("other", "e"))
+        val active = ArrayList<String>()
+        cache.forEachActive { id, _ -> active.add(id.value) }
+        assertTrue(active.containsAll(listOf("b", "c", "d", "f")), "their cancellations aren't stored yet")
     }
 
     @Test
-    fun `what a finished job ended before its cancellation goes on`() {
+    fun `dependents of a job that is done are queued and ready`() {
         write("a", Phase.DONE)
         write("b", Phase.ACTIVE, "a")
         catchUp()
-        assertEquals(listOf(JobState.QUEUED), shown("b"))
-        assertEquals(DependencyState.READY, state("b"))
+        assertEquals(listOf(JobState.QUEUED), jobStates("b"))
+        assertEquals(DependencyState.READY, dependencyState("b"))
     }
 
     @Test
-    fun `a cancellation told by a peer ends what needs the job as well`() {
+    fun `a cancellation from a peer's notice also cancels dependents`() {
         write("a")
         write("b", Phase.ACTIVE, "a")
         catchUp()
         cache.applyRecord(JobId("a"), revision + 1, value("a", Phase.CANCELLED, emptyList()))
-        assertEquals(listOf(JobState.CANCELLED), shown("b"))
+        assertEquals(listOf(JobState.CANCELLED), jobStates("b"))
     }
 
     @Test
-    fun `chains and fans of thousands are followed without recursion, and in any order of reading`() {
+    fun `chains and fans of 20000 jobs are followed without recursion, in any order of events`() {
         val length = 20_000
         write("chain-0")
         for (index in 1..length) write("chain-$index", Phase.ACTIVE, "chain-${index - 1}")
@@ -203,28 +205,28 @@
         write("chain-0", Phase.CANCELLED)
         catchUp()
         assertEquals(2 * length, changed.size)
-        assertEquals(listOf(JobState.CANCELLED, JobState.CANCELLED), shown("chain-$length", "fan-$length"))
+        assertEquals(listOf(JobState.CANCELLED, JobState.CANCELLED), jobStates("chain-$length", "fan-$length"))
     }
 
     @Test
-    fun `a record that can't be read is neither absent, nor done, nor empty`() {
+    fun `a job with an unreadable record is cached as unreadable and blocks its dependents`() {
         write("a")
         catchUp()
         revision++
-        // Its parts are missing.
+        // The parts that the head announces are missing.
         pending.add(Event(Keys.job("a"), value("a", Phase.ACTIVE, emptyList()) + (RecordLayout.PARTS to 2L), revision))
         pending.add(Event(Keys.job("b"), mapOf("phase" to "unheard of"), revision))
-        val torn = value("c", Phase.ACTIVE, emptyList()) + ("run" to mapOf("host-1" to 3L))
-        pending.add(Event(Keys.job("c"), torn, revision))
+        val malformed = value("c", Phase.ACTIVE, emptyList()) + ("run" to mapOf("host-1" to 3L))
+        pending.add(Event(Keys.job("c"), malformed, revision))
         catchUp()
         for (id in listOf("a", "b", "c")) assertEquals(true, cache.job(JobId(id))?.isUnreadable, id)
         write("d", Phase.ACTIVE, "b")
         catchUp()
-        assertEquals(DependencyState.WAITING, state("d"))
+        assertEquals(DependencyState.WAITING, dependencyState("d"))
     }
 
     @Test
-    fun `parts written in a head's transaction are read with it, in whatever order they come`() {
+    fun `parts of a head's transaction are joined with it, in whatever order the events come`() {
         val record =
             JobRecord(
                 spec.copy(id = JobId("a"), tasks = 240),
@@ -236,19 +238,19 @@
                 "w",
             )
         val limits = oxbowlug.config.WriteLimits(15.0, 2.0, 4)
-        val form = RecordLayout(limits).split(record.encode()) ?: error("doesn't fit")
+        val storedForm = RecordLayout(limits).split(record.encode()) ?: error("the record doesn't fit its value limit")
         revision++
-        pending.add(Event(Keys.job("a"), asStored(form.head), revision))
-        for ((index, part) in form.parts.withIndex()) pending.add(Event(Keys.part("a", index), part, revision))
-        // Later in the same answer the parts are gone again.
+        pending.add(Event(Keys.job("a"), asStored(storedForm.head), revision))
+        for ((index, part) in storedForm.parts.withIndex()) pending.add(Event(Keys.part("a", index), part, revision))
+        // Later events of the same response delete the parts again.
         revision++
-        for (index in form.parts.indices) pending.add(Event(Keys.part("a", index), null, revision))
+        for (index in storedForm.parts.indices) pending.add(Event(Keys.part("a", index), null, revision))
         catchUp()
         assertEquals(240, cache.job(JobId("a"))?.placed)
     }
 
     @Test
-    fun `the format marker decides what may be written, and an unknown one stops that`() {
+    fun `the format marker selects the writable layout, and an unknown marker forbids writes`() {
         val cases =
             listOf(
                 null to WritableFormat.SINGLE_VALUE,
--- a/src/test/kotlin/oxbowlug/scheduling/InheritedPriorityTest.kt
+++ b/src/test/kotlin/oxbowlug/scheduling/InheritedPriorityTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.wire.Priority
 import java.util.BitSet
 
-/** Urgency that users set on a pipeline's last job only, as the jobs before it have it. */
+/** Tests that jobs inherit the priority and the deadline that users set only on the last job of a pipeline. */
 internal class InheritedPriorityTest {
     private val spec =
         JobSpecCodec
@@ -45,7 +45,7 @@
         InheritedPriority.update(jobs.associateBy { it.id }, emptyList(), stageMs = 2_000)
 
     @Test
-    fun `the last job's priority and deadline reach the first, less what lies between them`() {
+    fun `predecessors inherit the priority and the deadline less the stages in between`() {
         val first = job("a")
         val left = job("b", "a")
         val right = job("c", "a", deadlineS = 40.0)
@@ -63,7 +63,7 @@
     }
 
     @Test
-    fun `what has ended or is under way passes nothing on any more`() {
+    fun `a cancelled job passes nothing on to its predecessors`() {
         val first = job("a")
         val last = job("b", "a", priority = Priority.HIGH, deadlineS = 100.0)
         update(first, last)
@@ -74,7 +74,7 @@
     }
 
     @Test
-    fun `a chain of thousands is walked once`() {
+    fun `a chain of 20000 jobs is traversed once`() {
         val length = 20_000
         val chain =
             List(length) { index ->
