--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -50,7 +50,7 @@
             } else {
                 cluster.cancelledStops(machine)
             }
-        // That the worker forgets exited attempts can wait for its next heartbeat.
+        // Commands to forget exited attempts can wait for the next heartbeat.
         if (commands.all { it is WorkerCommand.Forget }) return true
         machine.isDirectCommandInFlight = true
         machine.directStartsInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
