--- a/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
@@ -52,7 +52,7 @@
     ) {
         isWriting = true
         // The state cache brings what was written; until then it would be written again.
-        nextWriteAt = now + timing.workerLeaseRawMs / PAUSES_PER_LEASE
+        nextWriteAt = now + timing.workerLeaseTtlMs / PAUSES_PER_LEASE
         state.commit(Transaction(conditions, listOf(change))) { isWriting = false }
     }
 
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -128,7 +128,7 @@
         queue.drain(::handle)
         if (leaderChanged) {
             leaderChanged = false
-            heartbeats.answerWaiting()
+            heartbeats.retryDeferred()
         }
         terms.current()?.flush()
         load.stepped(clock.nanoTime() - beganNs)
@@ -136,7 +136,7 @@
 
     /** Whether users and workers can be served here, or at least no worse than elsewhere. */
     fun isHealthy(): Boolean =
-        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.isStateVisibleToOthers())
+        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.isStateReachableByOthers())
 
     private fun isElected(): Boolean = cache.leadership?.leader == self
 
@@ -152,7 +152,7 @@
             clock.steadyMs(),
             delegate.echo(),
             hasUnacknowledged = cancellations.hasUnacknowledged(),
-            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmMs,
+            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
         )
 
     /**
@@ -197,7 +197,7 @@
         val now = clock.steadyMs()
         load.ticked(now)
         logRoleChange()
-        heartbeats.answerWaiting()
+        heartbeats.retryDeferred()
         catalog.tick(now)
         cancellations.tick()
         formatUpgrade.tick(cache.leadership?.takeIf { isLeading })
@@ -246,7 +246,7 @@
             limits.cloudCalls,
             load,
             rememberedImages,
-            formerLeader::mayAnswer,
+            formerLeader::mayStillAnswerWorkers,
         )
 
     private inner class CacheListener : StateCacheListener {
--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -4,7 +4,7 @@
 import oxbowlug.cache.cancelledWork
 import oxbowlug.cluster.Machine
 import oxbowlug.invariant.Invariants
-import oxbowlug.lease.notAmong
+import oxbowlug.lease.missingFrom
 import oxbowlug.port.Invariant
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
@@ -22,7 +22,7 @@
         heartbeat: WorkerHeartbeat,
         commands: List<WorkerCommand>,
     ) {
-        val missing = cache.cancelledWork(heartbeat).notAmong(commands)
+        val missing = cache.cancelledWork(heartbeat).missingFrom(commands)
         if (missing.isEmpty()) return
         invariants.violated(
             Invariant.CANCELLED_WORK_IS_STOPPED,
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -75,7 +75,7 @@
                 // The call may still be executed minutes later. During the pause, only the responses to heartbeats
                 // carry commands.
                 machine.unresolvedStarts.addAll(starts)
-                machine.nextDirectCommandAt = clock.steadyMs() + timing.workerLeaseRawMs
+                machine.nextDirectCommandAt = clock.steadyMs() + timing.workerLeaseTtlMs
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -57,7 +57,7 @@
     ) {
         val endpoint = machine.endpoint ?: return
         inFlight++
-        nextAttemptAt[machine] = now + timing.suspectMs
+        nextAttemptAt[machine] = now + timing.suspectAfterMs
         workers.status(endpoint) { heartbeat ->
             if (heartbeat == null || heartbeat.machine != machine.id || heartbeat.token >= cluster.token) {
                 inFlight--
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -92,7 +92,7 @@
      * Large records are searched for once in a term, one worker lease after its start: until then a new leader has more
      * urgent work.
      */
-    private var splitLargeRecordsAt = termStartedAt + timing.workerLeaseRawMs
+    private var splitLargeRecordsAt = termStartedAt + timing.workerLeaseTtlMs
 
     private fun splitLargeRecordsIfDue(now: Long) {
         val isDue = now >= splitLargeRecordsAt && cache.writableFormat == WritableFormat.HEAD_AND_PARTS
@@ -120,13 +120,13 @@
     private var lastHeartbeatAt: Long? = null
 
     /**
-     * Whether workers sent heartbeats in this term, but none for [Timing.workersLostMs]: then either all workers hang,
+     * Whether workers sent heartbeats in this term, but none for [Timing.resignAfterSilenceMs]: then either all workers hang,
      * or this controller is partitioned from them.
      */
     fun hasLostAllWorkers(now: Long): Boolean {
         val last = lastHeartbeatAt ?: return false
         val isAnyExpected = cluster.machines.values.any { it.lastContactAt != null && !it.isReleasing }
-        return isAnyExpected && now - last > timing.workersLostMs
+        return isAnyExpected && now - last > timing.resignAfterSilenceMs
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -64,7 +64,7 @@
         if (machine.isReleasing) return
         // A machine that may recover is worth more than the rent of its silence where no replacement can be rented.
         val silenceFactor = if (scaler.isScarce(machine, now)) SCARCE_SILENCE_FACTOR else 1
-        val maxSilenceMs = (settings.policy.silentLeases * timing.workerLeaseRawMs).toLong() * silenceFactor
+        val maxSilenceMs = (settings.policy.silentLeases * timing.workerLeaseTtlMs).toLong() * silenceFactor
         val silentSince = machine.lastContactAt ?: maxOf(termStartedAt, machine.firstSeenAt)
         val isExpected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
         if (isExpected && now - silentSince > maxSilenceMs && liveness.isMajorityAlive(machine.zone)) {
@@ -93,16 +93,16 @@
         types: Map<TypeName, MachineType>,
     ): Boolean {
         if (!isSuspect(machine, now) || machine.isLeaseExpired) return false
-        val leaseCountsFrom = machine.lease.countsFromMs ?: return false
+        val leaseCountsFrom = machine.lease.ttlStartMs ?: return false
         val type = types[machine.type] ?: return false
-        val leaseLeftS = (timing.workerExpiryMs - (now - leaseCountsFrom)) / 1000.0
+        val leaseLeftS = (timing.workerLeaseExpiryMs - (now - leaseCountsFrom)) / 1000.0
         return Pricing.isWorthGivingUp(round.replicaWeight(machine), leaseLeftS, type, machine.spot, types.values)
     }
 
     private fun isSuspect(
         machine: Machine,
         now: Long,
-    ): Boolean = machine.lastContactAt?.let { now - it > timing.suspectMs } ?: false
+    ): Boolean = machine.lastContactAt?.let { now - it > timing.suspectAfterMs } ?: false
 
     /**
      * Stops tasks that save their work just in time to do so before the cloud ends the machine. Other tasks run until
@@ -130,10 +130,10 @@
         liveness: ZoneLiveness,
     ) {
         // Without a valid lease of its own, this controller may have a successor that renewed the worker's lease.
-        val mayExpire = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
+        val mayExpire = decisions.mayLead && delegates.isProvenExpired(machine.zone, machine.lease.ttlStartMs ?: now)
         if (mayExpire) cluster.expire(machine, now)
         val isPartitioned = liveness.isPartitioned(machine.zone)
-        val graceMs = if (isPartitioned) timing.partitionPatienceMs else timing.cancelPatienceMs
+        val graceMs = if (isPartitioned) timing.partitionedCancelReleaseAfterMs else timing.cancelReleaseAfterMs
         for (attempt in machine.attempts.values) {
             val cancelledAt = attempt.job.cancelledAt ?: continue
             // A cancelled attempt that isn't proven to have ended in time is ended by releasing its machine.
--- a/src/main/kotlin/oxbowlug/scaling/CapacityRefusals.kt
+++ b/src/main/kotlin/oxbowlug/scaling/CapacityRefusals.kt
@@ -35,7 +35,7 @@
         val state = refusals.getOrPut(kind) { RefusalState(0, 0, now) }
         state.count++
         state.lastRefusedAt = now
-        state.blockedUntil = now + (timing.refusalBaseMs shl minOf(state.count - 1, MAX_DOUBLINGS))
+        state.blockedUntil = now + (timing.refusalBackoffBaseMs shl minOf(state.count - 1, MAX_DOUBLINGS))
         log.info("capacity refused: kind={} retryAfterMs={}", kind, state.blockedUntil - now)
     }
 
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -116,7 +116,7 @@
                 // all, no more machines are rented.
                 RentalOutcome.Refused, RentalOutcome.Unanswered -> {
                     rental.nextRequestAt = now + timing.retryMs() * 2
-                    if (now > rental.firstRequestedAt + timing.orderPatienceMs) pendingRentals.remove(rental)
+                    if (now > rental.firstRequestedAt + timing.orderTimeoutMs) pendingRentals.remove(rental)
                 }
             }
             cluster.planWanted = true
@@ -204,7 +204,7 @@
         for (machine in cluster.machines.values.toList()) {
             // The cloud's lists lag and may be older than the one before. Only a list that was requested long after the
             // machine was first seen proves that the machine is gone.
-            if (machine.id !in present && machine.firstSeenAt < requestedAt - timing.machineListAgeMs) {
+            if (machine.id !in present && machine.firstSeenAt < requestedAt - timing.machineListLagMs) {
                 cluster.removeMachine(machine.id, RemovalReason.NOT_LISTED)
             }
         }
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -74,7 +74,7 @@
         }
         if (machine.listed == MachineState.RUNNING) {
             // A running machine's first heartbeat to this leader is expected within one worker lease.
-            return if (now - maxOf(termStartedAt, machine.firstSeenAt) < timing.workerLeaseRawMs) MIN_DELAY_S else null
+            return if (now - maxOf(termStartedAt, machine.firstSeenAt) < timing.workerLeaseTtlMs) MIN_DELAY_S else null
         }
         return maxOf(MIN_DELAY_S, type.bootS - (now - machine.rentedAt) / 1000.0)
     }
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -47,7 +47,7 @@
         mayMove: Boolean,
     ): Snapshot {
         val now = clock.steadyMs()
-        InheritedPriority.update(cluster.jobs, types.values, timing.pipelineStageMs)
+        InheritedPriority.update(cluster.jobs, types.values, timing.pipelineStageOverheadMs)
         val teams = teams()
         recordCapacity.updateMachineNameBytes()
         val machines = ArrayList<PlanMachine>(cluster.machines.size)
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -227,8 +227,8 @@
             }
         assertEquals(tooLarge.distinct().size, tooLarge.size, "nothing is sent twice unchanged")
         place("big", 0..9)
-        world.after(timing.workerLeaseRawMs) {}
-        world.runUntil(world.nowMs + timing.workerLeaseRawMs)
+        world.after(timing.workerLeaseTtlMs) {}
+        world.runUntil(world.nowMs + timing.workerLeaseTtlMs)
         flush(2)
         assertEquals(10, stored("big").placements.size, "with fewer placements it fits")
     }
