--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -172,7 +172,7 @@
             is ControllerEvent.Poll -> requests.poll(event.id, event.answer)
             is ControllerEvent.Cancel -> requests.cancel(event.id, event.answer)
             is ControllerEvent.Heartbeat -> {
-                load.reported()
+                load.heartbeatReceived()
                 heartbeatRouter.accept(event)
             }
             is ControllerEvent.PeerHeartbeatReceived -> onPeerHeartbeat(event.heartbeat)
@@ -217,7 +217,7 @@
     ) {
         term.tick(catalog.types)
         // If only the workers can't reach the leader, the followers redirect them to it until their leases expire.
-        if (term.hasLostItsWorkers(now) && cache.memberCount() > 1) {
+        if (term.hasLostAllWorkers(now) && cache.memberCount() > 1) {
             log.info("leader resigns without worker heartbeats: {}", decisions.describe())
             election.resign()
         }
@@ -279,7 +279,7 @@
             // From here on all writes keep to both the current and the next limits of the state service, so it doesn't
             // matter when the service switches to the next ones.
             limits.lowerWrites(settings.state.lowest.writeRps)
-            terms.latest?.divideLargeRecords()
+            terms.latest?.splitLargeRecords()
         }
     }
 
