--- a/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
@@ -12,9 +12,8 @@
 import oxbowlug.wire.InvalidField
 
 /**
- * The one owner of the cached state: what the state service holds under [Keys.ROOT], kind by kind. It decodes entries
- * and events and tells [listener] what changed; which revision it is at, and when it is read, is the concern of
- * [StateCache].
+ * The decoded entries of the state service under [Keys.ROOT], grouped by kind. Decodes entries and events, applies them
+ * and notifies [listener] of changes. [StateCache] tracks the revision and schedules the reads.
  */
 internal class CachedEntries(
     private val listener: StateCacheListener,
@@ -23,26 +22,26 @@
 
     private val memberKeys = HashSet<String>()
 
-    /** The newest layout that each controller's version is known to read, by label. */
-    private val formats = HashMap<String, Long>()
+    /** The newest data format that each controller is known to read, by label. */
+    private val supportedFormats = HashMap<String, Long>()
 
-    /** The members are known, though perhaps not the jobs yet. */
+    /** Whether leader and members have been read; a full resync reads them before the jobs. */
     var isMembershipKnown = false
         private set
     var leadership: LeadershipRecord? = null
         private set
 
-    /** Who led before, as far as known here. */
+    /** The leader before the present one, or null if this controller has seen no change of leader. */
     var formerLeader: Member? = null
         private set
     var delegates: DelegateAssignments? = null
         private set
 
-    /** By the cached format marker, which is never withdrawn. */
+    /** The layout that may be written according to the format marker, which is never removed once it is set. */
     var writableFormat = WritableFormat.SINGLE_VALUE
         private set
 
-    fun formatOf(label: String): Long? = formats[label]
+    fun supportedFormatOf(label: String): Long? = supportedFormats[label]
 
     fun hasMember(key: String): Boolean = key in memberKeys
 
@@ -50,10 +49,10 @@
 
     fun members(): List<Member> = memberKeys.mapNotNull(Keys::memberOf)
 
-    /** Replaces the membership, and applies the leadership record, by what was read of [Keys.MEMBERSHIP]. */
+    /** Applies the leadership record and replaces the members by the [entries] read under [Keys.MEMBERSHIP]. */
     fun replaceMembership(entries: List<Entry>) {
         for (entry in entries) {
-            if (entry.key == Keys.LEADERSHIP) applyLeadership(Event(entry.key, entry.value, entry.version))
+            if (entry.key == Keys.LEADERSHIP) applyLeadershipEvent(Event(entry.key, entry.value, entry.version))
         }
         memberKeys.clear()
         entries.forEach { if (it.key.startsWith(Keys.MEMBERS)) memberKeys.add(it.key) }
@@ -61,22 +60,25 @@
         listener.onMembershipRead()
     }
 
-    /** Replaces everything by the result of a full resync, whose first page was read at revision [from]. */
+    /**
+     * Replaces members and jobs by the result of a full resync, whose first page was read at revision
+     * [firstRevision], and applies its other entries.
+     */
     fun replaceAll(
         entries: List<Entry>,
-        from: Long,
+        firstRevision: Long,
     ) {
         memberKeys.clear()
-        jobs.retain(entries.mapTo(HashSet(entries.size * 2)) { it.key }, from)
+        jobs.removeMissing(entries.mapTo(HashSet(entries.size * 2)) { it.key }, firstRevision)
         val events = entries.map { Event(it.key, it.value, it.version) }
-        val (partEvents, others) = events.partition { it.key.startsWith(Keys.PARTS) }
+        val (partEvents, otherEvents) = events.partition { it.key.startsWith(Keys.PARTS) }
         partEvents.forEach(::apply)
-        others.forEach(::apply)
+        otherEvents.forEach(::apply)
     }
 
     /**
-     * Applies events in the order of their revisions. A head is read with its parts, which its transaction may have
-     * written too: so these come first.
+     * Applies events in the order of their revisions, one transaction at a time. Within a transaction parts are applied
+     * before heads, because applying the head of a job's record also reads the parts.
      */
     fun applyAll(events: List<Event>) {
         var from = 0
@@ -91,25 +93,25 @@
         }
     }
 
-    /** Applies a leadership record that is surely in the state service, read there or just written. */
-    fun adopt(next: LeadershipRecord) {
-        val present = leadership
-        if (present == null || next.epoch > present.epoch) {
-            if (present != null && present.leader != next.leader) formerLeader = present.leader
-            leadership = next
-            listener.onLeaderChanged(next)
+    /** Applies a leadership record that was read from or committed to the state service, if its epoch is newer. */
+    fun applyLeadershipRecord(newLeadership: LeadershipRecord) {
+        val current = leadership
+        if (current == null || newLeadership.epoch > current.epoch) {
+            if (current != null && current.leader != newLeadership.leader) formerLeader = current.leader
+            leadership = newLeadership
+            listener.onLeaderChanged(newLeadership)
         }
     }
 
     private fun apply(event: Event) {
         try {
             when {
-                event.key == Keys.LEADERSHIP -> applyLeadership(event)
+                event.key == Keys.LEADERSHIP -> applyLeadershipEvent(event)
                 event.key == Keys.DELEGATES -> applyDelegates(event)
-                event.key == Keys.FORMAT -> applyFormatMarker(event)
+                event.key == Keys.FORMAT_MARKER -> applyFormatMarker(event)
                 event.key.startsWith(Keys.JOBS) -> jobs.applyHead(event)
                 event.key.startsWith(Keys.PARTS) -> jobs.applyPart(event)
-                event.key.startsWith(Keys.FORMATS) -> applyFormat(event)
+                event.key.startsWith(Keys.SUPPORTED_FORMATS) -> applySupportedFormat(event)
                 event.key.startsWith(Keys.MEMBERS) -> applyMember(event)
             }
         } catch (e: InvalidField) {
@@ -117,9 +119,9 @@
         }
     }
 
-    private fun applyLeadership(event: Event) {
+    private fun applyLeadershipEvent(event: Event) {
         val value = event.value ?: return
-        adopt(LeadershipRecord.decode(value, event.version))
+        applyLeadershipRecord(LeadershipRecord.decode(value, event.version))
     }
 
     private fun applyDelegates(event: Event) {
@@ -127,9 +129,9 @@
         delegates = DelegateAssignments.decode(value, event.version)
     }
 
-    private fun applyFormat(event: Event) {
+    private fun applySupportedFormat(event: Event) {
         val value = event.value ?: return
-        formats[event.key.substring(Keys.FORMATS.length)] = DataFormat.decode(value)
+        supportedFormats[event.key.substring(Keys.SUPPORTED_FORMATS.length)] = DataFormat.decode(value)
     }
 
     private fun applyMember(event: Event) {
@@ -138,16 +140,20 @@
 
     private fun applyFormatMarker(event: Event) {
         if (event.value == null && writableFormat == WritableFormat.HEAD_AND_PARTS) {
-            log.error("format marker removed, stays in force: revision={} format={}", event.version, writableFormat)
+            log.error(
+                "format marker removed, its format stays enabled: revision={} format={}",
+                event.version,
+                writableFormat,
+            )
             return
         }
-        val next = WritableFormat.ofMarker(event.value)
-        if (next == writableFormat) return
-        if (next == WritableFormat.NONE) {
-            log.error("format marker unknown, nothing is written: revision={} format={}", event.version, next)
+        val newFormat = WritableFormat.ofMarker(event.value)
+        if (newFormat == writableFormat) return
+        if (newFormat == WritableFormat.NONE) {
+            log.error("format marker unknown, nothing is written: revision={} format={}", event.version, newFormat)
         }
-        writableFormat = next
-        listener.onWritableFormat(next)
+        writableFormat = newFormat
+        listener.onWritableFormat(newFormat)
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/cache/CachedJob.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJob.kt
@@ -13,8 +13,9 @@
 import oxbowlug.wire.fields
 
 /**
- * A job as the state service has it. [done] counts its finished tasks, [placed] those with a committed placement.
- * [value], the whole record, is kept only while the job isn't final or still has placements.
+ * A job as stored in the state service: [version] is the revision at which its record was last written, [done] the
+ * number of finished tasks and [placed] the number of tasks with a committed placement. [value] is the whole record; to
+ * save memory it is null for a final job without placements.
  */
 internal class CachedJob(
     val phase: Phase,
@@ -24,14 +25,14 @@
     val placed: Int,
     val value: Map<String, Any?>?,
     val kind: JobKind = JobKind.ARRAY,
-    /** Kept only while the job isn't final. */
+    /** The job's predecessors; empty once the job is final. */
     val dependsOn: List<JobId> = emptyList(),
-    /** Cancelled because a predecessor is, while its own record doesn't say so yet. */
+    /** Whether the job is cancelled because a predecessor is, while its own stored record doesn't say so yet. */
     val isCancelledByPredecessor: Boolean = false,
-    /** Its record can't be read: the job is known, and nothing else about it. */
+    /** Whether the stored record can't be decoded: the job exists, but nothing else is known about it. */
     val isUnreadable: Boolean = false,
 ) {
-    /** What users are told of it. */
+    /** The status that is reported to users. */
     fun status(id: JobId): JobStatus =
         when (phase) {
             Phase.DONE -> JobStatus(id, JobState.DONE, tasks, 0)
@@ -39,7 +40,7 @@
             Phase.ACTIVE -> JobStatus(id, if (placed > 0) JobState.RUNNING else JobState.QUEUED, done, placed)
         }
 
-    /** This job, cancelled because a predecessor is; its record doesn't say so yet. */
+    /** Copy of this job for which [isCancelledByPredecessor] is true. */
     fun cancelledByPredecessor() =
         CachedJob(
             Phase.CANCELLED,
@@ -56,7 +57,7 @@
     companion object {
         fun unreadable(version: Long) = CachedJob(Phase.ACTIVE, version, 0, 0, 0, null, isUnreadable = true)
 
-        /** Counts tasks without unfolding ranges into objects. Throws [InvalidField] if the record can't be read. */
+        /** Reads a whole record without creating an object for each task. Throws [InvalidField] if it is malformed. */
         fun read(
             value: Map<String, Any?>,
             version: Long,
@@ -74,9 +75,9 @@
             val fields = value.fields()
             val phase = JobRecord.phaseOf(fields)
             val done = TaskRanges.decode(fields.textOrNull(JobFields.DONE, Int.MAX_VALUE).orEmpty()).cardinality()
-            val run = if (fields.has(JobFields.PLACEMENTS)) fields.map(JobFields.PLACEMENTS) else emptyMap()
+            val placements = if (fields.has(JobFields.PLACEMENTS)) fields.map(JobFields.PLACEMENTS) else emptyMap()
             val placed =
-                run.values.sumOf { text ->
+                placements.values.sumOf { text ->
                     (text as String).split(';').sumOf { attempt ->
                         TaskRanges.decode(attempt.substring(attempt.indexOf(':') + 1)).cardinality()
                     }
--- a/src/main/kotlin/oxbowlug/cache/CachedJobs.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedJobs.kt
@@ -9,8 +9,8 @@
 import oxbowlug.wire.JobId
 
 /**
- * The job records of the state cache, and what follows from them for the jobs that depend on one another. Owned by
- * [CachedEntries]; nobody else changes it.
+ * The job records in the state cache. Propagates the end and the cancellation of a job to the jobs that depend on it.
+ * Modified only through [CachedEntries] and [StateCache].
  */
 internal class CachedJobs(
     private val listener: StateCacheListener,
@@ -21,6 +21,7 @@
 
     operator fun get(id: JobId): CachedJob? = jobs[id.value]
 
+    /** Visits the jobs that aren't final, that still have placements, or whose cancellation isn't stored yet. */
     fun forEachActive(action: (JobId, CachedJob) -> Unit) {
         for ((id, job) in jobs) {
             if (!job.phase.isFinal || job.placed > 0 || job.isCancelledByPredecessor) action(JobId(id), job)
@@ -35,61 +36,62 @@
         }
 
     /**
-     * Prepares for a full resync at revision [from] that found the keys [present]: all parts are forgotten, and the
-     * jobs that are gone.
+     * Prepares for applying a full resync that started at revision [firstRevision] and found the keys [presentKeys]:
+     * removes all parts, and the jobs that no longer exist.
      */
-    fun retain(
-        present: Set<String>,
-        from: Long,
+    fun removeMissing(
+        presentKeys: Set<String>,
+        firstRevision: Long,
     ) {
-        // One that was accepted after its page was read is known from elsewhere, and a change brings it soon.
-        jobs.entries.removeIf { (id, job) -> Keys.job(id) !in present && job.version <= from }
+        // A job that was accepted after its page was read is kept: StateCache.applyRecord has applied it already, and
+        // the replayed changes contain it.
+        jobs.entries.removeIf { (id, job) -> Keys.job(id) !in presentKeys && job.version <= firstRevision }
         parts.clear()
     }
 
-    /** Applies a part of a job's record. Throws [InvalidField] if its key isn't that of a part. */
+    /** Applies the write or removal of a part. Throws [InvalidField] if the key isn't that of a part. */
     fun applyPart(event: Event) = parts.apply(event)
 
-    /** Applies the head of a job's record, whose parts have to be applied before. */
+    /** Applies the head of a job's record. The parts of the same transaction have to be applied before it. */
     fun applyHead(event: Event) {
         val head = event.value ?: return
         val id = JobId(event.key.substring(Keys.JOBS.length))
-        applyIfNewer(id, event.version) { parts.whole(id, head, event.version) }
+        applyIfNewer(id, event.version) { parts.assemble(id, head, event.version) }
     }
 
-    /** Applies the record that [whole] joins, unless this or a newer version is cached already. */
+    /** Applies the record that [assemble] returns, unless [version] or a newer one is already cached. */
     fun applyIfNewer(
         id: JobId,
         version: Long,
-        whole: () -> Map<String, Any?>,
+        assemble: () -> Map<String, Any?>,
     ) {
-        val present = jobs[id.value]
-        if (present != null && present.version >= version) return
+        val cached = jobs[id.value]
+        if (cached != null && cached.version >= version) return
         try {
-            val value = whole()
+            val value = assemble()
             val stored = CachedJob.read(value, version)
-            put(id, present, stored)
+            replace(id, cached, stored)
             listener.onJob(id, stored, value)
-            followDependencies(id, stored)
+            updateDependents(id, stored)
         } catch (e: InvalidField) {
-            // It must not look like a job that isn't there, nor like one that is done. Where it is only torn, the
-            // change that explains it comes with the replay.
+            // An unreadable job must appear neither absent nor done. If this is a torn read of a full resync, the
+            // replayed changes contain a head and parts that match.
             log.warn("job record unreadable: job={} revision={} reason=\"{}\"", id, version, e.message)
-            if (present?.phase?.isFinal != true) jobs[id.value] = CachedJob.unreadable(version)
+            if (cached?.phase?.isFinal != true) jobs[id.value] = CachedJob.unreadable(version)
         }
     }
 
-    private fun put(
+    private fun replace(
         id: JobId,
-        present: CachedJob?,
+        previous: CachedJob?,
         stored: CachedJob,
     ) {
         jobs[id.value] = stored
-        if (present != null && present.dependsOn != stored.dependsOn) dependents.remove(id, present.dependsOn)
+        if (previous != null && previous.dependsOn != stored.dependsOn) dependents.remove(id, previous.dependsOn)
         if (stored.dependsOn.isNotEmpty()) dependents.add(id, stored.dependsOn)
     }
 
-    private fun followDependencies(
+    private fun updateDependents(
         id: JobId,
         stored: CachedJob,
     ) {
@@ -99,10 +101,10 @@
         if (stored.phase == Phase.DONE) for (dependent in dependents.of(id)) listener.onDependencyChanged(dependent)
     }
 
-    /** Everything that needs a cancelled job, directly or through others; chains are long, so it doesn't recurse. */
-    private fun cancelDependents(first: JobId) {
+    /** Marks all direct and transitive dependents of [cancelled]. Iterative, because chains of dependents are long. */
+    private fun cancelDependents(cancelled: JobId) {
         val toVisit = ArrayDeque<JobId>()
-        toVisit.add(first)
+        toVisit.add(cancelled)
         while (toVisit.isNotEmpty()) {
             for (dependent in dependents.of(toVisit.removeFirst())) {
                 if (cancelByPredecessor(dependent)) toVisit.add(dependent)
@@ -110,11 +112,11 @@
         }
     }
 
-    /** False if it was known to be final already. */
+    /** Marks the cached job as cancelled. Returns false if the job isn't cached or is already final. */
     private fun cancelByPredecessor(id: JobId): Boolean {
-        val present = jobs[id.value] ?: return false
-        if (present.phase.isFinal) return false
-        jobs[id.value] = present.cancelledByPredecessor()
+        val cached = jobs[id.value] ?: return false
+        if (cached.phase.isFinal) return false
+        jobs[id.value] = cached.cancelledByPredecessor()
         listener.onDependencyChanged(id)
         return true
     }
--- a/src/main/kotlin/oxbowlug/cache/CachedParts.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedParts.kt
@@ -7,10 +7,10 @@
 import oxbowlug.wire.JobId
 
 /**
- * The parts of jobs' records, with the revision at which each was written. A head and what changed of its parts are
- * always written in one transaction, so a part that is newer than a head belongs to a later head. Pages of a full
- * resync are of different moments, and the changes replayed over them begin before the last of them: there, heads meet
- * such parts, and joined they would be a record that was never stored.
+ * The parts of job records, each with the revision at which it was written, so that torn reads are detected. A head and
+ * its changed parts are always written in one transaction, so a part that is newer than a head belongs to a later head.
+ * During a full resync the cache may hold a head and such a part together: the pages are read at different revisions,
+ * and the changes replayed over them start before the last page. Merged, they would be a record that was never stored.
  */
 internal class CachedParts {
     private class Part(
@@ -18,19 +18,19 @@
         val revision: Long,
     )
 
-    private val byJob = HashMap<String, HashMap<Int, Part>>()
+    private val partsByJob = HashMap<String, HashMap<Int, Part>>()
 
-    fun clear() = byJob.clear()
+    fun clear() = partsByJob.clear()
 
-    /** Applies a part that was written or removed. Throws [InvalidField] if its key isn't that of a part. */
+    /** Applies the write or removal of a part. Throws [InvalidField] if the key isn't that of a part. */
     fun apply(event: Event) {
         val name = event.key.substring(Keys.PARTS.length)
         val slash = name.lastIndexOf('/')
         val index = name.substring(slash + 1).toIntOrNull()
         if (slash <= 0 || index == null) throw InvalidField("part", "has no number")
         val id = name.substring(0, slash)
-        val parts = byJob.getOrPut(id, ::HashMap)
-        // A replayed change, older than the page that was read: the later one is on its way.
+        val parts = partsByJob.getOrPut(id, ::HashMap)
+        // A replayed change may be older than the page that was read; the change that wrote the cached part follows.
         val isOutdated = (parts[index]?.revision ?: 0) > event.version
         val value = event.value
         when {
@@ -38,19 +38,19 @@
             value != null -> parts[index] = Part(value, event.version)
             else -> parts.remove(index)
         }
-        if (parts.isEmpty()) byJob.remove(id)
+        if (parts.isEmpty()) partsByJob.remove(id)
     }
 
     /**
-     * The record of [id] whose [head] was written at [revision], with its parts as they were then. Throws
-     * [InvalidField] if one of them is missing, was written later, or can't be read.
+     * Merges the [head] of the record of [id], written at [revision], with its parts. Throws [InvalidField] if a part
+     * is missing, was written after the head, or is malformed.
      */
-    fun whole(
+    fun assemble(
         id: JobId,
         head: Map<String, Any?>,
         revision: Long,
     ): Map<String, Any?> {
-        val parts = byJob[id.value]
+        val parts = partsByJob[id.value]
         return RecordLayout.merge(head) { index ->
             val part = parts?.get(index)
             if (part != null && part.revision > revision) {
--- a/src/main/kotlin/oxbowlug/cache/DependencyState.kt
+++ b/src/main/kotlin/oxbowlug/cache/DependencyState.kt
@@ -3,20 +3,20 @@
 import oxbowlug.record.Phase
 import oxbowlug.wire.JobId
 
-/** What the predecessors of a job mean for it. It only ever moves forward. */
+/** Whether the predecessors of a job allow its tasks to start. Only [WAITING] ever changes to another state. */
 internal enum class DependencyState {
-    /** Some predecessor isn't done yet. */
+    /** At least one predecessor isn't done yet, and none is cancelled. */
     WAITING,
 
-    /** All are committed as done: its tasks may start. */
+    /** All predecessors are committed as done: the job's tasks may start. */
     READY,
 
-    /** One of them is cancelled, so this job is as well, though its own record may not say so yet. */
+    /** A predecessor is cancelled, so this job is as well, though its own stored record may not say so yet. */
     CANCELLED,
     ;
 
     companion object {
-        /** [phaseOf] is null for a job whose record isn't known here, which decides nothing. */
+        /** [phaseOf] returns null for a job whose record isn't cached; such a job counts as not done. */
         fun of(
             predecessors: List<JobId>,
             phaseOf: (JobId) -> Phase?,
--- a/src/main/kotlin/oxbowlug/cache/Dependents.kt
+++ b/src/main/kotlin/oxbowlug/cache/Dependents.kt
@@ -2,7 +2,7 @@
 
 import oxbowlug.wire.JobId
 
-/** Index from a predecessor to the jobs that aren't final and depend on it: its change touches only these. */
+/** Index from a job to the jobs that depend on it and aren't final, so that its changes visit only these. */
 internal class Dependents {
     private val byPredecessor = HashMap<String, LinkedHashSet<String>>()
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /** In the order in which they were added. */
+    /** The dependents of [id], in the order in which they were added. */
     fun of(id: JobId): List<JobId> = byPredecessor[id.value]?.map(::JobId).orEmpty()
 
     fun clear() = byPredecessor.clear()
--- a/src/main/kotlin/oxbowlug/cache/FullResync.kt
+++ b/src/main/kotlin/oxbowlug/cache/FullResync.kt
@@ -8,8 +8,8 @@
 import oxbowlug.wire.Entry
 
 /**
- * Reads everything under [Keys.ROOT], page by page: once at the start, and again whenever changes were missed. A failed
- * page gives the attempt up; it begins anew after a pause.
+ * Reads all entries under [Keys.ROOT], page by page: when the controller starts, and again when changes were missed and
+ * the state service no longer has them. If a page fails, the attempt ends and a new one starts after a pause.
  */
 internal class FullResync(
     private val state: StatePort,
@@ -17,62 +17,66 @@
     private val timing: Timing,
     private val target: Target,
 ) {
-    /** What becomes of the pages that were read. */
+    /** The cache that the pages are applied to. */
     interface Target {
-        /** A request that was sent at [sentAt] by the steady clock was answered. */
-        fun contacted(sentAt: Long)
+        /** Called when a request that was sent at [sentAt] by the steady clock has been answered. */
+        fun recordContact(sentAt: Long)
 
-        /** Leader and members, which are read before all the rest. */
+        /** Called with the entries under [Keys.MEMBERSHIP], which are read before all others. */
         fun onMembershipRead(entries: List<Entry>)
 
-        /** Everything; changes since revision [from], that of the first page, have to be replayed over it. */
-        fun onRead(
+        /**
+         * Called with all entries. The target replays the changes since revision [firstRevision], that of the first
+         * page, because the pages are read one after another.
+         */
+        fun onEntriesRead(
             entries: List<Entry>,
-            from: Long,
+            firstRevision: Long,
         )
     }
 
-    private var isReading = false
+    private var isRunning = false
     private var nextAttemptAt = 0L
 
-    /** Why the next one is due. */
+    /** Why the full resync that is due or running is needed; for the log. */
     private var reason = "controller started"
 
-    /** How many were begun, the first one included. */
-    var count = 0L
+    /** Number of full resyncs started, including the first one. */
+    var startedCount = 0L
         private set
 
     /**
-     * Begins unless one is under way or the pause after a failure isn't over. For as long as the cache isn't synced.
+     * Starts a full resync unless one is running or the pause after a failure isn't over. Called only while the cache
+     * isn't synced.
      */
     fun tick(now: Long) {
-        if (!isReading && now >= nextAttemptAt) read()
+        if (!isRunning && now >= nextAttemptAt) start()
     }
 
-    /** Notes why the next one is due. */
-    fun require(newReason: String) {
+    /** Records why another full resync is needed; [tick] starts it. */
+    fun recordReason(newReason: String) {
         reason = newReason
         log.info("full resync required: reason=\"{}\"", reason)
     }
 
     /**
-     * Who leads and who is there come first: of all records they are the few that workers wait for, and a controller
-     * that starts takes long to read hundreds of jobs.
+     * Reads leader and members first: they are few entries, the controller can't answer workers without them, and
+     * reading hundreds of jobs takes long.
      */
-    private fun read() {
-        isReading = true
-        count++
-        val beganAt = clock.steadyMs()
-        readPage(Keys.MEMBERSHIP, null, ArrayList(), NO_REVISION) { membership, from ->
+    private fun start() {
+        isRunning = true
+        startedCount++
+        val startedAt = clock.steadyMs()
+        readPage(Keys.MEMBERSHIP, null, ArrayList(), NO_REVISION) { membership, membershipRevision ->
             target.onMembershipRead(membership)
-            readPage(Keys.ROOT, null, ArrayList(), from) { entries, first ->
-                isReading = false
-                target.onRead(entries, first)
-                val elapsedMs = clock.steadyMs() - beganAt
+            readPage(Keys.ROOT, null, ArrayList(), membershipRevision) { entries, firstRevision ->
+                isRunning = false
+                target.onEntriesRead(entries, firstRevision)
+                val elapsedMs = clock.steadyMs() - startedAt
                 log.info(
                     "full resync complete: entries={} revision={} elapsedMs={} reason=\"{}\"",
                     entries.size,
-                    first,
+                    firstRevision,
                     elapsedMs,
                     reason,
                 )
@@ -85,31 +89,32 @@
         after: String?,
         entries: ArrayList<Entry>,
         firstRevision: Long,
-        done: (List<Entry>, Long) -> Unit,
+        onLastPage: (List<Entry>, Long) -> Unit,
     ) {
         val sentAt = clock.steadyMs()
         state.readPage(prefix, after) { page ->
             if (page == null) {
-                isReading = false
+                isRunning = false
                 nextAttemptAt = clock.steadyMs() + timing.retryMs()
-                // With many pages this may go on for long. In an outage the first one fails again and again.
+                // A failed first page isn't logged, since during an outage it fails on every attempt. A later page is:
+                // a full resync of many pages may fail repeatedly for a long time.
                 if (after != null) log.info("full resync page failed: after={} entries={}", after, entries.size)
             } else {
-                target.contacted(sentAt)
-                // Pages are of different moments: changes since the first one are replayed over them.
-                val from = if (firstRevision == NO_REVISION) page.revision else firstRevision
+                target.recordContact(sentAt)
+                // Pages are read at different revisions; the changes since the first page are replayed over them.
+                val startRevision = if (firstRevision == NO_REVISION) page.revision else firstRevision
                 entries.addAll(page.entries)
                 if (page.more && page.entries.isNotEmpty()) {
-                    readPage(prefix, page.entries.last().key, entries, from, done)
+                    readPage(prefix, page.entries.last().key, entries, startRevision, onLastPage)
                 } else {
-                    done(entries, from)
+                    onLastPage(entries, startRevision)
                 }
             }
         }
     }
 
     private companion object {
-        /** No page has been answered yet; revisions aren't negative. */
+        /** No page has been read yet; revisions aren't negative. */
         const val NO_REVISION = -1L
         val log = LoggerFactory.getLogger("cache")
     }
--- a/src/main/kotlin/oxbowlug/cache/StateCache.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCache.kt
@@ -13,17 +13,21 @@
 import oxbowlug.wire.JobId
 
 /**
- * This controller's cache of everything under [Keys.ROOT]: filled by a full resync ([FullResync]), then kept by a watch
- * ([ChangeReads]); the entries themselves are in [CachedEntries]. A catch-up read asks for all changes up to now; one
- * such read answers every query that was waiting when it was sent, so that a controller never gives an answer older
- * than what another one may have told, at a bounded rate of reads. All times are of the steady clock.
+ * This controller's cache of every entry under [Keys.ROOT] in the state service. A full resync ([FullResync]) fills the
+ * cache, and a watch ([ChangeReads]) keeps it up to date; [CachedEntries] holds the entries.
+ *
+ * Before the cache is used to answer a query, a catch-up read ([catchUp]) fetches all changes committed so far. This
+ * rules out stale reads: an answer is never older than one that another controller may already have given. One catch-up
+ * read serves every query that is pending when it is sent, which bounds the rate of reads.
+ *
+ * All times are of the steady clock.
  */
 internal class StateCache(
     state: StatePort,
     private val clock: Clock,
     timing: Timing,
     listener: StateCacheListener,
-    /** The leader applies changes at once, since starts wait for them. */
+    /** The leader watches at shorter intervals than a follower, because task starts wait for the changes. */
     isLeading: () -> Boolean = { true },
 ) {
     private val entries = CachedEntries(listener)
@@ -31,37 +35,37 @@
     private val changes = ChangeReads(state, clock, timing, isLeading, ChangesTarget())
     private val createdAtMs = clock.steadyMs()
 
-    /** All changes up to this revision are in the cache. */
+    /** The cache reflects all changes up to this revision of the state service. */
     var revision = 0L
         private set
 
-    /** A full resync is complete, and no change since is known to be missed. */
+    /** Whether a full resync is complete and no later change is known to be missing from the cache. */
     var isSynced = false
         private set
 
-    /** When the last answered request to the state service was sent. */
+    /** Send time of the latest request that the state service answered. */
     var lastContactMs = Long.MIN_VALUE / 2
         private set
 
-    /** Up to then, by our clock, every change in the state service is in the cache. */
+    /** The cache reflects every change that was committed before this time. */
     var freshAsOfMs = Long.MIN_VALUE / 2
         private set
 
-    /** The members are known, though perhaps not the jobs yet. */
+    /** Whether leader and members have been read; a full resync reads them before the jobs. */
     val isMembershipKnown: Boolean get() = entries.isMembershipKnown
     val leadership: LeadershipRecord? get() = entries.leadership
 
-    /** Who led before, as far as known here. */
+    /** The leader before the present one, or null if this controller has seen no change of leader. */
     val formerLeader: Member? get() = entries.formerLeader
     val delegates: DelegateAssignments? get() = entries.delegates
 
-    /** By the cached format marker, which is never withdrawn. */
+    /** The layout that may be written according to the format marker, which is never removed once it is set. */
     val writableFormat: WritableFormat get() = entries.writableFormat
 
-    /** How many full resyncs were begun, the first one included. */
-    val fullResyncs: Long get() = resync.count
+    /** Number of full resyncs started, including the first one. */
+    val fullResyncs: Long get() = resync.startedCount
 
-    /** For how long, at [now], changes may have been committed that aren't in the cache. */
+    /** Upper bound, at [now], on the age of a committed change that the cache doesn't reflect yet. */
     fun stalenessMs(now: Long): Long = now - freshAsOfMs.coerceAtLeast(createdAtMs)
 
     fun job(id: JobId): CachedJob? = entries.jobs[id]
@@ -70,8 +74,8 @@
 
     fun dependencyState(predecessors: List<JobId>): DependencyState = entries.jobs.dependencyState(predecessors)
 
-    /** The newest layout that the controller with this label is known to read. */
-    fun formatOf(label: String): Long? = entries.formatOf(label)
+    /** The newest data format that the controller with this label is known to read; null if it is unknown. */
+    fun supportedFormatOf(label: String): Long? = entries.supportedFormatOf(label)
 
     fun hasMember(key: String): Boolean = entries.hasMember(key)
 
@@ -79,50 +83,54 @@
 
     fun members(): List<Member> = entries.members()
 
-    /** Any other answered request, sent at [sentAt], shows just as well that the service is there. */
-    fun contacted(sentAt: Long) {
+    /** Records that a request of any kind, sent at [sentAt], was answered: the state service is reachable. */
+    fun recordContact(sentAt: Long) {
         lastContactMs = maxOf(lastContactMs, sentAt)
     }
 
-    /** Applies a whole record that a controller has seen in the state service; an older one changes nothing. */
+    /** Applies a whole job record that a controller read or committed, unless this or a newer one is cached. */
     fun applyRecord(
         id: JobId,
         version: Long,
         value: Map<String, Any?>,
     ) = entries.jobs.applyIfNewer(id, version) { value }
 
-    /** Applies a leadership record that is surely in the state service, read there or just written. */
-    fun adopt(next: LeadershipRecord) = entries.adopt(next)
+    /** Applies a leadership record that was read from or committed to the state service, if its epoch is newer. */
+    fun applyLeadershipRecord(newLeadership: LeadershipRecord) = entries.applyLeadershipRecord(newLeadership)
 
+    /** Sends the requests that are due: those of the full resync, or the watch and catch-up reads once synced. */
     fun tick() {
         val now = clock.steadyMs()
         if (isSynced) changes.tick(now) else resync.tick(now)
     }
 
-    /** [waiter] is told true once the cache holds everything that was committed before this call. */
-    fun catchUp(waiter: (Boolean) -> Unit) {
-        if (isSynced) changes.catchUp(waiter) else waiter(false)
+    /**
+     * Calls [onComplete] with true once the cache reflects everything that was committed before this call, or with
+     * false if the cache isn't synced or the read fails.
+     */
+    fun catchUp(onComplete: (Boolean) -> Unit) {
+        if (isSynced) changes.catchUp(onComplete) else onComplete(false)
     }
 
     private inner class ResyncTarget : FullResync.Target {
-        override fun contacted(sentAt: Long) = this@StateCache.contacted(sentAt)
+        override fun recordContact(sentAt: Long) = this@StateCache.recordContact(sentAt)
 
         override fun onMembershipRead(entries: List<Entry>) = this@StateCache.entries.replaceMembership(entries)
 
-        override fun onRead(
+        override fun onEntriesRead(
             entries: List<Entry>,
-            from: Long,
+            firstRevision: Long,
         ) {
-            revision = from
+            revision = firstRevision
             isSynced = true
-            this@StateCache.entries.replaceAll(entries, from)
+            this@StateCache.entries.replaceAll(entries, firstRevision)
         }
     }
 
     private inner class ChangesTarget : ChangeReads.Target {
         override val revision: Long get() = this@StateCache.revision
 
-        override fun accept(
+        override fun handleChanges(
             outcome: ChangesOutcome,
             from: Long,
             sentAt: Long,
@@ -144,21 +152,21 @@
         outcome: ChangesOutcome.Read,
         sentAt: Long,
     ) {
-        contacted(sentAt)
+        recordContact(sentAt)
         freshAsOfMs = maxOf(freshAsOfMs, sentAt)
         val before = revision
         if (outcome.changes.revision > before) {
             revision = outcome.changes.revision
-            // Watch and catch-up overlap: what the other one brought already is skipped by its revision.
+            // Watch and catch-up reads overlap, so events that the other read has already delivered are skipped.
             entries.applyAll(outcome.changes.events.filter { it.version > before })
         }
     }
 
     private fun requireResync(from: Long) {
-        // Asked before a full resync, it says nothing of the present cache: counted for that, all would be read once
-        // more, and nobody answered meanwhile.
+        // A read that was sent before the last full resync says nothing about the present cache. Without this check it
+        // would cause another full resync, during which no query can be answered.
         if (revision != from || !isSynced) return
-        resync.require("changes since revision $from are gone")
+        resync.recordReason("changes since revision $from are gone")
         isSynced = false
     }
 }
--- a/src/main/kotlin/oxbowlug/cache/StateCacheListener.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCacheListener.kt
@@ -4,24 +4,24 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.wire.JobId
 
-/** Told of what the state cache learns, in the order of the events, while it applies them. */
+/** Callbacks of the state cache, called in the order of the events while the cache applies them. */
 internal interface StateCacheListener {
-    /** The leadership record and the membership have been read; the jobs are asked for right after this. */
+    /** A full resync has read the leadership record and the members; it requests the jobs right after this call. */
     fun onMembershipRead()
 
-    /** A leadership record of a newer epoch; the leader in it may be the same. */
+    /** A leadership record with a newer epoch was applied; the leader may be the same as before. */
     fun onLeaderChanged(leadership: LeadershipRecord)
 
-    /** [value] is the record as it is stored, also of a job whose record the cache doesn't keep. */
+    /** A job's record was applied. [value] is the whole record, also where [CachedJob.value] is null. */
     fun onJob(
         id: JobId,
         job: CachedJob,
         value: Map<String, Any?>,
     )
 
-    /** One of the predecessors of [id] is done or cancelled, directly or through others. */
+    /** A direct predecessor of [id] is done, or a direct or transitive predecessor is cancelled. */
     fun onDependencyChanged(id: JobId)
 
-    /** The format marker has changed. */
+    /** The format marker has changed: [format] is the layout that may be written from now on. */
     fun onWritableFormat(format: WritableFormat)
 }
--- a/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
@@ -15,9 +15,13 @@
 import oxbowlug.wire.Transaction
 
 /**
- * Enables the newest layout of stored data once every controller of the settings has come up with a version that
- * reads it. Each notes that in a key of its own, which outlives its lease: an upgraded controller never comes back old,
- * but one that isn't there now may. The marker is written under the leader's leadership record and is never withdrawn.
+ * Enables the newest layout of stored data once every controller in the settings has started with a software version
+ * that reads it.
+ *
+ * Each controller records what it reads under its own key, which isn't bound to its lease: an upgraded controller is
+ * never downgraded, so its entry stays valid while it is stopped, whereas a controller that is stopped now and has no
+ * entry may restart with an old version. The leader writes the format marker in a transaction that compares the
+ * leadership record; the marker is never removed.
  */
 internal class FormatUpgrade(
     private val settings: Settings,
@@ -30,20 +34,20 @@
     private var nextWriteAt = 0L
     private val labels = settings.peers.map { it.label } + settings.label
 
-    /** [leadership] is the record under which this controller leads, or null if it doesn't. */
+    /** Sends a write if one is due. [leadership] is the record by which this controller leads; null if it doesn't. */
     fun tick(leadership: LeadershipRecord?) {
         val now = clock.steadyMs()
         if (!cache.isSynced || isWriting || now < nextWriteAt) return
-        if ((cache.formatOf(settings.label) ?: 0) < DataFormat.NEWEST) {
+        if ((cache.supportedFormatOf(settings.label) ?: 0) < DataFormat.NEWEST) {
             write(now, emptyList(), Change.Put(Keys.format(settings.label), DataFormat.encode(DataFormat.NEWEST)))
-        } else if (leadership != null && cache.writableFormat == WritableFormat.SINGLE_VALUE && areAllReaders()) {
+        } else if (leadership != null && cache.writableFormat == WritableFormat.SINGLE_VALUE && isNewestReadByAll()) {
             log.info("data format enabled: format={} controllers={}", DataFormat.NEWEST, labels.size)
-            val conditions = listOf(Condition(Keys.LEADERSHIP, leadership.version), Condition(Keys.FORMAT, 0))
-            write(now, conditions, Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))
+            val conditions = listOf(Condition(Keys.LEADERSHIP, leadership.version), Condition(Keys.FORMAT_MARKER, 0))
+            write(now, conditions, Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST)))
         }
     }
 
-    private fun areAllReaders(): Boolean = labels.all { (cache.formatOf(it) ?: 0) >= DataFormat.NEWEST }
+    private fun isNewestReadByAll(): Boolean = labels.all { (cache.supportedFormatOf(it) ?: 0) >= DataFormat.NEWEST }
 
     private fun write(
         now: Long,
@@ -51,13 +55,13 @@
         change: Change,
     ) {
         isWriting = true
-        // The state cache brings what was written; until then it would be written again.
-        nextWriteAt = now + timing.workerLeaseTtlMs / PAUSES_PER_LEASE
+        // Until the watch has delivered this write to the state cache, the next tick would repeat it.
+        nextWriteAt = now + timing.workerLeaseTtlMs / WRITES_PER_LEASE_TTL
         state.commit(Transaction(conditions, listOf(change))) { isWriting = false }
     }
 
     private companion object {
-        const val PAUSES_PER_LEASE = 10
+        const val WRITES_PER_LEASE_TTL = 10
         val log = LoggerFactory.getLogger("commit")
     }
 }
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -20,9 +20,9 @@
 import oxbowlug.wire.Transaction
 
 /**
- * Writes changed job records for the leader, the urgent ones first, in transactions that also compare the revision of
- * the leadership record: a late one of an earlier leader can't apply. Changes that aren't urgent are deferred a little,
- * so that several ends of tasks of one job become one write.
+ * Writes changed job records for the leader, urgent ones first. Each transaction also compares the revision of the
+ * leadership record, so a delayed transaction of an earlier leader can't apply. Writes that aren't urgent are deferred
+ * for a short time, so that several task ends of one job are stored by one write.
  */
 internal class JobRecordWriter(
     private val leadership: LeadershipRecord,
@@ -40,13 +40,14 @@
     private var inFlight = 0
     private var nextWriteAt = 0L
 
-    /** The leadership record was changed by another controller: someone else leads. */
+    /** Whether the leadership record has been changed by another controller, which now leads. */
     var isDeposed = false
         private set
 
+    /** Number of jobs with changes that no write in flight contains. */
     val backlog: Int get() = cluster.dirty.size
 
-    /** Sends what is due, as far as the write rate and the limit of transactions in flight allow. */
+    /** Sends the writes that are due, within the write rate and the limit on transactions in flight. */
     fun flush() {
         val now = clock.steadyMs()
         while (!isDeposed && inFlight < MAX_IN_FLIGHT && now >= nextWriteAt) {
@@ -61,49 +62,53 @@
         val limits = preparer.limits()
         val tokens = budget.available(now)
         if (tokens < 1.0) return emptyList()
-        val spare = budget.spare(now)
+        val spareTokens = budget.spare(now)
         val batch = WriteBatch(limits.txnOps)
-        for (job in dueJobs(spare, now)) {
+        for (job in dueJobs(spareTokens, now)) {
             if (!batch.isEmpty && job.isWrittenAlone) continue
-            val next = preparer.prepare(job, limits)
-            if (next == null) {
+            val prepared = preparer.prepare(job, limits)
+            if (prepared == null) {
                 withdrawUncommitted(job, now)
                 continue
             }
-            val allowed = if (job.isUrgent || isOverdue(job, now)) tokens else spare
-            if (!batch.add(next, affordableChanges(next, allowed, now))) break
+            val allowedTokens = if (job.isUrgent || isOverdue(job, now)) tokens else spareTokens
+            if (!batch.add(prepared, affordableChanges(prepared, allowedTokens, now))) break
             if (batch.isFull || job.isWrittenAlone) break
         }
         return batch.writes
     }
 
-    /** Urgent ones first, then by priority. */
+    /** The jobs whose write is due: urgent ones first, then by priority. */
     private fun dueJobs(
-        spare: Double,
+        spareTokens: Double,
         now: Long,
     ): List<Job> =
         cluster.dirty
             .filter { job ->
-                !job.isWriting && now >= job.writeNotBefore && (job.isUrgent || isDeferredDue(job, spare, now))
+                !job.isWriting && now >= job.writeNotBefore && (job.isUrgent || isDeferredDue(job, spareTokens, now))
             }.sortedWith(compareBy<Job> { !it.isUrgent }.thenBy { it.priority })
 
-    /** One job's changes belong together; with fewer tokens than it needs, it waits for more. */
+    /**
+     * How many changes the batch may have after [prepared] is added. All changes of a job go into one transaction, so
+     * the write is delayed until there are enough tokens for them. If the bucket is full and still has too few tokens,
+     * the write is allowed nevertheless, because waiting brings no further tokens.
+     */
     private fun affordableChanges(
-        next: PreparedWrite,
-        allowed: Double,
+        prepared: PreparedWrite,
+        allowedTokens: Double,
         now: Long,
-    ): Int = if (budget.isFull(now)) maxOf(allowed.toInt(), next.changes.size) else allowed.toInt()
+    ): Int = if (budget.isFull(now)) maxOf(allowedTokens.toInt(), prepared.changes.size) else allowedTokens.toInt()
 
     /**
-     * Found on the bench: some twenty arrays whose tasks ended one by one took every token as it came, and each
-     * placement waited for the next. So deferred changes leave half of a second's writes alone, for as long as a
-     * worker's lease.
+     * Until a deferred write is overdue, after the TTL of a worker's lease, it may use only the spare tokens: half of a
+     * second's writes stay reserved for urgent ones. Otherwise about twenty arrays whose tasks end one by one use up
+     * all tokens, and each placement has to wait for the next token.
      */
     private fun isDeferredDue(
         job: Job,
-        spare: Double,
+        spareTokens: Double,
         now: Long,
-    ): Boolean = isOverdue(job, now) || spare >= 1.0 && ageMs(job, now) >= timing.deferredWriteMs
+    ): Boolean = isOverdue(job, now) || spareTokens >= 1.0 && ageMs(job, now) >= timing.deferredWriteMs
 
     private fun isOverdue(
         job: Job,
@@ -115,7 +120,10 @@
         now: Long,
     ): Long = now - (job.dirtySince ?: now)
 
-    /** Attempts that aren't committed were never sent, so they can be withdrawn; without them the record is smaller. */
+    /**
+     * Makes the record smaller by removing attempts that aren't committed, of which no start has been sent. The next
+     * write of the job is delayed by the TTL of a worker's lease.
+     */
     private fun withdrawUncommitted(
         job: Job,
         now: Long,
@@ -137,16 +145,16 @@
         for (prepared in batch) {
             val job = prepared.job
             conditions.add(Condition(Keys.job(job.id.value), job.version))
-            job.beginWrite(prepared.record, prepared.form.parts)
+            job.beginWrite(prepared.record, prepared.stored.parts)
             cluster.dirty.remove(job)
         }
         state.commit(Transaction(conditions, changes)) { outcome ->
             inFlight--
-            accept(outcome, batch)
+            handleOutcome(outcome, batch)
         }
     }
 
-    private fun accept(
+    private fun handleOutcome(
         outcome: CommitOutcome,
         batch: List<PreparedWrite>,
     ) {
@@ -160,9 +168,9 @@
                     decisions.describe(),
                 )
                 for (prepared in batch) {
-                    // The watch may have brought the write before its answer did.
+                    // The watch may have delivered this write before its answer arrived; then this call has no effect.
                     prepared.job.written(prepared.record, outcome.revision)
-                    queuePushes(prepared.job)
+                    queueCommands(prepared.job)
                 }
             }
             is CommitOutcome.Conflict -> {
@@ -179,23 +187,27 @@
                 nextWriteAt = now + timing.retryMs()
             }
             CommitOutcome.Invalid, CommitOutcome.LeaseOver -> handleTooLarge(batch, now)
-            // It may have been applied, or may be later: read, then write again with the same compare-and-swap
-            // versions.
+            // The transaction may have been applied or may still be: catch up first, then write again with the same
+            // compare-and-swap versions.
             CommitOutcome.Unanswered -> cache.catchUp { requeue(batch, clock.steadyMs()) }
         }
     }
 
-    /** What the records allow from now on: starts of their attempts, and why the jobs were ready. */
+    /**
+     * Log text on the records of a committed batch. Their attempts may be started from now on; `after` lists the
+     * predecessors that had to be done before, with their revisions.
+     */
     private fun summary(batch: List<PreparedWrite>): String =
         batch.joinToString { prepared ->
             val record = prepared.record
-            val needs = if (record.placements.isEmpty()) emptyList() else prepared.job.spec.dependsOn
-            val predecessors = needs.joinToString(",") { "$it@${cache.job(it)?.version}" }
-            val after = if (needs.isEmpty()) "" else " after=$predecessors"
+            val predecessors = if (record.placements.isEmpty()) emptyList() else prepared.job.spec.dependsOn
+            val revisions = predecessors.joinToString(",") { "$it@${cache.job(it)?.version}" }
+            val after = if (predecessors.isEmpty()) "" else " after=$revisions"
             "job=${prepared.job.id} phase=${record.phase.wire} attempts=${record.placements.size}$after"
         }
 
-    private fun queuePushes(job: Job) {
+    /** Queues the machines whose workers can now receive starts or stops of [job]. */
+    private fun queueCommands(job: Job) {
         for (attempt in job.attempts.values) {
             if (attempt.workerState == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(attempt.machine)
         }
@@ -209,16 +221,16 @@
     }
 
     /**
-     * Sent again unchanged it would be refused for ever: first each job alone, then without the attempts that can be
-     * withdrawn.
+     * Handles a transaction that the state service will always refuse in this form, since it is too large: writes each
+     * of its jobs alone, and a job that was alone already without its uncommitted attempts.
      */
     private fun handleTooLarge(
         batch: List<PreparedWrite>,
         now: Long,
     ) {
         requeue(batch, now)
-        // Written whole just before the format was enabled, they are split the next time.
-        val isFormatOutdated = cache.writableFormat == WritableFormat.HEAD_AND_PARTS && batch.none { it.isSplit }
+        // The records were written whole just before heads and parts were enabled; the next write splits them.
+        val isFormatOutdated = cache.writableFormat == WritableFormat.HEAD_AND_PARTS && batch.none { it.isHeadAndParts }
         if (isFormatOutdated) return
         if (batch.size > 1) {
             log.error("transaction too large: jobs={}", batch.size)
--- a/src/main/kotlin/oxbowlug/commit/WriteBatch.kt
+++ b/src/main/kotlin/oxbowlug/commit/WriteBatch.kt
@@ -1,6 +1,6 @@
 package oxbowlug.commit
 
-/** The writes of one transaction, bounded by [maxChanges] and by its bytes. */
+/** The writes of one transaction, limited to [maxChanges] changes and to [MAX_BYTES]. */
 internal class WriteBatch(
     private val maxChanges: Int,
 ) {
@@ -11,25 +11,29 @@
     val writes: List<PreparedWrite> get() = prepared
     val isEmpty: Boolean get() = prepared.isEmpty()
 
-    /** The last write that was added used up all the changes that it was allowed. */
+    /** Whether the last write that was added reached its limit on the number of changes. */
     var isFull = false
         private set
 
-    /** False, and nothing is added, if the batch with [next] had more than [affordable] changes or too many bytes. */
+    /**
+     * Adds [next] and returns true, or returns false without adding it if the batch would then have more than
+     * [affordableChanges] changes or too many bytes. The first write is accepted whatever its bytes.
+     */
     fun add(
         next: PreparedWrite,
-        affordable: Int,
+        affordableChanges: Int,
     ): Boolean {
-        val room = minOf(affordable, maxChanges)
-        if (changes + next.changes.size > room || !isEmpty && bytes + next.bytes > MAX_BYTES) return false
+        val changeLimit = minOf(affordableChanges, maxChanges)
+        if (changes + next.changes.size > changeLimit || !isEmpty && bytes + next.bytes > MAX_BYTES) return false
         prepared.add(next)
         changes += next.changes.size
         bytes += next.bytes
-        isFull = changes == room
+        isFull = changes == changeLimit
         return true
     }
 
     private companion object {
+        /** A transaction may have 64 KiB; the rest is reserved for keys, conditions and syntax around the values. */
         const val MAX_BYTES = 48 * 1024
     }
 }
--- a/src/main/kotlin/oxbowlug/commit/WritePreparer.kt
+++ b/src/main/kotlin/oxbowlug/commit/WritePreparer.kt
@@ -8,57 +8,60 @@
 import oxbowlug.record.Keys
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.RequestIds
-import oxbowlug.record.StoredForm
+import oxbowlug.record.StoredRecord
 import oxbowlug.record.WritableFormat
 import oxbowlug.wire.Change
 import oxbowlug.wire.sizeAsJson
 
-/** One job's changes for a transaction, and the record that they store. */
+/** The changes that store one job's [record] in a transaction. */
 internal class PreparedWrite(
     val job: Job,
     val record: JobRecord,
-    val form: StoredForm,
+    val stored: StoredRecord,
     val changes: List<Change>,
-    /** Built for the format of heads and parts. */
-    val isSplit: Boolean,
+    /** Whether the changes are built for the layout of heads and parts; the record may still fit into the head. */
+    val isHeadAndParts: Boolean,
 ) {
     val bytes: Int = changes.sumOf { if (it is Change.Put) it.value.sizeAsJson() else 0 }
 }
 
-/** Builds the writes of changed jobs in the format that is in force. Sends nothing and changes no job. */
+/** Builds the writes of changed jobs in the enabled layout. Sends nothing and modifies no job. */
 internal class WritePreparer(
     private val requestIds: RequestIds,
     private val settings: Settings,
     private val cache: StateCache,
 ) {
-    /** The limits by which values and transactions are built in the format in force. */
-    fun limits(): WriteLimits = if (isSplitInForce()) settings.state.lowest else settings.state.present
+    /**
+     * The limits on values and transactions in the enabled layout. With heads and parts they also comply with the next
+     * limits of the settings, so that no write is refused once those are in force.
+     */
+    fun limits(): WriteLimits = if (isHeadAndPartsEnabled()) settings.state.lowest else settings.state.present
 
-    /** Null if the record is larger than the state service accepts. */
+    /** Returns null if the record is larger than the state service accepts. */
     fun prepare(
         job: Job,
         limits: WriteLimits,
     ): PreparedWrite? {
-        val isSplit = isSplitInForce()
-        val record = job.record(requestIds.next(), isBrief = isSplit)
-        val whole = record.encode()
-        val form = if (isSplit) RecordLayout(limits).split(whole) else StoredForm(whole, emptyList())
-        return form?.let { PreparedWrite(job, record, it, changes(job, it), isSplit) }
+        val isHeadAndParts = isHeadAndPartsEnabled()
+        val record = job.record(requestIds.next(), isBrief = isHeadAndParts)
+        val encoded = record.encode()
+        val stored = if (isHeadAndParts) RecordLayout(limits).split(encoded) else StoredRecord(encoded, emptyList())
+        return stored?.let { PreparedWrite(job, record, it, changes(job, it), isHeadAndParts) }
     }
 
-    private fun isSplitInForce(): Boolean = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
+    private fun isHeadAndPartsEnabled(): Boolean = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
 
     private fun changes(
         job: Job,
-        form: StoredForm,
+        stored: StoredRecord,
     ): List<Change> {
         val id = job.id.value
         val changes = ArrayList<Change>()
-        changes.add(Change.Put(Keys.job(id), form.head))
-        for ((index, part) in form.parts.withIndex()) {
+        changes.add(Change.Put(Keys.job(id), stored.head))
+        for ((index, part) in stored.parts.withIndex()) {
             if (job.storedParts.getOrNull(index) != part) changes.add(Change.Put(Keys.part(id, index), part))
         }
-        for (index in form.parts.size until job.storedParts.size) changes.add(Change.Delete(Keys.part(id, index)))
+        for (index in stored.parts.size until job.storedParts.size) changes.add(Change.Delete(Keys.part(id, index)))
         return changes
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -1,7 +1,7 @@
 package oxbowlug.leader
 
 import oxbowlug.cache.StateCache
-import oxbowlug.cache.cancelledWork
+import oxbowlug.cache.stopsForCancelledTasks
 import oxbowlug.cluster.Machine
 import oxbowlug.invariant.Invariants
 import oxbowlug.lease.missingFrom
@@ -19,7 +19,7 @@
         heartbeat: WorkerHeartbeat,
         commands: List<WorkerCommand>,
     ) {
-        val missing = cache.cancelledWork(heartbeat).missingFrom(commands)
+        val missing = cache.stopsForCancelledTasks(heartbeat).missingFrom(commands)
         if (missing.isEmpty()) return
         invariants.violated(
             Invariant.CANCELLED_WORK_IS_STOPPED,
--- a/src/main/kotlin/oxbowlug/record/DataFormat.kt
+++ b/src/main/kotlin/oxbowlug/record/DataFormat.kt
@@ -3,17 +3,18 @@
 import oxbowlug.wire.fields
 
 /**
- * Layouts of what this service stores. While controllers of several versions serve side by side, only what the oldest
- * of them reads and keeps may be written; a committed marker says that all of them read the newer layout.
+ * Versions of the layout of stored data. While controllers of different software versions run side by side, they may
+ * write only what the oldest of them can read and preserves when it writes. The committed marker [Keys.FORMAT_MARKER]
+ * states that all controllers read the newer layout.
  */
 internal object DataFormat {
-    /** Each job in one value, without predecessors. */
+    /** Each job is stored in a single value and has no predecessors. */
     const val SINGLE_VALUE = 1L
 
-    /** A job's head and its parts ([RecordLayout]), and jobs that wait for others. */
+    /** A job is stored as a head and parts ([RecordLayout]) and may have predecessors. */
     const val HEAD_AND_PARTS = 2L
 
-    /** The newest that this version writes. */
+    /** The newest layout that this software version reads and writes. */
     const val NEWEST = HEAD_AND_PARTS
 
     private const val FIELD = "format"
--- a/src/main/kotlin/oxbowlug/record/DelegateAssignments.kt
+++ b/src/main/kotlin/oxbowlug/record/DelegateAssignments.kt
@@ -4,7 +4,7 @@
 import oxbowlug.wire.Zone
 import oxbowlug.wire.fields
 
-/** Which controller the leader with [token] assigned as lease renewal delegate of each zone, as it is stored. */
+/** The stored record of the lease renewal delegate that the leader with [token] assigned to each zone. */
 internal data class DelegateAssignments(
     val token: FencingToken,
     val byZone: Map<Zone, Member>,
--- a/src/main/kotlin/oxbowlug/record/JobFields.kt
+++ b/src/main/kotlin/oxbowlug/record/JobFields.kt
@@ -1,21 +1,21 @@
 package oxbowlug.record
 
-/** Names of the fields of a stored job record. They are on disk and read by other versions, so they never change. */
+/** Field names of stored job records. They never change, because other software versions read the stored data. */
 internal object JobFields {
     /** The job's specification. */
     const val SPEC = "spec"
 
-    /** When it was submitted, by the time of day in milliseconds. */
+    /** Time of submission: wall-clock time in milliseconds. */
     const val SUBMITTED_AT = "at"
     const val PHASE = "phase"
 
-    /** Ranges of done tasks; absent when there is none. */
+    /** Ranges of done tasks; absent if there are none. */
     const val DONE = "done"
     const val NEXT_ATTEMPT = "next"
 
-    /** Placements by machine; absent when there is none. */
+    /** Placements by machine; absent if there are none. */
     const val PLACEMENTS = "run"
 
-    /** The id of the write that stored the record. */
+    /** Id of the write that stored the record. */
     const val WRITE_ID = "by"
 }
--- a/src/main/kotlin/oxbowlug/record/JobRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -8,13 +8,13 @@
 import oxbowlug.wire.fields
 import java.util.BitSet
 
-/** Where a task is placed, and the number of its attempt. */
+/** The machine on which a task is placed, and the number of the attempt. */
 internal data class Placement(
     val machine: MachineId,
     val attempt: Long,
 )
 
-/** What the state service holds of a job. Done tasks and placements are written as ranges of task numbers. */
+/** The record of a job in the state service. Done tasks and placements are encoded as ranges of task numbers. */
 internal class JobRecord(
     val spec: JobSpec,
     val submittedMs: Long,
@@ -22,11 +22,11 @@
     val done: BitSet,
     val nextAttempt: Long,
     val placements: Map<Int, Placement>,
-    /** The id of the write, so that its author recognizes its own change when the answer was lost. */
-    val write: String,
-    /** By the time of day, when its user was about to be told; a later leader counts the time allowed from there. */
+    /** Id of the write, by which its author recognizes its own change if the answer to the write was lost. */
+    val writeId: String,
+    /** Wall-clock time just before the cancellation was committed, from which any leader counts its deadline. */
     val cancelledMs: Long? = null,
-    /** In how many parts it is stored beside its head. */
+    /** Number of parts in which the record is stored in addition to its head. */
     val partCount: Int = 0,
 ) {
     fun encode(): Map<String, Any?> {
@@ -37,12 +37,12 @@
         if (!done.isEmpty) map[JobFields.DONE] = TaskRanges.encode(done)
         map[JobFields.NEXT_ATTEMPT] = nextAttempt
         if (placements.isNotEmpty()) map[JobFields.PLACEMENTS] = encodePlacements()
-        map[JobFields.WRITE_ID] = write
+        map[JobFields.WRITE_ID] = writeId
         if (cancelledMs != null) map[CANCELLED_AT] = cancelledMs
         return map
     }
 
-    /** `{"machine": "attempt:tasks;attempt:tasks"}`: one entry a machine however many tasks it has. */
+    /** `{"machine": "attempt:tasks;attempt:tasks"}`: one entry per machine, however many tasks it has. */
     private fun encodePlacements(): Map<String, Any?> {
         val byMachine = LinkedHashMap<String, LinkedHashMap<Long, BitSet>>()
         for ((task, placement) in placements) {
@@ -57,9 +57,14 @@
     }
 
     companion object {
-        const val SPEC_BOUND = 2048
-        const val MACHINE_BOUND = 48
-        const val PLACEMENT_BOUND = 12
+        /** Upper bound on the encoded specification of a job without predecessors, with the record's other fields. */
+        const val MAX_SPEC_BYTES = 2048
+
+        /** Upper bound on what each machine with placements adds to the record. */
+        const val MAX_MACHINE_BYTES = 48
+
+        /** Upper bound on what each placement adds to the entry of its machine. */
+        const val MAX_PLACEMENT_BYTES = 12
         const val CANCELLED_AT = "cancelled"
 
         fun decode(value: Map<String, Any?>): JobRecord {
@@ -71,7 +76,7 @@
                 done = TaskRanges.decode(fields.textOrNull(JobFields.DONE, Int.MAX_VALUE).orEmpty()),
                 nextAttempt = fields.count(JobFields.NEXT_ATTEMPT),
                 placements = decodePlacements(fields),
-                write = fields.text(JobFields.WRITE_ID),
+                writeId = fields.text(JobFields.WRITE_ID),
                 cancelledMs = if (fields.has(CANCELLED_AT)) fields.count(CANCELLED_AT) else null,
                 partCount = RecordLayout.partCount(value),
             )
@@ -86,10 +91,10 @@
             if (!fields.has(JobFields.PLACEMENTS)) return emptyMap()
             val result = LinkedHashMap<Int, Placement>()
             for ((machine, text) in fields.map(JobFields.PLACEMENTS)) {
-                for (part in (text as String).split(';')) {
-                    val colon = part.indexOf(':')
-                    val placement = Placement(MachineId(machine), part.substring(0, colon).toLong())
-                    TaskRanges.decode(part.substring(colon + 1)).stream().forEach { result[it] = placement }
+                for (attempt in (text as String).split(';')) {
+                    val colon = attempt.indexOf(':')
+                    val placement = Placement(MachineId(machine), attempt.substring(0, colon).toLong())
+                    TaskRanges.decode(attempt.substring(colon + 1)).stream().forEach { result[it] = placement }
                 }
             }
             return result
--- a/src/main/kotlin/oxbowlug/record/Keys.kt
+++ b/src/main/kotlin/oxbowlug/record/Keys.kt
@@ -1,24 +1,27 @@
 package oxbowlug.record
 
-/** The keys under which this service keeps its state. */
+/** The keys of all entries that the controllers store in the state service. */
 internal object Keys {
     const val ROOT = "ox/"
     const val JOBS = "ox/j/"
 
-    /** The leadership record and the members, so that one read brings both. */
+    /** Common prefix of the leadership record and the members, so that one read returns both. */
     const val MEMBERSHIP = "ox/r/"
     const val LEADERSHIP = "ox/r/view"
     const val MEMBERS = "ox/r/m/"
     const val DELEGATES = "ox/r/deputies"
 
-    /** Parts of jobs whose records don't fit one value: the job's id, a slash and the part's number. */
+    /** Prefix of the parts of job records too large for one value; the job's id, a slash and a part number follow. */
     const val PARTS = "ox/p/"
 
-    /** What each controller's version reads, by label, kept without a lease: its end doesn't make it unknown. */
-    const val FORMATS = "ox/f/"
+    /**
+     * Prefix of the newest data format that each controller reads, by label. These entries are bound to no lease, so
+     * they stay when a controller stops.
+     */
+    const val SUPPORTED_FORMATS = "ox/f/"
 
-    /** The layout that all controllers read; absent while one of them may read single values only. */
-    const val FORMAT = "ox/format"
+    /** The data format that all controllers read; absent while one of them may read only single values. */
+    const val FORMAT_MARKER = "ox/format"
 
     fun job(id: String): String = JOBS + id
 
@@ -27,9 +30,9 @@
         index: Int,
     ): String = "$PARTS$id/$index"
 
-    fun format(label: String): String = FORMATS + label
+    fun format(label: String): String = SUPPORTED_FORMATS + label
 
-    /** Null if [key] isn't that of a member. */
+    /** The member that [key] stands for; null if it isn't the key of a member. */
     fun memberOf(key: String): Member? {
         val dot = key.lastIndexOf('.')
         return if (dot <= MEMBERS.length) null else Member(key.substring(MEMBERS.length, dot), key.substring(dot + 1))
--- a/src/main/kotlin/oxbowlug/record/LeadershipRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/LeadershipRecord.kt
@@ -3,7 +3,10 @@
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.fields
 
-/** Who leads. Every change raises [epoch]; [token] is the epoch at which the present leader took over. */
+/**
+ * The stored record of the current leader. Every change of the record increases [epoch]. The fencing token [token] is
+ * the epoch at which this leader was elected; [version] is the revision at which the record was written.
+ */
 internal data class LeadershipRecord(
     val epoch: Long,
     val token: FencingToken,
--- a/src/main/kotlin/oxbowlug/record/Member.kt
+++ b/src/main/kotlin/oxbowlug/record/Member.kt
@@ -1,6 +1,6 @@
 package oxbowlug.record
 
-/** One incarnation of a controller process: a restarted one is never mistaken for its earlier self. */
+/** One run of a controller process. [incarnation] differs after each restart, which tells it from earlier runs. */
 internal data class Member(
     val label: String,
     val incarnation: String,
--- a/src/main/kotlin/oxbowlug/record/Phase.kt
+++ b/src/main/kotlin/oxbowlug/record/Phase.kt
@@ -1,6 +1,6 @@
 package oxbowlug.record
 
-/** A job's phase as it is stored; [wire] is its text. */
+/** The phase of a job; [wire] is its stored text. */
 internal enum class Phase(
     val wire: String,
 ) {
--- a/src/main/kotlin/oxbowlug/record/RequestIds.kt
+++ b/src/main/kotlin/oxbowlug/record/RequestIds.kt
@@ -1,9 +1,9 @@
 package oxbowlug.record
 
 /**
- * Ids of idempotent requests, rentals and writes, none of which is ever used twice. They are counted for the whole
- * incarnation: counted by a leader's term, a second term of the same incarnation would repeat them, and the cloud
- * would answer a new rental with the machines of an old one of another kind.
+ * Generates unique ids for idempotent requests, rentals and writes. The counter runs for the whole incarnation of a
+ * controller. A counter per leader term would repeat ids in a second term of the same incarnation, and the cloud would
+ * answer a new rental with the machines of an old one of another kind.
  */
 internal class RequestIds(
     private val self: Member,
--- a/src/main/kotlin/oxbowlug/record/TaskRanges.kt
+++ b/src/main/kotlin/oxbowlug/record/TaskRanges.kt
@@ -2,10 +2,10 @@
 
 import java.util.BitSet
 
-/** Sets of task numbers as text: `0-3,7`. */
+/** Encodes sets of task numbers as text, such as `0-3,7`. */
 internal object TaskRanges {
-    /** The longest text of one range, with its comma. */
-    const val RANGE_BOUND = 14
+    /** Upper bound on the encoded length of one range with its comma. */
+    const val MAX_RANGE_BYTES = 14
 
     fun encode(set: BitSet): String =
         buildString {
@@ -22,22 +22,22 @@
     fun decode(text: String): BitSet {
         val set = BitSet()
         if (text.isEmpty()) return set
-        for (part in text.split(',')) {
-            val dash = part.indexOf('-')
+        for (range in text.split(',')) {
+            val dash = range.indexOf('-')
             if (dash < 0) {
-                set.set(part.toInt())
+                set.set(range.toInt())
             } else {
-                set.set(part.substring(0, dash).toInt(), part.substring(dash + 1).toInt() + 1)
+                set.set(range.substring(0, dash).toInt(), range.substring(dash + 1).toInt() + 1)
             }
         }
         return set
     }
 
-    /** An upper bound of the length of [encode]. */
-    fun sizeBound(set: BitSet): Int = count(set) * RANGE_BOUND
+    /** Upper bound on the length of the text that [encode] returns. */
+    fun maxEncodedBytes(set: BitSet): Int = rangeCount(set) * MAX_RANGE_BYTES
 
-    /** How many ranges [encode] writes. */
-    fun count(set: BitSet): Int {
+    /** Number of ranges in the text that [encode] returns. */
+    fun rangeCount(set: BitSet): Int {
         var ranges = 0
         var from = set.nextSetBit(0)
         while (from >= 0) {
--- a/src/main/kotlin/oxbowlug/record/WritableFormat.kt
+++ b/src/main/kotlin/oxbowlug/record/WritableFormat.kt
@@ -2,19 +2,20 @@
 
 import oxbowlug.wire.InvalidField
 
-/** Which layout this controller may write now, as the marker in the state service says. */
+/** The layout that this controller may write, according to the format marker in the state service. */
 internal enum class WritableFormat {
-    /** No marker: some controller may still run a version that reads single values only. */
+    /** No marker is set, or it names this layout: some controller may still read only single values. */
     SINGLE_VALUE,
 
+    /** All controllers read heads and parts ([RecordLayout]). */
     HEAD_AND_PARTS,
 
-    /** The marker is of a newer version, or can't be read: whatever is written here might be misread. */
+    /** The marker is from a newer software version or malformed. Nothing is written, since it might be misread. */
     NONE,
     ;
 
     companion object {
-        /** [value] is that of [Keys.FORMAT], null if it is absent. */
+        /** [value] is the value of [Keys.FORMAT_MARKER], or null if the key is absent. */
         fun ofMarker(value: Map<String, Any?>?): WritableFormat {
             if (value == null) return SINGLE_VALUE
             val format =
