--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -105,15 +105,15 @@
         private fun put(
             id: String,
             record: JobRecord,
-            storedParts: List<Map<String, Any?>>,
+            previousParts: List<Map<String, Any?>>,
         ) {
             val stored = layout.split(record.encode()) ?: return
             val changes = ArrayList<Change>()
             changes.add(Change.Put(Keys.job(id), stored.head))
             for ((index, part) in stored.parts.withIndex()) {
-                if (storedParts.getOrNull(index) != part) changes.add(Change.Put(Keys.part(id, index), part))
+                if (previousParts.getOrNull(index) != part) changes.add(Change.Put(Keys.part(id, index), part))
             }
-            for (index in stored.parts.size until storedParts.size) changes.add(Change.Delete(Keys.part(id, index)))
+            for (index in stored.parts.size until previousParts.size) changes.add(Change.Delete(Keys.part(id, index)))
             commit(id, changes, record, stored.parts)
         }
 
@@ -140,6 +140,7 @@
         }
     }
 
+    /** Lets the writer change records between the reads of pages, so that each page shows a different revision. */
     private inner class WritingStatePort(
         private val store: SimStore,
         private val writer: Writer,
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -237,8 +237,8 @@
     /** Applies the stored record as the watch does, which may be before or after the answer to the write. */
     private fun applyFromWatch(id: String) {
         val head = store.entry(Keys.job(id)) ?: error("$id is stored")
-        val whole = RecordLayout.merge(head.value) { store.entry(Keys.part(id, it))?.value }
-        cluster.applyJob(JobId(id), CachedJob.read(whole, head.version), whole)
+        val wholeRecord = RecordLayout.merge(head.value) { store.entry(Keys.part(id, it))?.value }
+        cluster.applyJob(JobId(id), CachedJob.read(wholeRecord, head.version), wholeRecord)
     }
 
     @Test
