--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -15,7 +15,7 @@
     private val invariants: Invariants,
 ) {
     /** The cluster state and the state cache have to agree on what is cancelled, or one of them lacks it. */
-    fun requireStops(
+    fun requireStopsOfCancelledWork(
         heartbeat: WorkerHeartbeat,
         commands: List<WorkerCommand>,
     ) {
@@ -28,7 +28,7 @@
     }
 
     /** All starts pass here on their way out: those that no stored record names are dropped. */
-    fun storedOnly(
+    fun dropUnstoredStarts(
         machine: Machine,
         commands: List<WorkerCommand>,
     ): List<WorkerCommand> {
--- a/src/main/kotlin/oxbowlug/scheduling/RecordRoom.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/RecordCapacity.kt
@@ -9,7 +9,7 @@
 import oxbowlug.record.WritableFormat
 
 /** How many attempts a job's record can still name inside the value limit of the state service. */
-internal class RecordRoom(
+internal class RecordCapacity(
     settings: Settings,
     private val cluster: ClusterState,
     private val writableFormat: () -> WritableFormat,
@@ -19,12 +19,12 @@
     private var machineNameBytes = LONG_MACHINE_NAME
 
     /** Call it once a snapshot: asked for each job, it would scan all machines each time. */
-    fun measureMachineNames() {
+    fun updateMachineNameBytes() {
         machineNameBytes = longestMachineName()
     }
 
     /** How many more tasks may be placed so that the record stays inside the value limit, however they end. */
-    fun forTasks(job: Job): Int {
+    fun maxAdditionalTasks(job: Job): Int {
         if (writableFormat() == WritableFormat.HEAD_AND_PARTS) return dividedRoom(job)
         val perTask = JobRecord.MAX_PLACEMENT_BYTES + TaskRanges.MAX_RANGE_BYTES
         val room = valueLimit - JobRecord.MAX_SPEC_BYTES - TaskRanges.maxEncodedBytes(job.done)
