--- a/src/test/kotlin/oxbowlug/record/RecordSize.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordSize.kt
@@ -2,14 +2,14 @@
 
 import oxbowlug.cluster.Job
 
-/** An upper bound of a record's size as a single value, in the form in which the state service counts it. */
+/** Upper bound on the size of a job's record as a single value, measured as the state service does. */
 internal object RecordSize {
     fun bound(job: Job): Int {
         val machines =
             job.attempts.values
                 .mapTo(HashSet()) { it.machine }
                 .size
-        return JobRecord.SPEC_BOUND + TaskRanges.sizeBound(job.done) +
-            machines * JobRecord.MACHINE_BOUND + job.attempts.size * JobRecord.PLACEMENT_BOUND
+        return JobRecord.MAX_SPEC_BYTES + TaskRanges.maxEncodedBytes(job.done) +
+            machines * JobRecord.MAX_MACHINE_BYTES + job.attempts.size * JobRecord.MAX_PLACEMENT_BYTES
     }
 }
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -188,7 +188,9 @@
     }
 
     private fun enableNewestFormat() {
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))))
+        store.commit(
+            Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST)))),
+        )
     }
 
     private fun submitAndAnswer(
@@ -248,7 +250,7 @@
 
     @Test
     fun `nothing is written under the format marker of a newer version`() {
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(99)))))
+        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(99)))))
         storeAccepted("run-a")
         val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
         val revisionBefore = store.revision
