--- a/src/main/kotlin/oxbowlug/forecast/DemandForecast.kt
+++ b/src/main/kotlin/oxbowlug/forecast/DemandForecast.kt
@@ -9,79 +9,79 @@
 import kotlin.math.sqrt
 
 /**
- * How many tasks of each class came and went of late, and so how much room is needed while a machine boots beside what
- * comes free by itself. Only classes for whose starts the platform has an objective are followed: for them a start is
- * worth more than its rent.
+ * Forecasts how many tasks of each class will need capacity within the boot time of a machine, from the tasks that were
+ * submitted and cancelled within the last [windowMs]. It tracks only classes whose start delay has an objective: for
+ * them an early start is worth more than the rent of reserved capacity.
  */
 internal class DemandForecast(
     settings: Settings,
     private val windowMs: Long,
 ) {
-    /** [tasks] is negative for those that left. */
+    /** A submission or, with negative [tasks], a cancellation. */
     private class Change(
         val atMs: Long,
         val tasks: Int,
     )
 
-    private class FollowedClass(
+    private class TrackedClass(
         val objective: Objective.Wait,
     ) {
         val changes = ArrayDeque<Change>()
         var example: JobSpec? = null
     }
 
-    private val followed = HashMap<ClassName, FollowedClass>()
-    private var firstMs = Long.MAX_VALUE
+    private val trackedClasses = HashMap<ClassName, TrackedClass>()
+    private var firstSubmissionMs = Long.MAX_VALUE
 
     init {
         for (objective in settings.objectives) {
-            if (objective is Objective.Wait) followed[objective.className] = FollowedClass(objective)
+            if (objective is Objective.Wait) trackedClasses[objective.className] = TrackedClass(objective)
         }
     }
 
-    /** A job came at [atMs], by the time of day. */
+    /** Records a job that was submitted at [atMs], in wall-clock time. */
     fun add(
         spec: JobSpec,
         atMs: Long,
     ) {
-        firstMs = minOf(firstMs, atMs)
-        val followedClass = followed[spec.className] ?: return
-        followedClass.changes.addLast(Change(atMs, spec.tasks))
-        followedClass.example = spec
+        firstSubmissionMs = minOf(firstSubmissionMs, atMs)
+        val trackedClass = trackedClasses[spec.className] ?: return
+        trackedClass.changes.addLast(Change(atMs, spec.tasks))
+        trackedClass.example = spec
     }
 
-    /** A job left without running to its end: cancelled at [atMs], by the time of day. */
+    /** Records a job that was cancelled at [atMs], in wall-clock time, and won't run to its end. */
     fun remove(
         spec: JobSpec,
         atMs: Long,
     ) {
-        followed[spec.className]?.changes?.addLast(Change(atMs, -spec.tasks))
+        trackedClasses[spec.className]?.changes?.addLast(Change(atMs, -spec.tasks))
     }
 
-    /** An example of each class with the number of its tasks that should find room at once. */
+    /** For each class an example job, with the number of tasks for which capacity should be kept free. */
     fun expected(
         nowMs: Long,
         bootS: (JobSpec) -> Double,
     ): List<Pair<JobSpec, Int>> {
         val result = ArrayList<Pair<JobSpec, Int>>()
-        // Jobs that came before this leader count for their own time, not for its short one.
-        val seenS = (minOf(windowMs, nowMs - firstMs) / 1000.0).coerceAtLeast(MIN_SEEN_S)
-        for (followedClass in followed.values) {
-            followedClass.changes.removeIf { it.atMs < nowMs - windowMs }
-            val example = followedClass.example ?: continue
-            if (followedClass.changes.none { it.tasks > 0 }) continue
-            val growth = followedClass.changes.sumOf { it.tasks }.coerceAtLeast(0)
-            val squares = followedClass.changes.sumOf { it.tasks.toDouble() * it.tasks }
-            val lead = bootS(example) / seenS
-            // The spread of a compound Poisson count; the objective's share says how far out to go.
-            val sigmas = -ln((1.0 - followedClass.objective.share).coerceAtLeast(1e-3)) / 2.0
-            val count = ceil(growth * lead + sigmas * sqrt(squares * lead)).toInt()
+        // Counts from the first submission, which may be earlier than this leader's term: the term may be short.
+        val observedS = (minOf(windowMs, nowMs - firstSubmissionMs) / 1000.0).coerceAtLeast(MIN_OBSERVED_S)
+        for (trackedClass in trackedClasses.values) {
+            trackedClass.changes.removeIf { it.atMs < nowMs - windowMs }
+            val example = trackedClass.example ?: continue
+            if (trackedClass.changes.none { it.tasks > 0 }) continue
+            val netArrivals = trackedClass.changes.sumOf { it.tasks }.coerceAtLeast(0)
+            val sumOfSquares = trackedClass.changes.sumOf { it.tasks.toDouble() * it.tasks }
+            val windowFraction = bootS(example) / observedS
+            // Standard deviation of a compound Poisson count; the objective's share sets how many of them to cover.
+            val deviations = -ln((1.0 - trackedClass.objective.share).coerceAtLeast(1e-3)) / 2.0
+            val count = ceil(netArrivals * windowFraction + deviations * sqrt(sumOfSquares * windowFraction)).toInt()
             if (count > 0) result.add(example to count)
         }
         return result
     }
 
     private companion object {
-        const val MIN_SEEN_S = 60.0
+        const val MIN_OBSERVED_S = 60.0
     }
 }
--- a/src/test/kotlin/oxbowlug/forecast/DemandForecastTest.kt
+++ b/src/test/kotlin/oxbowlug/forecast/DemandForecastTest.kt
@@ -38,29 +38,29 @@
         )
 
     @Test
-    fun `room is held for what comes, less what comes free meanwhile`() {
+    fun `the forecast counts submitted tasks, less cancelled ones`() {
         class Case(
             val name: String,
-            val came: Int,
-            val left: Int,
+            val submitted: Int,
+            val cancelled: Int,
             val nowS: Long,
-            val room: Int,
+            val expectedTasks: Int,
         )
-        // One task a job, a window of 90 s and a boot of 30 s; the objective's share of 0.9 asks for 1.15 deviations.
+        // One task per job, a window of 90 s, a boot of 30 s; the objective's share of 0.9 covers 1.15 deviations.
         val cases =
             listOf(
-                Case("nothing came", 0, 0, 90, 0),
-                Case("a growing class", 27, 0, 90, 9 + 4),
-                Case("as many came as went", 27, 27, 90, 5),
-                Case("more went than came", 9, 27, 90, 4),
-                Case("all of it is long ago", 27, 0, 400, 0),
+                Case("nothing submitted", 0, 0, 90, 0),
+                Case("only submissions", 27, 0, 90, 9 + 4),
+                Case("as many cancelled as submitted", 27, 27, 90, 5),
+                Case("more cancelled than submitted", 9, 27, 90, 4),
+                Case("all outside the window", 27, 0, 400, 0),
             )
         for (case in cases) {
             val forecast = DemandForecast(SettingsFile.parse(SampleSettings.valid), 90_000)
-            repeat(case.came) { forecast.add(spec(1), 0) }
-            repeat(case.left) { forecast.remove(spec(1), 1_000) }
+            repeat(case.submitted) { forecast.add(spec(1), 0) }
+            repeat(case.cancelled) { forecast.remove(spec(1), 1_000) }
             val expected = forecast.expected(case.nowS * 1000) { 30.0 }
-            assertEquals(case.room, expected.sumOf { it.second }, case.name)
+            assertEquals(case.expectedTasks, expected.sumOf { it.second }, case.name)
         }
     }
 }
