--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -96,7 +96,7 @@
         val countsFrom = machine.lease.countsFromMs ?: return false
         val type = types[machine.type] ?: return false
         val leftS = (timing.workerExpiryMs - (now - countsFrom)) / 1000.0
-        return Pricing.isWorthGivingUp(round.replicaWeight(machine), leftS, type, machine.spot, types.values)
+        return Pricing.isReplacementCheaper(round.replicaWeight(machine), leftS, type, machine.spot, types.values)
     }
 
     private fun isSuspect(
--- a/src/main/kotlin/oxbowlug/plan/Consolidation.kt
+++ b/src/main/kotlin/oxbowlug/plan/Consolidation.kt
@@ -31,7 +31,7 @@
                 .filter {
                     it.isReady &&
                         it.id != null &&
-                        it.tenants.isNotEmpty() &&
+                        it.placedTasks.isNotEmpty() &&
                         it.id !in reserved &&
                         movable(it, snapshot)
                 }.sortedByDescending { gain(it, snapshot) }
@@ -50,7 +50,7 @@
         machine: PlanMachine,
         snapshot: Snapshot,
     ): Boolean =
-        machine.tenants.all { tenant ->
+        machine.placedTasks.all { tenant ->
             !tenant.stopping && tenant.spec.kind == JobKind.SERVICE && tenant.ranS >= snapshot.settledS
         }
 
@@ -60,7 +60,7 @@
     ): Double {
         val perSecond = machine.type.price(machine.spot) / 3600.0
         val saved = perSecond * Pricing.serviceS(snapshot)
-        val down = machine.tenants.size * Pricing.omega(1.0, snapshot) * MOVE_S
+        val down = machine.placedTasks.size * Pricing.omega(1.0, snapshot) * MOVE_S
         val boot = perSecond * machine.type.bootS
         return saved - maxOf(boot, down)
     }
@@ -71,21 +71,21 @@
     ): Map<AttemptId, MachineId>? {
         val targets = LinkedHashMap<AttemptId, MachineId>()
         val free = HashMap<PlanMachine, Resources>()
-        val zoneUse = HashMap<String, HashMap<Zone, Int>>()
-        for (tenant in machine.tenants) {
+        val tasksByZoneOfJob = HashMap<String, HashMap<Zone, Int>>()
+        for (tenant in machine.placedTasks) {
             val spec = tenant.spec
-            val use = zoneUse.getOrPut(spec.id.value) { HashMap(tenant.zoneUse) }
-            use.merge(machine.zone, -1, Int::plus)
+            val otherTasksByZone = tasksByZoneOfJob.getOrPut(spec.id.value) { HashMap(tenant.tasksByZone) }
+            otherTasksByZone.merge(machine.zone, -1, Int::plus)
             val host =
                 hosts.firstOrNull { other ->
                     tenant.need.fitsIn(free[other] ?: other.free) &&
                         other !== machine &&
                         spec.image in other.images &&
-                        allows(spec, other, use)
+                        allows(spec, other, otherTasksByZone)
                 } ?: return null
             targets[tenant.attempt] = host.id ?: return null
             free[host] = (free[host] ?: host.free) - tenant.need
-            use.merge(host.zone, 1, Int::plus)
+            otherTasksByZone.merge(host.zone, 1, Int::plus)
         }
         return targets
     }
@@ -93,13 +93,13 @@
     fun allows(
         spec: JobSpec,
         host: PlanMachine,
-        use: Map<Zone, Int>,
+        otherTasksByZone: Map<Zone, Int>,
     ): Boolean {
         if (host.spot && !spec.spot) return false
         if (spec.types != null && host.type.name !in spec.types) return false
         if (spec.zone != null && host.zone != spec.zone) return false
-        if (spec.oneZone && use.any { (zone, count) -> count > 0 && zone != host.zone }) return false
-        return (use[host.zone] ?: 0) < spec.zoneCap
+        if (spec.oneZone && otherTasksByZone.any { (zone, count) -> count > 0 && zone != host.zone }) return false
+        return (otherTasksByZone[host.zone] ?: 0) < spec.zoneCap
     }
 
     /** A moved replica is down for about a heartbeat, a plan and a start. */
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -3,8 +3,8 @@
 import oxbowlug.cluster.ClusterState
 import oxbowlug.cluster.Machine
 import oxbowlug.cluster.TaskAttempt
+import oxbowlug.plan.PlacedTask
 import oxbowlug.plan.PlanMachine
-import oxbowlug.plan.Tenant
 import oxbowlug.resource.Resources
 import oxbowlug.resource.fetchS
 import oxbowlug.scaling.PendingOrder
@@ -51,12 +51,12 @@
             images = machine.images,
             fetching = machine.fetching(),
             isEmpty = machine.attempts.isEmpty(),
-            leaving = leaving(machine),
-            tenants =
+            stoppingUsage = stoppingUsage(machine),
+            placedTasks =
                 lazy(LazyThreadSafetyMode.NONE) {
                     machine.attempts.values.map { tenant(it, type, zoneUses, now) }
                 },
-            leastUrgent = leastUrgent(machine),
+            lowestPriority = lowestPriority(machine),
         )
     }
 
@@ -99,13 +99,13 @@
         return result
     }
 
-    private fun leaving(machine: Machine): Resources {
+    private fun stoppingUsage(machine: Machine): Resources {
         var sum = Resources.NONE
         for (attempt in machine.attempts.values) if (!attempt.isWanted) sum += attempt.job.need
         return sum
     }
 
-    private fun leastUrgent(machine: Machine): Priority? {
+    private fun lowestPriority(machine: Machine): Priority? {
         var least: Priority? = null
         for (attempt in machine.attempts.values) {
             val priority = attempt.job.priority
@@ -119,13 +119,13 @@
         type: MachineType,
         zoneUses: ZoneUses,
         now: Long,
-    ): Tenant {
+    ): PlacedTask {
         val spec = attempt.job.spec
         val ranS = if (attempt.workerState == TaskState.RUNNING) (now - attempt.runningSince) / 1000.0 else 0.0
-        return Tenant(
+        return PlacedTask(
             attempt = attempt.id,
             spec = spec,
-            zoneUse = zoneUses.of(attempt.job),
+            tasksByZone = zoneUses.of(attempt.job),
             ranS = ranS,
             fetchS = type.fetchS(spec),
             weight = weights.of(spec.className),
@@ -143,7 +143,7 @@
         val request = order.request
         val type = types[request.type] ?: return emptyList()
         val readyInS = maxOf(SOON_S, type.bootS - (now - order.orderedAt) / 1000.0)
-        return List(request.count) { PlanMachine.pendingOrders(type, request.zone, request.spot, readyInS) }
+        return List(request.count) { PlanMachine.forRental(type, request.zone, request.spot, readyInS) }
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -84,7 +84,7 @@
             val team = teams[job.spec.team] ?: continue
             for (attempt in job.attempts.values) {
                 team.add(need)
-                if (!attempt.isWanted) team.expectStop(need)
+                if (!attempt.isWanted) team.addStopping(need)
             }
         }
         return teams
