--- a/src/main/kotlin/oxbowlug/plan/Consolidation.kt
+++ b/src/main/kotlin/oxbowlug/plan/Consolidation.kt
@@ -1,7 +1,7 @@
 package oxbowlug.plan
 
 import oxbowlug.resource.Resources
-import oxbowlug.resource.share
+import oxbowlug.resource.dominantShare
 import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobSpec
@@ -9,18 +9,20 @@
 import oxbowlug.wire.Zone
 
 /**
- * Empties one machine a round when everything on it fits elsewhere at once and what is saved outweighs both one
- * boot of machine time and the time that the moved replicas are down.
+ * Empties at most one machine per round: one whose replicas all fit on other machines now, and whose saved rent is
+ * higher than both the rent of one boot and the cost of the moved replicas' downtime.
  */
 internal object Consolidation {
-    /** [targets] says where the replicas of [machine] go. */
+    /** [targets] maps each attempt on [machine] to the machine that its replica moves to. */
     class Move(
         val machine: MachineId,
         val targets: Map<AttemptId, MachineId>,
     ) {
+        /** The number of jobs that have a replica moved. */
         val jobs: Int get() = targets.keys.distinctBy { it.task.job }.size
     }
 
+    /** The move with the highest net saving, or null if none saves anything; skips machines in [reserved]. */
     fun choose(
         machines: List<PlanMachine>,
         reserved: Set<MachineId>,
@@ -33,63 +35,64 @@
                         it.id != null &&
                         it.placedTasks.isNotEmpty() &&
                         it.id !in reserved &&
-                        movable(it, snapshot)
-                }.sortedByDescending { gain(it, snapshot) }
-                .take(MOST_TRIED)
-        // The fullest first, so that the emptier ones can be emptied next.
-        val hosts = machines.filter { it.isReady && !it.isEmpty }.sortedBy { it.type.share(it.free) }
+                        isMovable(it, snapshot)
+                }.sortedByDescending { netSaving(it, snapshot) }
+                .take(MAX_CANDIDATES)
+        // Replicas move to the fullest machine that fits, so that the emptier ones can be emptied in later rounds.
+        val hosts = machines.filter { it.isReady && !it.isEmpty }.sortedBy { it.type.dominantShare(it.free) }
         for (machine in candidates) {
-            if (gain(machine, snapshot) <= 0.0) return null
-            val targets = elsewhere(machine, hosts) ?: continue
+            if (netSaving(machine, snapshot) <= 0.0) return null
+            val targets = findTargets(machine, hosts) ?: continue
             return Move(machine.id ?: continue, targets)
         }
         return null
     }
 
-    private fun movable(
+    private fun isMovable(
         machine: PlanMachine,
         snapshot: Snapshot,
     ): Boolean =
-        machine.placedTasks.all { tenant ->
-            !tenant.stopping && tenant.spec.kind == JobKind.SERVICE && tenant.ranS >= snapshot.settledS
+        machine.placedTasks.all { placedTask ->
+            !placedTask.stopping && placedTask.spec.kind == JobKind.SERVICE && placedTask.ranS >= snapshot.settledS
         }
 
-    private fun gain(
+    private fun netSaving(
         machine: PlanMachine,
         snapshot: Snapshot,
     ): Double {
-        val perSecond = machine.type.price(machine.spot) / 3600.0
-        val saved = perSecond * Pricing.serviceS(snapshot)
-        val down = machine.placedTasks.size * Pricing.omega(1.0, snapshot) * MOVE_S
-        val boot = perSecond * machine.type.bootS
-        return saved - maxOf(boot, down)
+        val pricePerS = machine.type.price(machine.spot) / 3600.0
+        val savedRent = pricePerS * Pricing.assumedServiceRunS(snapshot)
+        val downtimeCost = machine.placedTasks.size * Pricing.tardinessCostPerS(1.0, snapshot) * MOVE_DOWNTIME_S
+        val bootCost = pricePerS * machine.type.bootS
+        return savedRent - maxOf(bootCost, downtimeCost)
     }
 
-    private fun elsewhere(
+    private fun findTargets(
         machine: PlanMachine,
         hosts: List<PlanMachine>,
     ): Map<AttemptId, MachineId>? {
         val targets = LinkedHashMap<AttemptId, MachineId>()
         val free = HashMap<PlanMachine, Resources>()
         val tasksByZoneOfJob = HashMap<String, HashMap<Zone, Int>>()
-        for (tenant in machine.placedTasks) {
-            val spec = tenant.spec
-            val otherTasksByZone = tasksByZoneOfJob.getOrPut(spec.id.value) { HashMap(tenant.tasksByZone) }
+        for (placedTask in machine.placedTasks) {
+            val spec = placedTask.spec
+            val otherTasksByZone = tasksByZoneOfJob.getOrPut(spec.id.value) { HashMap(placedTask.tasksByZone) }
             otherTasksByZone.merge(machine.zone, -1, Int::plus)
             val host =
                 hosts.firstOrNull { other ->
-                    tenant.need.fitsIn(free[other] ?: other.free) &&
+                    placedTask.need.fitsIn(free[other] ?: other.free) &&
                         other !== machine &&
                         spec.image in other.images &&
                         allows(spec, other, otherTasksByZone)
                 } ?: return null
-            targets[tenant.attempt] = host.id ?: return null
-            free[host] = (free[host] ?: host.free) - tenant.need
+            targets[placedTask.attempt] = host.id ?: return null
+            free[host] = (free[host] ?: host.free) - placedTask.need
             otherTasksByZone.merge(host.zone, 1, Int::plus)
         }
         return targets
     }
 
+    /** Whether a replica may move to [host]; [otherTasksByZone] counts the other tasks of its job. */
     fun allows(
         spec: JobSpec,
         host: PlanMachine,
@@ -102,9 +105,9 @@
         return (otherTasksByZone[host.zone] ?: 0) < spec.zoneCap
     }
 
-    /** A moved replica is down for about a heartbeat, a plan and a start. */
-    private const val MOVE_S = 3.0
+    /** A moved replica is down for about one heartbeat, one planning round and one start. */
+    private const val MOVE_DOWNTIME_S = 3.0
 
-    /** In a full fleet nothing fits elsewhere, and trying every machine against every other is its square. */
-    private const val MOST_TRIED = 64
+    /** In a full fleet nothing fits elsewhere, and trying every machine would take time quadratic in their number. */
+    private const val MAX_CANDIDATES = 64
 }
--- a/src/main/kotlin/oxbowlug/plan/Constraints.kt
+++ b/src/main/kotlin/oxbowlug/plan/Constraints.kt
@@ -3,6 +3,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.Zone
 
+/** Which machines a job allows; [ZoneRule] adds the constraints on zones. */
 internal object Constraints {
     fun allow(
         job: PlanJob,
@@ -20,24 +21,27 @@
     }
 }
 
-/** Where a job's next task may go, given where its others are or may be. */
+/** The zones that a job's next task may go to, given the zones where its other tasks are or may be. */
 internal class ZoneRule(
     private val job: PlanJob,
 ) {
-    private val use = HashMap(job.tasksByZone)
-    var fixed: Zone? = if (job.spec.oneZone) job.tasksByZone.keys.firstOrNull() else null
+    private val taskCounts = HashMap(job.tasksByZone)
 
-    fun used(zone: Zone): Int = use[zone] ?: 0
+    /** The zone of a one-zone job once it is chosen. */
+    var fixedZone: Zone? = if (job.spec.oneZone) job.tasksByZone.keys.firstOrNull() else null
+
+    /** Number of the job's tasks that are or may be in [zone], with those of this plan. */
+    fun taskCount(zone: Zone): Int = taskCounts[zone] ?: 0
 
     fun allows(zone: Zone): Boolean {
         if (job.spec.zone != null && job.spec.zone != zone) return false
-        val only = fixed
-        if (job.spec.oneZone && only != null && only != zone) return false
-        return used(zone) < job.spec.zoneCap
+        val onlyZone = fixedZone
+        if (job.spec.oneZone && onlyZone != null && onlyZone != zone) return false
+        return taskCount(zone) < job.spec.zoneCap
     }
 
-    fun use(zone: Zone) {
-        use.merge(zone, 1, Int::plus)
-        if (job.spec.oneZone) fixed = zone
+    fun addTask(zone: Zone) {
+        taskCounts.merge(zone, 1, Int::plus)
+        if (job.spec.oneZone) fixedZone = zone
     }
 }
--- a/src/main/kotlin/oxbowlug/plan/JobPlacement.kt
+++ b/src/main/kotlin/oxbowlug/plan/JobPlacement.kt
@@ -3,7 +3,7 @@
 import oxbowlug.resource.resources
 import oxbowlug.wire.JobKind
 
-/** How far the tasks of one job have been placed. */
+/** Progress in placing the pending tasks of one job. */
 internal class JobPlacement(
     val job: PlanJob,
     val team: PlanTeam,
@@ -11,11 +11,13 @@
     val need = job.spec.resources()
     val zones = ZoneRule(job)
     val starts = ArrayList<Start>()
-    var next = 0
-    var isStuck = false
-    val left: Int get() = job.pending.size - next
 
-    /** A gang needs its guarantee as a whole. */
+    /** Index into [PlanJob.pending] of the next task to place. */
+    var nextIndex = 0
+    var isUnschedulable = false
+    val remaining: Int get() = job.pending.size - nextIndex
+
+    /** Whether the team's guarantee covers the next task, or for a gang all of its pending tasks. */
     fun mayBeGuaranteed(): Boolean =
         team.guarantees(if (job.spec.kind == JobKind.GANG) need * job.pending.size.toDouble() else need)
 }
--- a/src/main/kotlin/oxbowlug/plan/PlacedTask.kt
+++ b/src/main/kotlin/oxbowlug/plan/PlacedTask.kt
@@ -10,20 +10,21 @@
 import oxbowlug.wire.TeamName
 import oxbowlug.wire.Zone
 
-/** A task that holds part of a machine. */
+/** A task that holds resources of a machine: it runs, is about to run, or is being stopped. */
 internal class PlacedTask(
     val attempt: AttemptId,
     val spec: JobSpec,
-    /** Where its job's tasks are. */
+    /** Tasks of its job that are or may be on machines, by zone. */
     val tasksByZone: Map<Zone, Int>,
-    /** How long it has run; 0 while it waits for its image. */
+    /** Run time so far; 0 while the machine fetches its image. */
     val ranS: Double,
-    /** How long its image takes to fetch. */
+    /** Time to fetch its image. */
     private val fetchS: Double,
+    /** Tardiness weight of its job's class. */
     val weight: Double,
-    /** On its way out: its room comes free by itself. */
+    /** It is being stopped already, so its resources come free without a preemption. */
     val stopping: Boolean,
-    /** Its job's own, or the more urgent one of a job that needs it. */
+    /** Priority of its job, or the more urgent one of a job that depends on it. */
     val priority: Priority = spec.priority,
 ) {
     val team: TeamName get() = spec.team
@@ -33,16 +34,17 @@
     val saveS: Double get() = if (spec.savesWork) spec.saveS else 0.0
 
     /**
-     * Time until it runs again elsewhere. On about every other machine that it may go to it has to fetch its image. A
-     * replica is missed meanwhile: priced at less, a young one was stopped for a start that saved only its own fetch.
+     * Expected time until it runs on another machine. About half of the possible machines have to fetch its image. A
+     * replica counts for more, since it is down meanwhile: with less, the planner stopped a young replica for a start
+     * that saved only the starting task's image fetch.
      */
-    val restartS: Double get() = fetchS * if (spec.kind == JobKind.SERVICE) REPLICA_FETCHES else TASK_FETCHES
+    val restartS: Double get() = fetchS * if (spec.kind == JobKind.SERVICE) REPLICA_FETCH_FACTOR else TASK_FETCH_FACTOR
 
-    /** Work that stopping it would lose. */
+    /** Seconds of work that are lost if it is stopped. */
     val lossS: Double get() = if (spec.savesWork) spec.saveS else ranS
 
     private companion object {
-        const val TASK_FETCHES = 0.5
-        const val REPLICA_FETCHES = 2.0
+        const val TASK_FETCH_FACTOR = 0.5
+        const val REPLICA_FETCH_FACTOR = 2.0
     }
 }
--- a/src/main/kotlin/oxbowlug/plan/Plan.kt
+++ b/src/main/kotlin/oxbowlug/plan/Plan.kt
@@ -4,22 +4,25 @@
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
 
+/** Places task [task] of a job on a ready machine. */
 internal data class Start(
     val job: JobId,
     val task: Int,
     val machine: MachineId,
 )
 
+/** The decisions of one planning round. */
 internal class Plan(
     val starts: List<Start>,
     val stops: List<AttemptId>,
-    /** Where those of [stops] go that are only moved. */
+    /** For those of [stops] that are moves: the machine on which the task starts next. */
     val targets: Map<AttemptId, MachineId>,
     val rentals: Map<MachineKind, Int>,
-    /** Machines, ready or not, on which this plan relies for tasks that can't start yet. */
+    /** Machines, ready or not, that this plan holds for tasks that can't start yet. */
     val reserved: Set<MachineId>,
+    /** Number of tasks that fit nowhere, not even on a rental. */
     val unplaced: Int,
-    /** How many machines were priced for it: the measure of its work. */
+    /** How many machine costs the planner computed: the measure of its work. */
     val priced: Int,
     val move: Consolidation.Move? = null,
 )
--- a/src/main/kotlin/oxbowlug/plan/PlanMachine.kt
+++ b/src/main/kotlin/oxbowlug/plan/PlanMachine.kt
@@ -11,85 +11,93 @@
 import oxbowlug.wire.Priority
 import oxbowlug.wire.Zone
 
+/** A machine as the planner sees it, with the resources that the plan has allocated on it so far. */
 internal class PlanMachine(
-    /** Null for a machine that this plan rents. */
+    /** Null for a machine that is on order or that this plan rents. */
     val id: MachineId?,
     val type: MachineType,
     val zone: Zone,
     val spot: Boolean,
     free: Resources,
-    /** Zero: can be given work now. Otherwise it is booting, or hasn't been heard yet. */
+    /** Zero if tasks can start now; otherwise it is ordered, booting, or not in contact with this leader yet. */
     val readyInS: Double,
+    /** Images that are on the machine. */
     val images: Set<ImageName>,
+    /** Images that the machine is fetching or will fetch for the tasks placed on it. */
     val fetching: Set<ImageName>,
     val isEmpty: Boolean,
-    /** What those of its tenants take that are on their way out. */
+    /** Resources of tasks that are being stopped. */
     stoppingUsage: Resources,
-    /** Most plans look at few machines' tenants, so they are listed only when asked for. */
+    /** Lazy because most plans look at the tasks of few machines. */
     placedTasks: Lazy<List<PlacedTask>>,
-    /** No tenant that isn't on its way out is less urgent than this; null where there is none at all. */
+    /** The lowest priority of the tasks that aren't being stopped; null if there are none. */
     val lowestPriority: Priority? = Priority.LOW,
 ) {
     val placedTasks: List<PlacedTask> by placedTasks
 
-    /** Counts what this plan changed of its room, so that prices know when they are outdated. */
-    var changes = 0
+    /** How often this plan changed the machine's resources: a cached cost of an earlier count is outdated. */
+    var changeCount = 0
         private set
     private var index = 0
-    private var changed: ChangedMachines? = null
+    private var changedMachines: ChangedMachines? = null
 
-    /** From here on [log] is told of each change, under the machine's place in the plan. */
-    fun reportChangesTo(
+    /** From now on records each change in [log], under [machineIndex], the machine's index in the plan. */
+    fun recordChangesIn(
         log: ChangedMachines,
-        asIndex: Int,
+        machineIndex: Int,
     ) {
-        changed = log
-        index = asIndex
+        changedMachines = log
+        index = machineIndex
     }
 
-    private fun noteChange() {
-        changes++
-        changed?.add(index)
+    private fun recordChange() {
+        changeCount++
+        changedMachines?.add(index)
     }
 
     var free: Resources = free
         private set
 
-    /** What comes free on its own or through this plan's stops, less what this plan has promised of it. */
-    var coming: Resources = stoppingUsage
+    /** Resources of tasks that are being stopped, less what this plan has reserved of them for pending tasks. */
+    var pendingFree: Resources = stoppingUsage
         private set
+
+    /** Attempts that this plan stops. */
     val stopped = HashSet<AttemptId>()
     val isReady: Boolean get() = readyInS <= 0.0
-    val isGettingRoom: Boolean get() = coming.cores > 0.0 || coming.gpus > 0.0 || coming.memoryGb > 0.0
+    val hasPendingFree: Boolean get() = pendingFree.cores > 0.0 || pendingFree.gpus > 0.0 || pendingFree.memoryGb > 0.0
 
-    /** Takes [need] of what is free now. */
-    fun take(need: Resources) {
+    /** Allocates [need] from [free]. */
+    fun allocate(need: Resources) {
         free -= need
-        noteChange()
+        recordChange()
     }
 
-    fun promise(need: Resources) {
-        coming -= need
-        noteChange()
+    /** Reserves [need] from [pendingFree]. */
+    fun reservePendingFree(need: Resources) {
+        pendingFree -= need
+        recordChange()
     }
 
-    fun stop(tenant: PlacedTask) {
-        stopped.add(tenant.attempt)
-        coming += tenant.need
-        noteChange()
+    /** Plans the stop of a task, which adds its need to [pendingFree]. */
+    fun stop(placedTask: PlacedTask) {
+        stopped.add(placedTask.attempt)
+        pendingFree += placedTask.need
+        recordChange()
     }
 
+    /** Time until the job's image is on this machine. */
     fun fetchS(spec: JobSpec): Double =
         when {
             spec.image in images || spec.imageGb <= 0.0 -> 0.0
             type.fetchGbPerS <= 0.0 -> 0.0
-            // Several images fetched at once may share the rate; one already under way is half there on average.
+            // Concurrent fetches may share the rate. An image that is being fetched is half done on average.
             spec.image in fetching -> spec.imageGb / type.fetchGbPerS * 0.5 * fetching.size
             else -> spec.imageGb / type.fetchGbPerS * (1 + fetching.size)
         }
 
     companion object {
-        /** An empty machine without a name yet. */
+        /** An empty machine that this plan rents or that is on order, so it has no id yet. */
         fun forRental(
             type: MachineType,
             zone: Zone,
--- a/src/main/kotlin/oxbowlug/plan/PlanTeam.kt
+++ b/src/main/kotlin/oxbowlug/plan/PlanTeam.kt
@@ -2,6 +2,7 @@
 
 import oxbowlug.resource.Resources
 
+/** A team's limit, guarantee and usage; the planner adds the need of each task that it places. */
 internal class PlanTeam(
     val maxCores: Double,
     val maxGpus: Double,
@@ -20,36 +21,36 @@
         gpus += need.gpus
     }
 
-    /** [need] is on its way out: it still counts for the limit, but is not borrowed a second time. */
+    /** Counts [need] as being stopped: it still counts against the limit, but no longer as borrowed. */
     fun addStopping(need: Resources) {
         stoppingCores += need.cores
         stoppingGpus += need.gpus
     }
 
-    fun hasRoomFor(need: Resources): Boolean =
-        cores + need.cores <= maxCores + SLACK && gpus + need.gpus <= maxGpus + SLACK
+    fun isWithinLimit(need: Resources): Boolean =
+        cores + need.cores <= maxCores + ROUNDING_TOLERANCE && gpus + need.gpus <= maxGpus + ROUNDING_TOLERANCE
 
-    /** A guarantee of 0 is none, so a team needs a guarantee in whatever the task takes. */
+    /** Whether one more task with [need] stays within the guarantee; a resource guarantee of 0 sets no bound for it. */
     fun guarantees(need: Resources): Boolean {
         val anything = guaranteedCores > 0.0 || guaranteedGpus > 0.0
         return anything && within(cores + need.cores, guaranteedCores) && within(gpus + need.gpus, guaranteedGpus)
     }
 
-    /** Whether it stays at or above its guarantee without [need], so that [need] is borrowed. */
+    /** Whether a placed task with [need] is borrowed: without it the team still uses at least its guarantee. */
     fun borrows(need: Resources): Boolean {
         val coresOver =
             guaranteedCores > 0.0 &&
                 need.cores > 0.0 &&
-                cores - stoppingCores - need.cores >= guaranteedCores - SLACK
+                cores - stoppingCores - need.cores >= guaranteedCores - ROUNDING_TOLERANCE
         val gpusOver =
             guaranteedGpus > 0.0 &&
                 need.gpus > 0.0 &&
-                gpus - stoppingGpus - need.gpus >= guaranteedGpus - SLACK
+                gpus - stoppingGpus - need.gpus >= guaranteedGpus - ROUNDING_TOLERANCE
         val nothingGuaranteed = guaranteedCores <= 0.0 && guaranteedGpus <= 0.0
         return coresOver || gpusOver || nothingGuaranteed
     }
 
-    /** Whether [borrows] can be true of any of its tasks. */
+    /** Whether [borrows] can be true for any of the team's tasks. */
     fun borrowsAnything(): Boolean =
         (guaranteedCores > 0.0 && cores - stoppingCores > guaranteedCores) ||
             (guaranteedGpus > 0.0 && gpus - stoppingGpus > guaranteedGpus) ||
@@ -58,9 +59,9 @@
     private fun within(
         value: Double,
         guarantee: Double,
-    ) = guarantee <= 0.0 || value <= guarantee + SLACK
+    ) = guarantee <= 0.0 || value <= guarantee + ROUNDING_TOLERANCE
 
     private companion object {
-        const val SLACK = 1e-6
+        const val ROUNDING_TOLERANCE = 1e-6
     }
 }
--- a/src/main/kotlin/oxbowlug/plan/Planner.kt
+++ b/src/main/kotlin/oxbowlug/plan/Planner.kt
@@ -10,18 +10,19 @@
 import oxbowlug.wire.Zone
 
 /**
- * One round of the rent-and-deadline plan. Jobs are ranked by what postponing them to the next round would cost;
- * each in turn takes the cheapest place that its constraints allow: a ready machine, one that is coming, room made
- * by stopping work that may be stopped, or a new rental. Nothing that fits is postponed.
+ * One greedy planning round that keeps rent plus weighted tardiness low. Jobs are ranked by priority and by the penalty
+ * of postponing them to the next round. Each task in turn gets the cheapest placement that its constraints allow: free
+ * capacity of a ready machine, a booting machine, capacity freed by preemption, or a new rental. A task that fits
+ * somewhere is never postponed.
  */
 internal class Planner(
     private val snapshot: Snapshot,
 ) {
     private val machines = ArrayList(snapshot.machines)
-    private val changed = ChangedMachines()
-    private val offers = Offers(machines, snapshot, changed)
-    private val stopping = Stops(machines, snapshot)
-    private val rentalPrices = RentalPrices(snapshot)
+    private val changedMachines = ChangedMachines()
+    private val candidates = PlacementCandidates(machines, snapshot, changedMachines)
+    private val preemptions = PreemptionCandidates(machines, snapshot)
+    private val rentalCosts = RentalCosts(snapshot)
     private val machinesInZone = HashMap<Zone, Int>()
     private val hasMachinesWithoutGpus = machines.any { it.type.gpus <= 0.0 }
     private val starts = ArrayList<Start>()
@@ -31,54 +32,54 @@
     private val reserved = LinkedHashSet<MachineId>()
     private var unplaced = 0
 
-    /** Of the job that is being placed. */
-    private var startWeight = 0.0
+    /** See [Pricing.startDelayWeight]; of the job that is being placed. */
+    private var startDelayWeight = 0.0
 
     init {
         for ((index, machine) in machines.withIndex()) {
             machinesInZone.merge(machine.zone, 1, Int::plus)
-            machine.reportChangesTo(changed, index)
+            machine.recordChangesIn(changedMachines, index)
         }
     }
 
     fun plan(): Plan {
         val (reserves, jobs) = snapshot.jobs.partition { it.isReserve }
         val placements = Ranking.order(jobs, snapshot.horizonS, snapshot.postponeFactor).mapNotNull(::placement)
-        // Room was found for them before they were stopped; nobody else may take it meanwhile.
+        // Tasks that are being moved come first: they were stopped because another machine has capacity for them.
         for (placement in placements) if (placement.job.isMoving) placeTasks(placement, guaranteedOnly = false)
-        // What a guarantee covers may displace whatever is borrowed, so it goes before it, whatever the priorities:
-        // placed after, it would stop what this plan has just started, in every plan again.
+        // Work within a guarantee may preempt borrowing work of any priority, so it is placed first. Placed later, it
+        // would stop tasks that the same plan had started, again in every round.
         for (placement in placements) if (placement.mayBeGuaranteed()) placeTasks(placement, guaranteedOnly = true)
         for (placement in placements) {
             placeTasks(placement, guaranteedOnly = false)
-            withholdPartOfGang(placement)
+            addStartsUnlessPartialGang(placement)
         }
-        val calm = unplaced == 0 && stops.isEmpty()
+        val isSteady = unplaced == 0 && stops.isEmpty()
         for (job in Ranking.order(reserves, snapshot.horizonS, snapshot.postponeFactor)) reserve(job)
-        val move = if (calm && snapshot.mayMove) Consolidation.choose(machines, reserved, snapshot) else null
-        return Plan(starts, stops, targets, rentals, reserved, unplaced, offers.priced + stopping.asked, move)
+        val move = if (isSteady && snapshot.mayMove) Consolidation.choose(machines, reserved, snapshot) else null
+        return Plan(starts, stops, targets, rentals, reserved, unplaced, candidates.priced + preemptions.priced, move)
     }
 
     private fun placement(job: PlanJob): JobPlacement? = snapshot.teams[job.spec.team]?.let { JobPlacement(job, it) }
 
-    private fun withholdPartOfGang(placement: JobPlacement) {
-        // A gang gets all its placements in one round or none; what it took stays reserved for it in this plan.
-        val isPart = placement.job.spec.kind == JobKind.GANG && placement.starts.size < placement.job.pending.size
-        if (isPart) placement.starts.forEach { reserved.add(it.machine) } else starts.addAll(placement.starts)
+    private fun addStartsUnlessPartialGang(placement: JobPlacement) {
+        // A gang starts all its tasks in one round or none; its partial placements stay reserved in this plan.
+        val isPartial = placement.job.spec.kind == JobKind.GANG && placement.starts.size < placement.job.pending.size
+        if (isPartial) placement.starts.forEach { reserved.add(it.machine) } else starts.addAll(placement.starts)
     }
 
-    /** Holds room for tasks that are expected, or rents it; whatever is really there goes first. */
+    /** Reserves or rents capacity for forecast tasks; runs last, so tasks that are already pending come first. */
     private fun reserve(job: PlanJob) {
         val need = job.spec.resources()
         val zones = ZoneRule(job)
-        startWeight = 0.0
-        offers.begin(job, need, guaranteed = false)
+        startDelayWeight = 0.0
+        candidates.begin(job, need, guaranteed = false)
         for (index in job.pending.indices) {
-            val ready = offers.cheapest(Room.READY, zones)
+            val ready = candidates.cheapest(Capacity.FREE, zones)
             val host = ready?.machine ?: bootingOrRented(job, need, zones, job.pending.size - index) ?: return
-            host.take(need)
+            host.allocate(need)
             host.id?.let(reserved::add)
-            zones.use(host.zone)
+            zones.addTask(host.zone)
         }
     }
 
@@ -88,24 +89,24 @@
     ) {
         val job = placement.job
         val need = placement.need
-        if (placement.left == 0 || placement.isStuck) return
-        startWeight = Pricing.startWeight(job, guaranteedOnly, snapshot)
-        offers.begin(job, need, guaranteedOnly)
-        stopping.begin(job, need, guaranteedOnly)
-        if (job.spec.oneZone && placement.zones.fixed == null) {
-            placement.zones.fixed = job.spec.zone ?: roomiestZone(job, need)
+        if (placement.remaining == 0 || placement.isUnschedulable) return
+        startDelayWeight = Pricing.startDelayWeight(job, guaranteedOnly, snapshot)
+        candidates.begin(job, need, guaranteedOnly)
+        preemptions.begin(job, need, guaranteedOnly)
+        if (job.spec.oneZone && placement.zones.fixedZone == null) {
+            placement.zones.fixedZone = job.spec.zone ?: zoneWithMostCapacity(job, need)
         }
-        while (placement.left > 0) {
-            // A team at its limit waits for its own work to end; nobody else's is stopped for it.
-            if (!placement.team.hasRoomFor(need)) return
+        while (placement.remaining > 0) {
+            // A team at its limit starts more only when its own tasks end; preempting others would not lower its usage.
+            if (!placement.team.isWithinLimit(need)) return
             if (guaranteedOnly && !placement.team.guarantees(need)) return
             if (!placeTask(placement)) {
-                // The tasks of a job are alike: where one doesn't fit, no other does.
-                unplaced += placement.left
-                placement.isStuck = true
+                // All tasks of a job have the same needs, so if one fits nowhere the others don't either.
+                unplaced += placement.remaining
+                placement.isUnschedulable = true
                 return
             }
-            placement.next++
+            placement.nextIndex++
         }
     }
 
@@ -113,41 +114,45 @@
         val job = placement.job
         val need = placement.need
         val zones = placement.zones
-        val ready = offers.cheapest(Room.READY, zones)
-        if (ready != null && ready.delayS <= 0.0 && !ready.strands && !ready.isScarce) {
+        val ready = candidates.cheapest(Capacity.FREE, zones)
+        if (ready != null && ready.delayS <= 0.0 && !ready.strandsGpus && !ready.isScarce) {
             return start(ready.machine, placement)
         }
-        // Cores beside idle GPUs are left alone if a machine without GPUs will be up in a moment.
-        val soon =
+        // A task that would strand idle GPUs goes to a booting machine, usually one without GPUs, if that costs less.
+        val pendingMachine =
             when {
                 ready == null -> null
-                ready.strands -> offers.cheapest(Room.BOOTING, zones)?.takeIf { it.cost < ready.cost }?.machine
-                ready.isScarce -> spotInsteadOf(ready, placement)
+                ready.strandsGpus ->
+                    candidates.cheapest(Capacity.BOOTING, zones)?.takeIf { it.cost < ready.cost }?.machine
+                ready.isScarce -> spotAlternative(ready, placement)
                 else -> null
             }
-        if (soon != null) {
-            soon.take(need)
-            soon.id?.let(reserved::add)
-            settle(soon.zone, placement)
+        if (pendingMachine != null) {
+            pendingMachine.allocate(need)
+            pendingMachine.id?.let(reserved::add)
+            recordPlacement(pendingMachine.zone, placement)
             return true
         }
-        // A place that isn't free yet is taken only for an earlier start: where the image is, for one.
-        val coming = offers.cheapest(Room.COMING, zones)
-        val stop = stopping.cheapest(placement.team, zones)
+        // Capacity that isn't free yet is used only for an earlier start, for example where the image is cached.
+        val afterStops = candidates.cheapest(Capacity.PENDING_FREE, zones)
+        val preemption = preemptions.cheapest(placement.team, zones)
         val readyCost = ready?.cost ?: Double.POSITIVE_INFINITY
-        val comingCost = coming?.cost ?: Double.POSITIVE_INFINITY
-        val stopCost = stop?.cost ?: Double.POSITIVE_INFINITY
+        val afterStopsCost = afterStops?.cost ?: Double.POSITIVE_INFINITY
+        val preemptionCost = preemption?.cost ?: Double.POSITIVE_INFINITY
         val host =
             when {
-                ready != null && readyCost <= minOf(comingCost, stopCost) ->
+                ready != null && readyCost <= minOf(afterStopsCost, preemptionCost) ->
                     return start(ready.machine, placement)
-                coming != null && comingCost <= stopCost -> coming.machine
-                stop != null -> stop.machine.also { stopAll(stop) }
-                else -> relieve(job, need, zones) ?: bootingOrRented(job, need, zones, placement.left) ?: return false
+                afterStops != null && afterStopsCost <= preemptionCost -> afterStops.machine
+                preemption != null -> preemption.machine.also { stopAll(preemption) }
+                else ->
+                    moveBlockingReplicas(job, need, zones)
+                        ?: bootingOrRented(job, need, zones, placement.remaining)
+                        ?: return false
             }
-        if (host.isReady) promise(host, need) else host.take(need)
+        if (host.isReady) reserveFreeAndPending(host, need) else host.allocate(need)
         host.id?.let(reserved::add)
-        settle(host.zone, placement)
+        recordPlacement(host.zone, placement)
         return true
     }
 
@@ -155,77 +160,77 @@
         host: PlanMachine,
         placement: JobPlacement,
     ): Boolean {
-        host.take(placement.need)
-        val task = placement.job.pending[placement.next]
-        placement.starts.add(Start(placement.job.id, task, host.id ?: error("a ready machine has a name")))
-        settle(host.zone, placement)
+        host.allocate(placement.need)
+        val task = placement.job.pending[placement.nextIndex]
+        placement.starts.add(Start(placement.job.id, task, host.id ?: error("a ready machine must have an id")))
+        recordPlacement(host.zone, placement)
         return true
     }
 
-    private fun promise(
+    private fun reserveFreeAndPending(
         host: PlanMachine,
         need: Resources,
     ) {
-        // The room is part free now and part coming: what is free must not be given away meanwhile.
-        val now =
+        // The free part of the need is allocated now, or another task would take it before the rest comes free.
+        val freeNow =
             Resources(
                 minOf(need.cores, host.free.cores).coerceAtLeast(0.0),
                 minOf(need.gpus, host.free.gpus).coerceAtLeast(0.0),
                 minOf(need.memoryGb, host.free.memoryGb).coerceAtLeast(0.0),
             )
-        host.take(now)
-        host.promise(need - now)
+        host.allocate(freeNow)
+        host.reservePendingFree(need - freeNow)
     }
 
-    private fun settle(
+    private fun recordPlacement(
         zone: Zone,
         placement: JobPlacement,
     ) {
         placement.team.add(placement.need)
-        placement.zones.use(zone)
+        placement.zones.addTask(zone)
     }
 
-    private fun stopAll(choice: Preemption.Choice) {
-        for (preemptedTask in choice.preempted) {
+    private fun stopAll(candidate: Preemption.Candidate) {
+        for (preemptedTask in candidate.preempted) {
             snapshot.teams[preemptedTask.team]?.addStopping(preemptedTask.need)
-            choice.machine.stop(preemptedTask)
+            candidate.machine.stop(preemptedTask)
             stops.add(preemptedTask.attempt)
         }
     }
 
-    private fun relieve(
+    private fun moveBlockingReplicas(
         job: PlanJob,
         need: Resources,
         zones: ZoneRule,
     ): PlanMachine? {
         if (!hasMachinesWithoutGpus) return null
-        val choice = BlockedDemand.choose(job, need, zones, machines, snapshot) ?: return null
-        for (move in choice.moved) {
-            choice.machine.stop(move.tenant)
-            stops.add(move.tenant.attempt)
-            move.host.take(move.tenant.need)
+        val choice = GpuDefragmentation.choose(job, need, zones, machines, snapshot) ?: return null
+        for (move in choice.moves) {
+            choice.machine.stop(move.placedTask)
+            stops.add(move.placedTask.attempt)
+            move.host.allocate(move.placedTask.need)
             move.host.id?.let {
                 reserved.add(it)
-                targets[move.tenant.attempt] = it
+                targets[move.placedTask.attempt] = it
             }
         }
         return choice.machine
     }
 
     /**
-     * Ordinary room that can't be had again is left to work that can't use spot machines, if one of them costs less and
-     * starts sooner than the job would end here: shorter work is out of the way before that.
+     * A booting or new spot machine, so that scarce on-demand capacity is left to jobs that can't use spot machines. It
+     * must cost less and start before the task would end on [scarce]: a shorter task frees that capacity sooner.
      */
-    private fun spotInsteadOf(
-        scarce: Offer,
+    private fun spotAlternative(
+        scarce: PlacementCandidate,
         placement: JobPlacement,
     ): PlanMachine? {
         val job = placement.job
-        val booting = offers.cheapest(Room.BOOTING, placement.zones)
+        val booting = candidates.cheapest(Capacity.BOOTING, placement.zones)
         val isBetter = booting != null && booting.cost < scarce.cost && booting.delayS < job.estimateS
         if (booting != null && isBetter && booting.machine.spot) return booting.machine
         if (!snapshot.mayRent) return null
-        val rental = cheapestRental(job, placement.need, placement.zones, placement.left) ?: return null
+        val rental = cheapestRental(job, placement.need, placement.zones, placement.remaining) ?: return null
         val startsInS = rental.type.bootS + rental.type.fetchS(job.spec)
         return if (rental.kind.spot && rental.cost < scarce.cost && startsInS < job.estimateS) rent(rental) else null
     }
@@ -234,44 +239,43 @@
         job: PlanJob,
         need: Resources,
         zones: ZoneRule,
-        left: Int,
+        remaining: Int,
     ): PlanMachine? {
-        val booting = offers.cheapest(Room.BOOTING, zones)
-        val rental = if (snapshot.mayRent) cheapestRental(job, need, zones, left) else null
+        val booting = candidates.cheapest(Capacity.BOOTING, zones)
+        val rental = if (snapshot.mayRent) cheapestRental(job, need, zones, remaining) else null
         if (rental == null) return booting?.machine
-        // A machine that is coming anyway is filled first, unless another kind is worth one more boot.
-        val boot = rental.type.price(rental.kind.spot) / Pricing.HOUR_S * rental.type.bootS
-        if (booting != null && booting.cost <= rental.cost + boot) return booting.machine
+        // A booting machine is filled first, unless a new one is cheaper even with the rent of its boot time.
+        val bootCost = rental.type.price(rental.kind.spot) / Pricing.HOUR_S * rental.type.bootS
+        if (booting != null && booting.cost <= rental.cost + bootCost) return booting.machine
         return rent(rental)
     }
 
-    private fun rent(rental: RentalOffer): PlanMachine {
+    private fun rent(rental: RentalCandidate): PlanMachine {
         rentals.merge(rental.kind, 1, Int::plus)
         val kind = rental.kind
         val machine = PlanMachine.forRental(rental.type, kind.zone, kind.spot, rental.type.bootS.coerceAtLeast(1.0))
-        machine.reportChangesTo(changed, machines.size)
+        machine.recordChangesIn(changedMachines, machines.size)
         machines.add(machine)
         machinesInZone.merge(machine.zone, 1, Int::plus)
         return machine
     }
 
-    /** A machine of the cheapest kind that may still be had. */
     private fun cheapestRental(
         job: PlanJob,
         need: Resources,
         zones: ZoneRule,
-        left: Int,
-    ): RentalOffer? =
-        rentalPrices.cheapest(job, need, zones, left, startWeight) { zone ->
-            // Between equal offers the zone with fewer machines is taken, so that one zone's loss costs less.
-            1.0 + (machinesInZone[zone] ?: 0) * CROWDING + zones.used(zone) * CROWDING
+        remaining: Int,
+    ): RentalCandidate? =
+        rentalCosts.cheapest(job, need, zones, remaining, startDelayWeight) { zone ->
+            // Breaks ties in favor of zones with fewer machines and tasks, so that the loss of one zone costs less.
+            1.0 + (machinesInZone[zone] ?: 0) * ZONE_CROWDING_FACTOR + zones.taskCount(zone) * ZONE_CROWDING_FACTOR
         }
 
-    private fun roomiestZone(
+    private fun zoneWithMostCapacity(
         job: PlanJob,
         need: Resources,
     ): Zone? {
-        val room = HashMap<Zone, Int>()
+        val placeableTasks = HashMap<Zone, Int>()
         for (machine in machines) {
             if (!Constraints.allow(job, machine)) continue
             var free = machine.free
@@ -280,16 +284,16 @@
                 free -= need
                 count++
             }
-            room.merge(machine.zone, count, Int::plus)
+            placeableTasks.merge(machine.zone, count, Int::plus)
         }
-        // With no room anywhere the first rental decides, so that a zone that refuses doesn't hold the job for ever.
-        return room.entries
+        // With no capacity in any zone the first rental fixes the zone; one that refuses rentals would block the job.
+        return placeableTasks.entries
             .maxWithOrNull(compareBy({ it.value }, { it.key.value }))
             ?.takeIf { it.value > 0 }
             ?.key
     }
 
     private companion object {
-        const val CROWDING = 1e-4
+        const val ZONE_CROWDING_FACTOR = 1e-4
     }
 }
--- a/src/main/kotlin/oxbowlug/plan/Preemption.kt
+++ b/src/main/kotlin/oxbowlug/plan/Preemption.kt
@@ -5,114 +5,117 @@
 import oxbowlug.wire.TeamName
 
 /**
- * Which work may be stopped for which: lower priority, unless that work is within its team's guarantee and the job
- * isn't; and for a job inside its team's guarantee also what another team runs beyond its own. Nothing else ever
- * displaces work of the same or a higher priority.
+ * Preemption rules. A job may preempt tasks of lower priority, unless such a task is of another team and within that
+ * team's guarantee while the job is outside its own. A job within its team's guarantee may also preempt tasks of any
+ * priority that another team runs beyond its guarantee. Nothing else preempts work of the same or a higher priority.
  */
 internal object Preemption {
-    class Choice(
+    /** A machine with the tasks to stop there, and what placing the job's next task there costs in all. */
+    class Candidate(
         val machine: PlanMachine,
         val preempted: List<PlacedTask>,
         val cost: Double,
     )
 
-    fun preempted(
+    /** The tasks to stop on [machine] for one more task of [job]; null if no allowed preemption makes it fit. */
+    fun selectOn(
         job: PlanJob,
         need: Resources,
         guaranteed: Boolean,
-        startWeight: Double,
+        startDelayWeight: Double,
         machine: PlanMachine,
         snapshot: Snapshot,
-    ): Choice? {
-        if (!machine.isReady || machine.isEmpty || !mayHoldVictims(job, guaranteed, machine)) return null
+    ): Candidate? {
+        if (!machine.isReady || machine.isEmpty || !mayHavePreemptibleTasks(job, guaranteed, machine)) return null
         if (!Constraints.allow(job, machine)) return null
-        val candidates =
-            machine.placedTasks.filter { tenant ->
-                !tenant.stopping &&
-                    tenant.attempt !in machine.stopped &&
-                    mayStop(job, guaranteed, tenant, snapshot.teams)
+        val preemptible =
+            machine.placedTasks.filter { placedTask ->
+                !placedTask.stopping &&
+                    placedTask.attempt !in machine.stopped &&
+                    mayStop(job, guaranteed, placedTask, snapshot.teams)
             }
-        if (candidates.isEmpty()) return null
-        var room = machine.free + machine.coming
+        if (preemptible.isEmpty()) return null
+        var available = machine.free + machine.pendingFree
         val chosen = ArrayList<PlacedTask>()
-        // The least urgent and the cheapest to repeat go first.
-        for (tenant in candidates.sortedWith(compareByDescending<PlacedTask> { it.priority }.thenBy { it.lossS })) {
-            if (need.fitsIn(room)) break
-            chosen.add(tenant)
-            room += tenant.need
+        // The lowest priority is stopped first, and within it the task that loses the least work.
+        for (task in preemptible.sortedWith(compareByDescending<PlacedTask> { it.priority }.thenBy { it.lossS })) {
+            if (need.fitsIn(available)) break
+            chosen.add(task)
+            available += task.need
         }
-        if (chosen.isEmpty() || !need.fitsIn(room)) return null
-        val delayS = chosen.maxOf { it.saveS } + REACTION_S + machine.fetchS(job.spec)
+        if (chosen.isEmpty() || !need.fitsIn(available)) return null
+        val delayS = chosen.maxOf { it.saveS } + PREEMPTION_LATENCY_S + machine.fetchS(job.spec)
         val price = machine.type.price(machine.spot)
         val losses =
             chosen.sumOf { preemptedTask ->
                 val downS = preemptedTask.saveS + preemptedTask.lossS + preemptedTask.restartS
-                Pricing.omega(preemptedTask.weight, snapshot) * downS
+                Pricing.tardinessCostPerS(preemptedTask.weight, snapshot) * downS
             }
-        // Priced like free room is: else stopping a GPU's task would look cheaper than the free cores beside it.
+        // The same terms as for free capacity; else stopping a GPU task would look cheaper than free cores beside it.
         val cost =
-            Pricing.cost(job, need, machine.type, price, delayS, startWeight, snapshot) +
-                Pricing.idleCost(machine.type, price, room - need, snapshot) +
-                Pricing.strandedCapacityCost(machine.type, price, room, need, snapshot)
-        return Choice(machine, chosen, cost + losses)
+            Pricing.cost(job, need, machine.type, price, delayS, startDelayWeight, snapshot) +
+                Pricing.idleCost(machine.type, price, available - need, snapshot) +
+                Pricing.strandedCapacityCost(machine.type, price, available, need, snapshot)
+        return Candidate(machine, chosen, cost + losses)
     }
 
-    /** Told without listing the machine's tenants: for a whole fleet that would be most of a plan's time. */
-    fun mayHoldVictims(
+    /** Doesn't list the machine's tasks: for a whole fleet the listing would take most of a plan's time. */
+    fun mayHavePreemptibleTasks(
         job: PlanJob,
         guaranteed: Boolean,
         machine: PlanMachine,
     ): Boolean {
-        val least = machine.lowestPriority ?: return false
-        return guaranteed || least > job.priority
+        val lowestPriority = machine.lowestPriority ?: return false
+        return guaranteed || lowestPriority > job.priority
     }
 
     /**
-     * Work inside its team's guarantee gives way only to other work inside one. Otherwise two teams could stop each
-     * other in turn for ever, one by its priority and the other by its guarantee.
+     * Only work within a guarantee may preempt another team's work within a guarantee. Otherwise two teams could stop
+     * each other's tasks in turn for ever, one by its priority and the other by its guarantee.
      */
     fun mayStop(
         job: PlanJob,
         guaranteed: Boolean,
-        tenant: PlacedTask,
+        placedTask: PlacedTask,
         teams: Map<TeamName, PlanTeam>,
     ): Boolean {
-        if (tenant.priority <= job.priority && !guaranteed) return false
-        val borrows = teams[tenant.team]?.borrows(tenant.need) ?: true
-        if (tenant.priority > job.priority) return guaranteed || borrows || tenant.team == job.spec.team
-        return guaranteed && borrows && tenant.team != job.spec.team
+        if (placedTask.priority <= job.priority && !guaranteed) return false
+        val borrows = teams[placedTask.team]?.borrows(placedTask.need) ?: true
+        if (placedTask.priority > job.priority) return guaranteed || borrows || placedTask.team == job.spec.team
+        return guaranteed && borrows && placedTask.team != job.spec.team
     }
 
-    /** A stop is told, seen and planned for in about this time. */
-    private const val REACTION_S = 1.0
+    /** Time to send a stop, see the exit and plan again, besides the time to save the work. */
+    private const val PREEMPTION_LATENCY_S = 1.0
 }
 
 /**
- * The cheapest stops that make room for one more task of a job. Like [Offers], it asks a machine again only after it
- * changed; the teams change too with every stop, so the choice that is made is always a fresh one.
+ * Finds the cheapest preemption for one more task of a job. Like [PlacementCandidates], it evaluates a machine again
+ * only after the plan changed it. Each stop also changes what teams borrow, so the cheapest candidate is always
+ * evaluated once more before it is returned.
  */
-internal class Stops(
+internal class PreemptionCandidates(
     private val machines: List<PlanMachine>,
     private val snapshot: Snapshot,
 ) {
-    private class Asked(
-        val choice: Preemption.Choice?,
-        val atChange: Int,
+    private class Evaluation(
+        val candidate: Preemption.Candidate?,
+        val changeCount: Int,
     )
 
-    /** No machine is added to them while a plan is made. */
-    private val tenanted = machines.filter { it.isReady && !it.isEmpty && it.lowestPriority != null }
+    /** Computed once: machines that this plan rents hold no tasks. */
+    private val occupiedMachines = machines.filter { it.isReady && !it.isEmpty && it.lowestPriority != null }
 
-    /** Those where something might be stopped for the job; on most of a fleet nothing may. */
-    private var candidates: List<PlanMachine> = emptyList()
-    private val answers = ArrayList<Asked>()
-    private var isNew = true
-    var asked = 0
+    /** Machines that may hold a task which the job may preempt; in most fleets these are few. */
+    private var candidateMachines: List<PlanMachine> = emptyList()
+    private val evaluations = ArrayList<Evaluation>()
+    private var isNewJob = true
+    var priced = 0
         private set
     private lateinit var job: PlanJob
     private lateinit var need: Resources
     private var guaranteed = false
-    private var startWeight = 0.0
+    private var startDelayWeight = 0.0
 
     fun begin(
         next: PlanJob,
@@ -120,56 +123,59 @@
         guaranteedOnly: Boolean,
     ) {
         job = next
-        startWeight = Pricing.startWeight(next, guaranteedOnly, snapshot)
+        startDelayWeight = Pricing.startDelayWeight(next, guaranteedOnly, snapshot)
         need = nextNeed
-        isNew = true
+        isNewJob = true
     }
 
     fun cheapest(
         team: PlanTeam,
         rule: ZoneRule,
-    ): Preemption.Choice? {
-        // A guarantee displaces only what others borrow beyond theirs.
-        val nowGuaranteed =
+    ): Preemption.Candidate? {
+        // A guarantee gives a right to preempt only while another team borrows beyond its own.
+        val isGuaranteed =
             team.guarantees(need) &&
                 snapshot.teams.any { (name, other) -> name != job.spec.team && other.borrowsAnything() }
-        if (isNew || nowGuaranteed != guaranteed) {
-            isNew = false
-            guaranteed = nowGuaranteed
-            answers.clear()
-            candidates = tenanted.filter { Preemption.mayHoldVictims(job, guaranteed, it) }
+        if (isNewJob || isGuaranteed != guaranteed) {
+            isNewJob = false
+            guaranteed = isGuaranteed
+            evaluations.clear()
+            candidateMachines = occupiedMachines.filter { Preemption.mayHavePreemptibleTasks(job, guaranteed, it) }
         }
         while (true) {
-            val index = cheapestKnown(rule)
+            val index = cheapestIndex(rule)
             if (index < 0) return null
-            val known = answers[index].choice
-            val fresh = ask(index)
-            answers[index] = fresh
-            if (fresh.choice != null && known != null && fresh.choice.cost <= known.cost) return fresh.choice
+            val known = evaluations[index].candidate
+            val fresh = evaluate(index)
+            evaluations[index] = fresh
+            if (fresh.candidate != null && known != null && fresh.candidate.cost <= known.cost) return fresh.candidate
         }
     }
 
-    private fun cheapestKnown(rule: ZoneRule): Int {
+    private fun cheapestIndex(rule: ZoneRule): Int {
         var best = -1
         var bestCost = Double.POSITIVE_INFINITY
-        for (index in candidates.indices) {
-            if (index == answers.size) {
-                answers.add(ask(index))
-            } else if (answers[index].atChange != candidates[index].changes) {
-                answers[index] = ask(index)
+        for (index in candidateMachines.indices) {
+            if (index == evaluations.size) {
+                evaluations.add(evaluate(index))
+            } else if (evaluations[index].changeCount != candidateMachines[index].changeCount) {
+                evaluations[index] = evaluate(index)
             }
-            val choice = answers[index].choice ?: continue
-            if (choice.cost < bestCost && rule.allows(choice.machine.zone)) {
+            val candidate = evaluations[index].candidate ?: continue
+            if (candidate.cost < bestCost && rule.allows(candidate.machine.zone)) {
                 best = index
-                bestCost = choice.cost
+                bestCost = candidate.cost
             }
         }
         return best
     }
 
-    private fun ask(index: Int): Asked {
-        asked++
-        val machine = candidates[index]
-        return Asked(Preemption.preempted(job, need, guaranteed, startWeight, machine, snapshot), machine.changes)
+    private fun evaluate(index: Int): Evaluation {
+        priced++
+        val machine = candidateMachines[index]
+        return Evaluation(
+            Preemption.selectOn(job, need, guaranteed, startDelayWeight, machine, snapshot),
+            machine.changeCount,
+        )
     }
 }
--- a/src/main/kotlin/oxbowlug/plan/Ranking.kt
+++ b/src/main/kotlin/oxbowlug/plan/Ranking.kt
@@ -1,7 +1,8 @@
 package oxbowlug.plan
 
+/** The order in which a planning round places jobs. */
 internal object Ranking {
-    /** By priority, then by the penalty of postponing, then the longest waiting; by id, so that a plan repeats. */
+    /** By priority, then penalty of postponing, then time waited; last by id, so that equal inputs give equal plans. */
     fun order(
         jobs: List<PlanJob>,
         horizonS: Double,
@@ -9,20 +10,20 @@
     ): List<PlanJob> =
         jobs.sortedWith(
             compareBy<PlanJob> { it.priority.ordinal }
-                .thenByDescending { postponement(it, horizonS, postponeFactor) }
+                .thenByDescending { postponementPenalty(it, horizonS, postponeFactor) }
                 .thenByDescending { it.waitedS }
                 .thenBy { it.id.value },
         )
 
-    /** omega-hat times the tardiness at stake if the job waits for one more horizon. */
-    fun postponement(
+    /** The weight of a postponed job (omega-hat) times its tardiness if it starts one horizon later. */
+    fun postponementPenalty(
         job: PlanJob,
         horizonS: Double,
         postponeFactor: Double,
     ): Double {
-        val longest = job.estimateS
-        // Without a deadline the job gets twice its length, counted from now.
-        val deadline = job.deadlineInS ?: (2.0 * longest)
-        return postponeFactor * job.weight * maxOf(0.0, horizonS + longest - deadline)
+        val runS = job.estimateS
+        // A job without a deadline gets one after twice its estimated run time from now.
+        val deadline = job.deadlineInS ?: (2.0 * runS)
+        return postponeFactor * job.weight * maxOf(0.0, horizonS + runS - deadline)
     }
 }
--- a/src/main/kotlin/oxbowlug/plan/Snapshot.kt
+++ b/src/main/kotlin/oxbowlug/plan/Snapshot.kt
@@ -10,56 +10,65 @@
 import oxbowlug.wire.TypeName
 import oxbowlug.wire.Zone
 
-/** What can be rented: a type in a zone, spot or ordinary. */
+/** What can be rented: a machine type in a zone, spot or on-demand. */
 internal data class MachineKind(
     val type: TypeName,
     val zone: Zone,
     val spot: Boolean,
 )
 
+/** A job with tasks to place in this round. */
 internal class PlanJob(
     val id: JobId,
     val spec: JobSpec,
-    /** Tasks that wait for a machine, in the order in which they should start. */
+    /** Indexes of the tasks that wait for a machine, in the order in which they should start. */
     val pending: IntArray,
     /** Tasks that are or may be on machines, by zone. */
     val tasksByZone: Map<Zone, Int>,
     val waitedS: Double,
-    /** Estimate of the run time; 0 for services. */
+    /** Estimated run time; 0 for services. */
     val estimateS: Double,
-    /** Seconds until the deadline; null without one. */
+    /** Seconds until the deadline; null if the job has none. */
     val deadlineInS: Double?,
+    /** Tardiness weight of its class. */
     val weight: Double,
-    /** Machines on which this job failed, or was refused, a short while ago. */
+    /** Machines on which a task of this job failed, or which refused one, a short while ago. */
     val avoid: Set<MachineId>,
-    /** Some of its tasks were stopped a moment ago to go elsewhere. */
+    /** Some of its tasks were stopped a moment ago to be moved to other machines. */
     val isMoving: Boolean = false,
-    /** Stands for tasks that are expected, not there yet: holds room, starts nothing and stops nothing. */
+    /** Stands for forecast tasks that aren't submitted yet: reserves capacity, but starts and stops nothing. */
     val isReserve: Boolean = false,
-    /** Its own, or the more urgent one of a job that needs it. */
+    /** Its own priority, or the more urgent one of a job that depends on it. */
     val priority: Priority = spec.priority,
 )
 
+/** The planner's input: the jobs, machines and teams at the start of a round, and the policy for it. */
 internal class Snapshot(
     val jobs: List<PlanJob>,
     val machines: List<PlanMachine>,
     val teams: Map<TeamName, PlanTeam>,
     val types: List<MachineType>,
-    /** Kinds that refuse now, and a decaying price on those that refused of late. */
+    /** Kinds that the cloud refuses now, with a decaying penalty on those that it refused lately. */
     val refusals: Map<MachineKind, CapacityRefusal>,
+    /** The planning horizon: the next round starts after this time at the latest. */
     val horizonS: Double,
+    /** How much heavier the tardiness of a postponed job weighs than that of a running one. */
     val postponeFactor: Double,
+    /** Cost of an idle slot relative to its price (mu). */
     val idleSlotPenalty: Double,
+    /** False until this leader knows which machines are rented already. */
     val mayRent: Boolean,
-    /** The most cores and memory that a job of today takes beside each GPU. */
+    /** The most cores and memory per GPU that any active job takes. */
     val resourcesPerGpu: Resources = Resources.NONE,
-    /** A task that was started less than this long ago is not moved: its start would not count. */
+    /** A task that has run for less than this isn't moved: a start that is soon stopped doesn't count as one. */
     val settledS: Double = 30.0,
+    /** Whether the plan may include a [Consolidation.Move]. */
     val mayMove: Boolean = false,
-    /** The weight of a second's wait of work that a guarantee covers; 0 where the platform has no such objective. */
+    /** Weight of a second of start delay for work within a guarantee; 0 if the platform has no objective for it. */
     val guaranteeWeight: Double = 0.0,
 )
 
+/** How the cloud's refusals affect a kind: [blocked] ones aren't requested, others cost more by [penalty]. */
 internal class CapacityRefusal(
     val blocked: Boolean,
     val penalty: Double,
--- a/src/main/kotlin/oxbowlug/plan/index/ChangedMachines.kt
+++ b/src/main/kotlin/oxbowlug/plan/index/ChangedMachines.kt
@@ -3,8 +3,8 @@
 import it.unimi.dsi.fastutil.ints.IntArrayList
 
 /**
- * Which machines a plan has changed so far, in order. Whoever keeps prices reads on from where it last was, instead of
- * looking through all machines for what changed: in a large fleet that was most of a plan's time.
+ * Log of the machines that a plan has changed so far, in order. A holder of cached costs reads the entries since its
+ * last position. Scanning all machines for changes took most of a plan's time in a large fleet.
  */
 internal class ChangedMachines {
     private val indexes = IntArrayList()
--- a/src/main/kotlin/oxbowlug/plan/index/CostHeap.kt
+++ b/src/main/kotlin/oxbowlug/plan/index/CostHeap.kt
@@ -1,118 +1,118 @@
 package oxbowlug.plan.index
 
 /**
- * Machines of one zone by what a job's next task costs there, the cheapest first and of equals the one with the lowest
- * index: so the choice is the one that a scan in the order of the machines makes. An indexed binary heap; a change of
- * one cost takes time by the logarithm of the machines, and the cheapest is at hand.
+ * Indexed binary heap of a zone's machines, ordered by the cost of placing a job's next task there. Equal costs are
+ * ordered by machine index, so that the first machine is the one that a scan in index order would choose. Changing one
+ * cost takes logarithmic time, reading the cheapest machine constant time.
  */
 internal class CostHeap(
     private val costs: Costs,
 ) {
-    /** The present costs, by the machines' indexes; they only change between [update] and [clear]. */
+    /** Costs by machine index. When the cost of a machine changes, [update] or [clear] has to follow. */
     interface Costs {
-        fun of(index: Int): Double
+        fun costOf(index: Int): Double
 
-        /** Of equals the one with the lower index comes first, as in a scan. */
+        /** Of equal costs the one with the lower index comes first, as in a scan. */
         fun isCheaper(
             one: Int,
             other: Int,
         ): Boolean {
-            val cost = of(one)
-            val otherCost = of(other)
+            val cost = costOf(one)
+            val otherCost = costOf(other)
             return cost < otherCost || cost == otherCost && one < other
         }
     }
 
-    private var heap = IntArray(INITIAL)
+    private var heap = IntArray(INITIAL_CAPACITY)
 
-    /** Where each machine stands in the heap, plus one; 0: it isn't there. */
-    private var places = IntArray(INITIAL)
+    /** By machine index, its position in the heap plus one; 0 if it isn't in the heap. */
+    private var positions = IntArray(INITIAL_CAPACITY)
     var size = 0
         private set
 
-    /** The machine with the least cost, or -1. */
+    /** Index of the machine with the lowest cost, or -1 if the heap is empty. */
     val first: Int get() = if (size == 0) -1 else heap[0]
 
     fun clear() {
-        for (place in 0 until size) places[heap[place]] = 0
+        for (position in 0 until size) positions[heap[position]] = 0
         size = 0
     }
 
-    /** Adds a machine without keeping the order: [arrange] has to follow. */
+    /** Appends a machine without restoring the heap order: [heapify] has to follow. */
     fun append(index: Int) {
-        if (index >= places.size) places = places.copyOf(maxOf(index + 1, places.size * 2))
+        if (index >= positions.size) positions = positions.copyOf(maxOf(index + 1, positions.size * 2))
         if (size == heap.size) heap = heap.copyOf(size * 2)
         put(size++, index)
     }
 
-    /** Brings all that were appended into order at once. */
-    fun arrange() {
-        for (place in size / 2 - 1 downTo 0) sink(place)
+    /** Restores the heap order after any number of [append] calls. */
+    fun heapify() {
+        for (position in size / 2 - 1 downTo 0) siftDown(position)
     }
 
-    /** Follows a machine's new cost; one that costs infinitely much is taken out. */
+    /** Adds or reorders a machine whose cost changed, or removes it if its cost is infinite. */
     fun update(index: Int) {
-        val present = if (index < places.size) places[index] - 1 else -1
-        val isWanted = costs.of(index) < Double.POSITIVE_INFINITY
+        val current = if (index < positions.size) positions[index] - 1 else -1
+        val hasFiniteCost = costs.costOf(index) < Double.POSITIVE_INFINITY
         when {
-            present < 0 && !isWanted -> return
-            present < 0 -> {
+            current < 0 && !hasFiniteCost -> return
+            current < 0 -> {
                 append(index)
-                rise(size - 1)
+                siftUp(size - 1)
             }
-            isWanted -> {
-                rise(present)
-                sink(places[index] - 1)
+            hasFiniteCost -> {
+                siftUp(current)
+                siftDown(positions[index] - 1)
             }
-            else -> remove(present)
+            else -> remove(current)
         }
     }
 
-    private fun remove(place: Int) {
-        places[heap[place]] = 0
+    private fun remove(position: Int) {
+        positions[heap[position]] = 0
         size--
-        if (place == size) return
+        if (position == size) return
         val moved = heap[size]
-        put(place, moved)
-        rise(place)
-        sink(places[moved] - 1)
+        put(position, moved)
+        siftUp(position)
+        siftDown(positions[moved] - 1)
     }
 
     private fun put(
-        place: Int,
+        position: Int,
         index: Int,
     ) {
-        heap[place] = index
-        places[index] = place + 1
+        heap[position] = index
+        positions[index] = position + 1
     }
 
-    private fun rise(from: Int) {
+    private fun siftUp(from: Int) {
         val index = heap[from]
-        var place = from
-        while (place > 0) {
-            val parent = (place - 1) / 2
+        var position = from
+        while (position > 0) {
+            val parent = (position - 1) / 2
             if (!costs.isCheaper(index, heap[parent])) break
-            put(place, heap[parent])
-            place = parent
+            put(position, heap[parent])
+            position = parent
         }
-        put(place, index)
+        put(position, index)
     }
 
-    private fun sink(from: Int) {
+    private fun siftDown(from: Int) {
         val index = heap[from]
-        var place = from
+        var position = from
         while (true) {
-            var child = place * 2 + 1
+            var child = position * 2 + 1
             if (child >= size) break
             if (child + 1 < size && costs.isCheaper(heap[child + 1], heap[child])) child++
             if (!costs.isCheaper(heap[child], index)) break
-            put(place, heap[child])
-            place = child
+            put(position, heap[child])
+            position = child
         }
-        put(place, index)
+        put(position, index)
     }
 
     private companion object {
-        const val INITIAL = 16
+        const val INITIAL_CAPACITY = 16
     }
 }
--- a/src/main/kotlin/oxbowlug/resource/Resources.kt
+++ b/src/main/kotlin/oxbowlug/resource/Resources.kt
@@ -3,7 +3,7 @@
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.MachineType
 
-/** What a task takes of its machine, or what a machine has left. */
+/** Amounts of each resource: what a task needs, or what a machine has or has free. */
 internal data class Resources(
     val cores: Double,
     val gpus: Double,
@@ -15,13 +15,15 @@
 
     operator fun times(factor: Double) = Resources(cores * factor, gpus * factor, memoryGb * factor)
 
-    /** Whether [room] has as much of each, but for rounding. */
-    fun fitsIn(room: Resources): Boolean =
-        cores <= room.cores + SLACK && gpus <= room.gpus + SLACK && memoryGb <= room.memoryGb + SLACK
+    /** Whether [available] holds at least as much of each resource, up to [ROUNDING_TOLERANCE]. */
+    fun fitsIn(available: Resources): Boolean =
+        cores <= available.cores + ROUNDING_TOLERANCE &&
+            gpus <= available.gpus + ROUNDING_TOLERANCE &&
+            memoryGb <= available.memoryGb + ROUNDING_TOLERANCE
 
     companion object {
-        /** Sums of decimal amounts miss by rounding; this is far below any amount that is asked for. */
-        private const val SLACK = 1e-6
+        /** Sums of decimal amounts have rounding errors; this is far below any amount that a job requests. */
+        private const val ROUNDING_TOLERANCE = 1e-6
         val NONE = Resources(0.0, 0.0, 0.0)
     }
 }
@@ -30,13 +32,13 @@
 
 internal fun MachineType.resources() = Resources(cores, gpus, memoryGb)
 
-/** How long a machine of this type that does nothing else takes to fetch the job's image. */
+/** Time that a machine of this type takes to fetch the job's image while it fetches nothing else. */
 internal fun MachineType.fetchS(spec: JobSpec): Double = if (fetchGbPerS > 0.0) spec.imageGb / fetchGbPerS else 0.0
 
-/** The part of a whole machine that [need] takes: its scarcest resource decides. */
-internal fun MachineType.share(need: Resources): Double {
-    var share = if (cores > 0.0) need.cores / cores else 0.0
-    if (gpus > 0.0) share = maxOf(share, need.gpus / gpus)
-    if (memoryGb > 0.0) share = maxOf(share, need.memoryGb / memoryGb)
-    return share
+/** The largest share that [need] takes of any of the machine's resources (as in dominant resource fairness). */
+internal fun MachineType.dominantShare(need: Resources): Double {
+    var dominantShare = if (cores > 0.0) need.cores / cores else 0.0
+    if (gpus > 0.0) dominantShare = maxOf(dominantShare, need.gpus / gpus)
+    if (memoryGb > 0.0) dominantShare = maxOf(dominantShare, need.memoryGb / memoryGb)
+    return dominantShare
 }
--- a/src/test/kotlin/oxbowlug/plan/OffersTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlacementCandidatesTest.kt
@@ -21,8 +21,8 @@
 import oxbowlug.wire.Zone
 import kotlin.random.Random
 
-/** Ordered prices choose what looking through all machines would, however the plan changes them in between. */
-internal class OffersTest {
+/** Cached costs and heaps give the same candidates as a full scan, however the plan changes machines in between. */
+internal class PlacementCandidatesTest {
     private val zones = List(3) { Zone("z$it") }
     private val types =
         listOf(
@@ -76,12 +76,12 @@
         index: Int,
     ): PlanMachine {
         val type = types.random(random)
-        val spec = spec(random, "tenant-$index", 1)
+        val spec = spec(random, "placed-$index", 1)
         val placedTasks =
             List(random.nextInt(3)) { number ->
                 PlacedTask(AttemptId(TaskId(spec.id, number), 1), spec, emptyMap(), 50.0, 1.0, 1.0, stopping = false)
             }
-        val used = placedTasks.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
+        val used = placedTasks.fold(Resources.NONE) { sum, placedTask -> sum + placedTask.need }
         return PlanMachine(
             MachineId("host-%04d".format(index)),
             type,
@@ -122,16 +122,16 @@
         guaranteeWeight = 1.0,
     )
 
-    /** Something that a plan may do to a machine between two tasks. */
-    private fun change(
+    /** A random change that a plan may make to a machine between two tasks. */
+    private fun changeRandomly(
         random: Random,
         machines: ArrayList<PlanMachine>,
-        changed: ChangedMachines,
+        changedMachines: ChangedMachines,
     ) {
         val machine = machines[random.nextInt(machines.size)]
         when (random.nextInt(4)) {
-            0 -> machine.take(Resources(1.0, 0.0, 4.0))
-            1 -> machine.promise(Resources(1.0, 0.0, 4.0))
+            0 -> machine.allocate(Resources(1.0, 0.0, 4.0))
+            1 -> machine.reservePendingFree(Resources(1.0, 0.0, 4.0))
             2 -> machine.placedTasks.firstOrNull { it.attempt !in machine.stopped }?.let(machine::stop)
             3 -> {
                 val rented =
@@ -141,94 +141,95 @@
                         random.nextBoolean(),
                         30.0,
                     )
-                rented.reportChangesTo(changed, machines.size)
+                rented.recordChangesIn(changedMachines, machines.size)
                 machines.add(rented)
             }
         }
     }
 
     @Test
-    fun `the cheapest place is the one that a scan finds`() {
+    fun `the cheapest candidate is the one that a full scan finds`() {
         var compared = 0
         for (seed in 1L..60L) {
             val random = Random(seed)
             val machines = ArrayList(List(40) { machine(random, it) })
             val jobs = List(6) { job(spec(random, "job-$it", 30)) }
             val snapshot = snapshot(jobs, machines)
-            val changed = ChangedMachines()
-            machines.forEachIndexed { index, machine -> machine.reportChangesTo(changed, index) }
-            val offers = Offers(machines, snapshot, changed)
+            val changedMachines = ChangedMachines()
+            machines.forEachIndexed { index, machine -> machine.recordChangesIn(changedMachines, index) }
+            val candidates = PlacementCandidates(machines, snapshot, changedMachines)
             for (job in jobs) {
                 val need = job.spec.resources()
                 val rule = ZoneRule(job)
                 val guaranteed = random.nextBoolean()
-                offers.begin(job, need, guaranteed)
+                candidates.begin(job, need, guaranteed)
                 for (task in job.pending) {
-                    val room = Room.entries.random(random)
-                    val forRental = offers.cheapest(room, rule)
+                    val capacity = Capacity.entries.random(random)
+                    val candidate = candidates.cheapest(capacity, rule)
                     val scanned =
-                        Offers(machines, snapshot, ChangedMachines()).run {
+                        PlacementCandidates(machines, snapshot, ChangedMachines()).run {
                             begin(job, need, guaranteed)
-                            cheapest(room, rule)
+                            cheapest(capacity, rule)
                         }
                     assertEquals(
                         scanned?.machine?.id,
-                        forRental?.machine?.id,
-                        "seed $seed, ${job.id}/$task in $room",
+                        candidate?.machine?.id,
+                        "seed $seed, ${job.id}/$task in $capacity",
                     )
-                    assertEquals(scanned?.cost, forRental?.cost, "seed $seed, ${job.id}/$task in $room")
+                    assertEquals(scanned?.cost, candidate?.cost, "seed $seed, ${job.id}/$task in $capacity")
                     compared++
-                    if (forRental != null) {
-                        if (room ==
-                            Room.COMING
+                    if (candidate != null) {
+                        if (capacity ==
+                            Capacity.PENDING_FREE
                         ) {
-                            forRental.machine.promise(need)
+                            candidate.machine.reservePendingFree(need)
                         } else {
-                            forRental.machine.take(need)
+                            candidate.machine.allocate(need)
                         }
-                        rule.use(forRental.machine.zone)
+                        rule.addTask(candidate.machine.zone)
                     }
-                    repeat(random.nextInt(3)) { change(random, machines, changed) }
+                    repeat(random.nextInt(3)) { changeRandomly(random, machines, changedMachines) }
                 }
             }
         }
         assertEquals(60 * 6 * 30, compared)
     }
 
-    /** Found on the scale run: tasks times machines made a plan of 3,200 machines longer than the leader's lease. */
+    /** With work proportional to tasks times machines, a plan of 3,200 machines took longer than the leader's lease. */
     @Test
-    fun `a job's tasks cost by what they change, not by all machines`() {
+    fun `placing a job's tasks takes work by changed machines, not by tasks times all machines`() {
         val random = Random(3)
         val machines = ArrayList(List(3_000) { machine(random, it) })
         val tasks = 500
         val wanted = job(spec(random, "wide", tasks).copy(spread = false, cores = 1.0, gpus = 0.0))
-        val changed = ChangedMachines()
-        machines.forEachIndexed { index, machine -> machine.reportChangesTo(changed, index) }
-        val offers = Offers(machines, snapshot(listOf(wanted), machines), changed)
+        val changedMachines = ChangedMachines()
+        machines.forEachIndexed { index, machine -> machine.recordChangesIn(changedMachines, index) }
+        val candidates = PlacementCandidates(machines, snapshot(listOf(wanted), machines), changedMachines)
         val need = wanted.spec.resources()
         val rule = ZoneRule(wanted)
-        offers.begin(wanted, need, false)
-        repeat(tasks) { offers.cheapest(Room.READY, rule)?.machine?.take(need) ?: error("there is room") }
-        assertTrue(offers.visited <= machines.size * 2 + tasks, "${offers.visited} machines looked at")
+        candidates.begin(wanted, need, false)
+        repeat(tasks) { candidates.cheapest(Capacity.FREE, rule)?.machine?.allocate(need) ?: error("no capacity left") }
+        assertTrue(candidates.visited <= machines.size * 2 + tasks, "${candidates.visited} machines looked at")
     }
 
     @Test
-    fun `the price of a rental doesn't depend on what was priced before`() {
+    fun `the cost of a rental doesn't depend on what was computed before`() {
         for (seed in 1L..20L) {
             val random = Random(seed)
             val jobs = List(4) { job(spec(random, "job-$it", 40)) }
             val snapshot = snapshot(jobs, emptyList())
-            val kept = RentalPrices(snapshot)
+            val reusedCosts = RentalCosts(snapshot)
             repeat(200) {
                 val job = jobs.random(random)
-                val left = 1 + random.nextInt(40)
+                val remaining = 1 + random.nextInt(40)
                 val weight = random.nextInt(2).toDouble()
-                val crowd = { zone: Zone -> 1.0 + zones.indexOf(zone) * 0.01 }
+                val zoneFactor = { zone: Zone -> 1.0 + zones.indexOf(zone) * 0.01 }
                 val rule = ZoneRule(job)
-                val cached = kept.cheapest(job, job.spec.resources(), rule, left, weight, crowd)
-                val fresh = RentalPrices(snapshot).cheapest(job, job.spec.resources(), rule, left, weight, crowd)
-                assertEquals(fresh?.kind, cached?.kind, "seed $seed, ${job.id}, $left left")
-                assertEquals(fresh?.cost, cached?.cost, "seed $seed, ${job.id}, $left left")
+                val cached = reusedCosts.cheapest(job, job.spec.resources(), rule, remaining, weight, zoneFactor)
+                val fresh =
+                    RentalCosts(snapshot).cheapest(job, job.spec.resources(), rule, remaining, weight, zoneFactor)
+                assertEquals(fresh?.kind, cached?.kind, "seed $seed, ${job.id}, $remaining remaining")
+                assertEquals(fresh?.cost, cached?.cost, "seed $seed, ${job.id}, $remaining remaining")
             }
         }
     }
--- a/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
@@ -19,11 +19,12 @@
 import oxbowlug.wire.TypeName
 import oxbowlug.wire.Zone
 
+/** Single planning rounds on fleets of a few machines: placement, preemption, moves and rentals. */
 internal class PlannerTest {
-    private val a = Zone("a")
-    private val b = Zone("b")
-    private val g8 = MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, listOf(a, b))
-    private val c32 = MachineType(TypeName("c32"), 32.0, 0.0, 128.0, 35.0, 0.5, 1.2, 0.5, 30.0, listOf(a, b))
+    private val zoneA = Zone("a")
+    private val zoneB = Zone("b")
+    private val g8 = MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, listOf(zoneA, zoneB))
+    private val c32 = MachineType(TypeName("c32"), 32.0, 0.0, 128.0, 35.0, 0.5, 1.2, 0.5, 30.0, listOf(zoneA, zoneB))
 
     private fun spec(
         id: String = "run-1",
@@ -73,13 +74,13 @@
 
     private fun machine(
         name: String,
-        zone: Zone = a,
+        zone: Zone = zoneA,
         type: MachineType = g8,
         spot: Boolean = false,
         images: Set<ImageName> = emptySet(),
         placedTasks: List<PlacedTask> = emptyList(),
     ): PlanMachine {
-        val used = placedTasks.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
+        val used = placedTasks.fold(Resources.NONE) { sum, placedTask -> sum + placedTask.need }
         return PlanMachine(
             MachineId(name),
             type,
@@ -90,15 +91,15 @@
             images,
             emptySet(),
             placedTasks.isEmpty(),
-            placedTasks.filter { it.stopping }.fold(Resources.NONE) { sum, tenant -> sum + tenant.need },
+            placedTasks.filter { it.stopping }.fold(Resources.NONE) { sum, placedTask -> sum + placedTask.need },
             lazyOf(placedTasks),
         )
     }
 
-    private fun tenant(
+    private fun placedTask(
         spec: JobSpec,
         ranS: Double = 100.0,
-    ) = PlacedTask(AttemptId(TaskId(spec.id, 0), 1), spec, mapOf(a to 1), ranS, 2.0, 1.0, stopping = false)
+    ) = PlacedTask(AttemptId(TaskId(spec.id, 0), 1), spec, mapOf(zoneA to 1), ranS, 2.0, 1.0, stopping = false)
 
     private fun teams(
         red: PlanTeam = PlanTeam(1e9, 1e9, 0.0, 0.0),
@@ -130,14 +131,14 @@
     private fun plan(snapshot: Snapshot) = Planner(snapshot).plan()
 
     @Test
-    fun `the machine that has the image is taken`() {
-        val holder = machine("m2", images = setOf(ImageName("img")))
-        val plan = plan(snapshot(listOf(job(spec())), listOf(machine("m1"), holder)))
+    fun `a task is placed on the machine that has its image`() {
+        val machineWithImage = machine("m2", images = setOf(ImageName("img")))
+        val plan = plan(snapshot(listOf(job(spec())), listOf(machine("m1"), machineWithImage)))
         assertEquals(listOf(Start(JobId("run-1"), 0, MachineId("m2"))), plan.starts)
     }
 
     @Test
-    fun `a task without GPUs rents the machine without GPUs`() {
+    fun `a machine without GPUs is rented for a task without GPUs`() {
         val plan = plan(snapshot(listOf(job(spec(gpus = 0.0, cores = 2.0))), emptyList()))
         assertEquals(
             setOf(c32.name),
@@ -148,31 +149,32 @@
     }
 
     @Test
-    fun `only what the plan fills is rented, and a kind that refuses is not asked`() {
+    fun `only as many machines are rented as the tasks fill, and none of a refused kind`() {
         val jobs = listOf(job(spec(tasks = 17)))
-        val blocked = mapOf(MachineKind(g8.name, a, false) to CapacityRefusal(blocked = true, penalty = 1.0))
+        val blocked = mapOf(MachineKind(g8.name, zoneA, false) to CapacityRefusal(blocked = true, penalty = 1.0))
         val plan = plan(snapshot(jobs, emptyList(), refusals = blocked))
-        assertEquals(mapOf(MachineKind(g8.name, b, false) to 3), plan.rentals)
+        assertEquals(mapOf(MachineKind(g8.name, zoneB, false) to 3), plan.rentals)
         assertEquals(0, plan.unplaced)
     }
 
     @Test
     fun `a spread job puts at most half of its tasks, rounded up, into one zone`() {
         val spread = spec(tasks = 5).copy(spread = true)
-        val plan = plan(snapshot(listOf(job(spread)), listOf(machine("m1", a), machine("m2", b))))
+        val plan = plan(snapshot(listOf(job(spread)), listOf(machine("m1", zoneA), machine("m2", zoneB))))
         val perMachine = plan.starts.groupingBy { it.machine.value }.eachCount()
         assertEquals(setOf(2, 3), perMachine.values.toSet())
     }
 
     @Test
-    fun `a one-zone job follows its zone, also when another has more room`() {
-        // Found by the simulation: the roomiest zone was fixed although the job allowed only the other one.
-        val fixed = spec(tasks = 2).copy(oneZone = true, zone = b)
-        val plan = plan(snapshot(listOf(job(fixed)), listOf(machine("m1", a), machine("m2", a), machine("m3", b))))
+    fun `a one-zone job stays in its zone when another has more free capacity`() {
+        // Guards against choosing the zone with the most free capacity although the job allows only another zone.
+        val fixed = spec(tasks = 2).copy(oneZone = true, zone = zoneB)
+        val plan =
+            plan(snapshot(listOf(job(fixed)), listOf(machine("m1", zoneA), machine("m2", zoneA), machine("m3", zoneB))))
         assertEquals(listOf("m3", "m3"), plan.starts.map { it.machine.value })
-        val rented = plan(snapshot(listOf(job(fixed)), listOf(machine("m1", a))))
+        val rented = plan(snapshot(listOf(job(fixed)), listOf(machine("m1", zoneA))))
         assertEquals(
-            setOf(b),
+            setOf(zoneB),
             rented.rentals.keys
                 .map { it.zone }
                 .toSet(),
@@ -180,7 +182,7 @@
     }
 
     @Test
-    fun `a team's limit counts what is and may be there`() {
+    fun `a team's limit counts the tasks that are or may be on machines`() {
         val red = PlanTeam(1e9, 4.0, 0.0, 0.0).apply { add(Resources(0.0, 3.0, 0.0)) }
         val plan = plan(snapshot(listOf(job(spec(tasks = 3))), listOf(machine("m1")), teams(red = red)))
         assertEquals(1, plan.starts.size)
@@ -188,27 +190,27 @@
     }
 
     @Test
-    fun `a gang starts as a whole or not at all`() {
+    fun `a gang starts all its tasks or none`() {
         val gang = spec(kind = JobKind.GANG, tasks = 9)
-        val partly = plan(snapshot(listOf(job(gang)), listOf(machine("m1"))))
-        assertEquals(emptyList<Start>(), partly.starts)
-        val wholly = plan(snapshot(listOf(job(gang)), listOf(machine("m1"), machine("m2"))))
-        assertEquals(9, wholly.starts.size)
+        val tooFewMachines = plan(snapshot(listOf(job(gang)), listOf(machine("m1"))))
+        assertEquals(emptyList<Start>(), tooFewMachines.starts)
+        val enoughMachines = plan(snapshot(listOf(job(gang)), listOf(machine("m1"), machine("m2"))))
+        assertEquals(9, enoughMachines.starts.size)
     }
 
     @Test
-    fun `ranking goes by priority, then by what postponing costs`() {
+    fun `jobs are ranked by priority, then by the penalty of postponing them`() {
         val late = job(spec("run-1", JobKind.ARRAY, Priority.NORMAL).copy(estimateS = 50.0), deadlineInS = 60.0)
         val early = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL).copy(estimateS = 50.0), deadlineInS = 600.0)
         val urgent = job(spec("run-3", priority = Priority.HIGH))
         val order = Ranking.order(listOf(early, late, urgent), 30.0, 100.0).map { it.id.value }
         assertEquals(listOf("run-3", "run-1", "run-2"), order)
-        assertEquals(100.0 * (30.0 + 50.0 - 60.0), Ranking.postponement(late, 30.0, 100.0), 1e-9)
-        assertEquals(0.0, Ranking.postponement(early, 30.0, 100.0), 1e-9)
+        assertEquals(100.0 * (30.0 + 50.0 - 60.0), Ranking.postponementPenalty(late, 30.0, 100.0), 1e-9)
+        assertEquals(0.0, Ranking.postponementPenalty(early, 30.0, 100.0), 1e-9)
     }
 
     @Test
-    fun `preemption keeps to the protocol's cases`() {
+    fun `preemption follows the protocol's rules`() {
         val borrowing = PlanTeam(1e9, 1e9, 0.0, 8.0).apply { add(Resources(0.0, 16.0, 0.0)) }
         val within = PlanTeam(1e9, 1e9, 0.0, 32.0).apply { add(Resources(0.0, 8.0, 0.0)) }
         val none = PlanTeam(1e9, 1e9, 0.0, 0.0)
@@ -219,7 +221,7 @@
             val preemptedTask: Priority,
             val red: PlanTeam,
             val blue: PlanTeam,
-            val may: Boolean,
+            val isAllowed: Boolean,
         )
         val cases =
             listOf(
@@ -247,17 +249,17 @@
             )
         for (case in cases) {
             val job = job(spec(priority = case.job))
-            val preemptedTask = tenant(spec("run-9", priority = case.preemptedTask, team = "blue"))
+            val preemptedTask = placedTask(spec("run-9", priority = case.preemptedTask, team = "blue"))
             val teams = teams(case.red, case.blue)
             val guaranteed = case.red.guarantees(job.spec.resources())
-            assertEquals(case.may, Preemption.mayStop(job, guaranteed, preemptedTask, teams), case.name)
+            assertEquals(case.isAllowed, Preemption.mayStop(job, guaranteed, preemptedTask, teams), case.name)
         }
     }
 
     @Test
-    fun `work inside a guarantee goes before what is borrowed, however long that has waited`() {
-        // Found on the bench: the borrowed job took the room that had been made for the other one, was stopped for it
-        // again in the next plan, and so on twenty times a second.
+    fun `work within a guarantee is placed before borrowing work that has waited longer`() {
+        // Guards against a loop of preemptions: the borrowing job was started on the capacity that had been freed for
+        // the other job, and stopped for it again in the next plan, twenty times a second.
         val red = PlanTeam(1e9, 1e9, 0.0, 8.0)
         val blue = PlanTeam(1e9, 1e9, 0.0, 2.0).apply { add(Resources(0.0, 4.0, 0.0)) }
         val borrowed =
@@ -272,33 +274,33 @@
                 1.0,
                 emptySet(),
             )
-        val covered = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL, gpus = 8.0))
-        val plan = plan(snapshot(listOf(borrowed, covered), listOf(machine("m1")), teams(red, blue)))
+        val withinGuarantee = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL, gpus = 8.0))
+        val plan = plan(snapshot(listOf(borrowed, withinGuarantee), listOf(machine("m1")), teams(red, blue)))
         assertEquals(listOf(Start(JobId("run-2"), 0, MachineId("m1"))), plan.starts)
         assertEquals(emptyList<AttemptId>(), plan.stops)
     }
 
     @Test
-    fun `a task without GPUs takes the room made for it rather than stop one more task`() {
-        // Found on the bench: it stopped one task in each plan, never started itself, and the stopped ones started and
-        // were stopped in turn, twenty times a second.
+    fun `a task without GPUs uses the capacity freed for it instead of preempting another task`() {
+        // Guards against a loop of preemptions: each plan stopped one more task for the job but never started the job,
+        // so the stopped tasks started and were stopped in turn, twenty times a second.
         val image = setOf(ImageName("img"))
         val others =
             (1..8).map { index ->
-                tenant(spec("run-9$index", priority = Priority.HIGH, cores = 8.0), ranS = 0.0)
+                placedTask(spec("run-9$index", priority = Priority.HIGH, cores = 8.0), ranS = 0.0)
             }
-        val roomMade = machine("m1", images = image, placedTasks = others.drop(1))
+        val afterPreemption = machine("m1", images = image, placedTasks = others.drop(1))
         val full = machine("m2", images = image, placedTasks = others)
         val small = job(spec("run-1", gpus = 0.0, cores = 4.0).copy(types = listOf(g8.name)))
-        val plan = plan(snapshot(listOf(small), listOf(roomMade, full)))
+        val plan = plan(snapshot(listOf(small), listOf(afterPreemption, full)))
         assertEquals(listOf(Start(JobId("run-1"), 0, MachineId("m1"))), plan.starts)
         assertEquals(emptyList<AttemptId>(), plan.stops)
     }
 
     @Test
-    fun `a task that is being moved goes before what came meanwhile`() {
-        // Found on the bench: a large array took the room between the stop of some replicas and their next start, and
-        // they waited for a machine to boot.
+    fun `a task that is being moved is placed before jobs submitted meanwhile`() {
+        // Guards against a large array taking the target's capacity between the stop of moved replicas and their next
+        // start, which left the replicas waiting for a machine to boot.
         val moved =
             job(spec("run-2", priority = Priority.HIGH, gpus = 8.0)).let {
                 PlanJob(it.id, it.spec, it.pending, it.tasksByZone, 0.0, 0.0, null, 1.0, emptySet(), isMoving = true)
@@ -309,41 +311,42 @@
     }
 
     @Test
-    fun `room that comes free is not made a second time`() {
-        val stopping = tenant(spec("run-9", JobKind.ARRAY, Priority.NORMAL, gpus = 8.0))
-        val host = machine("m1", placedTasks = listOf(stopping))
+    fun `capacity that is being freed is not freed a second time`() {
+        val preempted = placedTask(spec("run-9", JobKind.ARRAY, Priority.NORMAL, gpus = 8.0))
+        val host = machine("m1", placedTasks = listOf(preempted))
         val first = plan(snapshot(listOf(job(spec())), listOf(host)))
-        assertEquals(listOf(stopping.attempt), first.stops)
-        val leaving = PlacedTask(stopping.attempt, stopping.spec, mapOf(a to 1), 100.0, 2.0, 1.0, stopping = true)
-        val other = tenant(spec("run-8", JobKind.ARRAY, Priority.NORMAL, gpus = 0.0))
-        val second = plan(snapshot(listOf(job(spec())), listOf(machine("m1", placedTasks = listOf(leaving, other)))))
+        assertEquals(listOf(preempted.attempt), first.stops)
+        val stopping =
+            PlacedTask(preempted.attempt, preempted.spec, mapOf(zoneA to 1), 100.0, 2.0, 1.0, stopping = true)
+        val other = placedTask(spec("run-8", JobKind.ARRAY, Priority.NORMAL, gpus = 0.0))
+        val second = plan(snapshot(listOf(job(spec())), listOf(machine("m1", placedTasks = listOf(stopping, other)))))
         assertEquals(emptyList<AttemptId>(), second.stops)
         assertEquals(setOf(MachineId("m1")), second.reserved)
     }
 
     @Test
-    fun `replicas without GPUs make way on a machine whose GPUs they strand`() {
+    fun `replicas without GPUs are moved from a machine whose GPUs they strand`() {
         val small =
             (1..10).map { index ->
-                tenant(spec("run-2$index", gpus = 0.0, cores = 6.0).copy(types = listOf(g8.name, c32.name)))
+                placedTask(spec("run-2$index", gpus = 0.0, cores = 6.0).copy(types = listOf(g8.name, c32.name)))
             }
-        val stranded = machine("m1", placedTasks = small)
-        val room = machine("m2", type = c32, images = setOf(ImageName("img")), placedTasks = listOf(small.last()))
+        val withStrandedGpus = machine("m1", placedTasks = small)
+        val target = machine("m2", type = c32, images = setOf(ImageName("img")), placedTasks = listOf(small.last()))
         val gpuJob = job(spec("run-1", priority = Priority.HIGH))
-        val plan = plan(snapshot(listOf(gpuJob), listOf(stranded, room)))
+        val plan = plan(snapshot(listOf(gpuJob), listOf(withStrandedGpus, target)))
         assertEquals(1, plan.stops.size)
         assertEquals(mapOf(plan.stops.single() to MachineId("m2")), plan.targets)
         assertEquals(emptyMap<MachineKind, Int>(), plan.rentals)
-        val nowhere = plan(snapshot(listOf(gpuJob), listOf(machine("m1", placedTasks = small))))
-        assertEquals(emptyList<AttemptId>(), nowhere.stops)
+        val planWithoutHosts = plan(snapshot(listOf(gpuJob), listOf(machine("m1", placedTasks = small))))
+        assertEquals(emptyList<AttemptId>(), planWithoutHosts.stops)
     }
 
     @Test
-    fun `a nearly empty machine is emptied when its replicas fit elsewhere`() {
+    fun `a nearly empty machine is emptied if its replicas fit on other machines`() {
         val image = setOf(ImageName("img"))
-        val crumbs = machine("m1", placedTasks = listOf(tenant(spec("run-8"))), images = image)
-        val other = machine("m2", placedTasks = listOf(tenant(spec("run-9", gpus = 6.0))), images = image)
-        val plan = plan(snapshot(emptyList(), listOf(crumbs, other), mayMove = true))
+        val nearlyEmpty = machine("m1", placedTasks = listOf(placedTask(spec("run-8"))), images = image)
+        val other = machine("m2", placedTasks = listOf(placedTask(spec("run-9", gpus = 6.0))), images = image)
+        val plan = plan(snapshot(emptyList(), listOf(nearlyEmpty, other), mayMove = true))
         assertEquals(MachineId("m1"), plan.move?.machine)
         assertEquals(
             listOf(MachineId("m2")),
@@ -352,87 +355,88 @@
                 ?.values
                 ?.toList(),
         )
-        val young = machine("m1", placedTasks = listOf(tenant(spec("run-8"), ranS = 5.0)), images = image)
-        val old = machine("m2", placedTasks = listOf(tenant(spec("run-9"), ranS = 5.0)), images = image)
-        assertEquals(null, plan(snapshot(emptyList(), listOf(young, old), mayMove = true)).move)
+        val young = machine("m1", placedTasks = listOf(placedTask(spec("run-8"), ranS = 5.0)), images = image)
+        val otherYoung = machine("m2", placedTasks = listOf(placedTask(spec("run-9"), ranS = 5.0)), images = image)
+        assertEquals(null, plan(snapshot(emptyList(), listOf(young, otherYoung), mayMove = true)).move)
     }
 
     @Test
-    fun `a silent machine is given up only for more than another one's boot`() {
-        // Found on the bench: replicas of hung machines stayed down until the machines' leases were over.
+    fun `a silent machine is replaced only if its replicas' downtime costs more than a boot`() {
+        // Guards against leaving the replicas of hung machines down until the machines' leases expire.
         class Case(
             val weight: Double,
             val downS: Double,
             val type: MachineType,
-            val worth: Boolean,
+            val isCheaper: Boolean,
         )
         val cases =
             listOf(
-                Case(weight = 1.0, downS = 5.0, type = g8, worth = false),
-                Case(weight = 4.0, downS = 5.0, type = g8, worth = true),
-                Case(weight = 1.0, downS = 5.0, type = c32, worth = true),
-                Case(weight = 0.0, downS = 6.0, type = c32, worth = false),
-                Case(weight = 100.0, downS = -1.0, type = g8, worth = false),
+                Case(weight = 1.0, downS = 5.0, type = g8, isCheaper = false),
+                Case(weight = 4.0, downS = 5.0, type = g8, isCheaper = true),
+                Case(weight = 1.0, downS = 5.0, type = c32, isCheaper = true),
+                Case(weight = 0.0, downS = 6.0, type = c32, isCheaper = false),
+                Case(weight = 100.0, downS = -1.0, type = g8, isCheaper = false),
             )
         for (case in cases) {
-            val worth = Pricing.isReplacementCheaper(case.weight, case.downS, case.type, spot = false, listOf(g8, c32))
-            assertEquals(case.worth, worth, "${case.weight} for ${case.downS} s on ${case.type.name}")
+            val isCheaper =
+                Pricing.isReplacementCheaper(case.weight, case.downS, case.type, spot = false, listOf(g8, c32))
+            assertEquals(case.isCheaper, isCheaper, "${case.weight} for ${case.downS} s on ${case.type.name}")
         }
     }
 
     @Test
-    fun `spot work leaves ordinary room that can't be had again to those who need it`() {
-        // Found on the bench: all ordinary machines were rented, arrays filled them, and replicas waited for stops
-        // while spot machines could be had.
+    fun `a job that can use spot machines leaves scarce on-demand capacity to other jobs`() {
+        // Guards against arrays filling the on-demand machines when the cloud refuses more of them: replicas had to
+        // wait for preemptions although spot machines were available.
         val array = spec("run-1", JobKind.ARRAY, Priority.NORMAL, tasks = 8).copy(spot = true, estimateS = 100.0)
         val refused =
-            listOf(a, b).associate {
+            listOf(zoneA, zoneB).associate {
                 MachineKind(g8.name, it, false) to
                     CapacityRefusal(blocked = true, penalty = 1.0)
             }
         val host = machine("m1")
-        val yielding = plan(snapshot(listOf(job(array, 300.0)), listOf(host), refusals = refused))
+        val spotPreferred = plan(snapshot(listOf(job(array, 300.0)), listOf(host), refusals = refused))
         assertEquals(
             1,
-            yielding.rentals.entries
+            spotPreferred.rentals.entries
                 .single { it.key.spot }
                 .value,
         )
-        assertEquals(emptyList<Start>(), yielding.starts)
+        assertEquals(emptyList<Start>(), spotPreferred.starts)
         val late = plan(snapshot(listOf(job(array, 100.0)), listOf(machine("m1")), refusals = refused))
-        assertEquals(8, late.starts.size, "a boot would make it late")
+        assertEquals(8, late.starts.size, "waiting for a boot would make it late")
         val short = job(array.copy(estimateS = 20.0), 300.0)
         val brief = plan(snapshot(listOf(short), listOf(machine("m1")), refusals = refused))
-        assertEquals(8, brief.starts.size, "it ends before a spot machine is up")
-        val plenty = plan(snapshot(listOf(job(array, 300.0)), listOf(machine("m1"))))
-        assertEquals(8, plenty.starts.size, "ordinary machines can be had")
+        assertEquals(8, brief.starts.size, "the tasks end before a spot machine is up")
+        val notRefused = plan(snapshot(listOf(job(array, 300.0)), listOf(machine("m1"))))
+        assertEquals(8, notRefused.starts.size, "the cloud refuses no on-demand machines")
 
         fun guaranteed() = teams(red = PlanTeam(1e9, 1e9, 0.0, 8.0))
-        val own = plan(snapshot(listOf(job(array, 300.0)), listOf(machine("m1")), guaranteed(), refused))
-        assertEquals(8, own.starts.size, "what a guarantee covers doesn't wait")
-        // Nor for a fetch: the spot machine's price made work within a guarantee start late, beside free room.
-        val beside = machine("m1", images = setOf(ImageName("img")))
+        val withinGuarantee = plan(snapshot(listOf(job(array, 300.0)), listOf(machine("m1")), guaranteed(), refused))
+        assertEquals(8, withinGuarantee.starts.size, "work within a guarantee doesn't wait for a spot machine")
+        // Guards against a spot machine's lower price delaying work within a guarantee by an image fetch.
+        val hostWithImage = machine("m1", images = setOf(ImageName("img")))
         val spot = machine("m2", spot = true)
         val large = job(array.copy(imageGb = 40.0), 300.0)
-        val near = plan(snapshot(listOf(large), listOf(beside, spot), guaranteed(), refused, false, 1.5))
-        assertEquals(setOf(MachineId("m1")), near.starts.map { it.machine }.toSet())
+        val nextToImage = plan(snapshot(listOf(large), listOf(hostWithImage, spot), guaranteed(), refused, false, 1.5))
+        assertEquals(setOf(MachineId("m1")), nextToImage.starts.map { it.machine }.toSet())
     }
 
     @Test
-    fun `a replica is not stopped only to save another one's fetch`() {
-        // Found on the bench: on a quiet day a start beside its image stopped a young replica, which then fetched for
-        // longer than had been saved.
+    fun `a replica is not preempted only to save an image fetch`() {
+        // Guards against preempting a recently started replica so that a task starts where its image is: the replica's
+        // own image fetch then took longer than the fetch that was saved. Seen on a day with little load.
         fun plan(
             kind: JobKind,
             priority: Priority,
         ): Plan {
-            val tenant = tenant(spec("run-9", kind, priority, gpus = 8.0, team = "blue"), ranS = 0.0)
-            val holder = machine("m1", images = setOf(ImageName("img")), placedTasks = listOf(tenant))
+            val placedTask = placedTask(spec("run-9", kind, priority, gpus = 8.0, team = "blue"), ranS = 0.0)
+            val machineWithImage = machine("m1", images = setOf(ImageName("img")), placedTasks = listOf(placedTask))
             val red = PlanTeam(1e9, 1e9, 0.0, 8.0)
-            val blue = PlanTeam(1e9, 1e9, 0.0, 0.0).also { it.add(tenant.need) }
-            return plan(snapshot(listOf(job(spec())), listOf(holder, machine("m2")), teams(red, blue)))
+            val blue = PlanTeam(1e9, 1e9, 0.0, 0.0).also { it.add(placedTask.need) }
+            return plan(snapshot(listOf(job(spec())), listOf(machineWithImage, machine("m2")), teams(red, blue)))
         }
         assertEquals(emptyList<AttemptId>(), plan(JobKind.SERVICE, Priority.PRODUCTION).stops)
-        assertEquals(1, plan(JobKind.ARRAY, Priority.NORMAL).stops.size, "a young task may be")
+        assertEquals(1, plan(JobKind.ARRAY, Priority.NORMAL).stops.size, "a recently started array task may be")
     }
 }
