--- a/src/main/kotlin/oxbowlug/plan/Snapshot.kt
+++ b/src/main/kotlin/oxbowlug/plan/Snapshot.kt
@@ -60,7 +60,7 @@
     val mayRent: Boolean,
     /** The most cores and memory per GPU that any active job takes. */
     val resourcesPerGpu: Resources = Resources.NONE,
-    /** A task that has run for less than this isn't moved: a start that is soon stopped doesn't count as one. */
+    /** A task that has run for less than this isn't moved: the protocol doesn't count a start stopped within 30 s. */
     val settledS: Double = 30.0,
     /** Whether the plan may include a [Consolidation.Move]. */
     val mayMove: Boolean = false,
