--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -71,7 +71,7 @@
         for ((machine, attempts) in attemptsByMachine(due)) probe(machine, attempts, now)
         val toRelease =
             due
-                .filter { now - it.confirmedAt > timing.enforceByReleaseLatestMs + rank * callMs }
+                .filter { now - it.confirmedAt > timing.enforceByReleaseAfterMs + rank * callMs }
                 .flatMapTo(LinkedHashSet()) { pending ->
                     pending.attempts.filter { (machine, attempts) -> !areProvenAbsent(machine, attempts, now) }.keys
                 }
@@ -83,8 +83,8 @@
         now: Long,
         rank: Int,
     ): Boolean {
-        val fromMs = if (isHandledByLeader(pending)) timing.enforceByReleaseLatestMs * 3 / 4 else timing.enforceAfterMs
-        return now - pending.confirmedAt >= fromMs + rank * timing.enforceStepMs
+        val fromMs = if (isHandledByLeader(pending)) timing.enforceByReleaseAfterMs * 3 / 4 else timing.enforceAfterMs
+        return now - pending.confirmedAt >= fromMs + rank * timing.enforceStaggerMs
     }
 
     /** All at once: asked about one job after the other, a machine that holds many would be asked about the first. */
@@ -100,7 +100,7 @@
         machine: MachineId,
         attempts: Set<AttemptId>,
         now: Long,
-    ): Boolean = machine in released || probes[machine]?.areAbsent(attempts, now - timing.suspectMs) ?: false
+    ): Boolean = machine in released || probes[machine]?.areAbsent(attempts, now - timing.suspectAfterMs) ?: false
 
     private fun probe(
         machine: MachineId,
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -80,13 +80,13 @@
         former: PeerConfirmations,
         now: Long,
     ) {
-        val wasCutOff = now - former.lastContactAt > timing.workerLeaseRawMs
+        val wasCutOff = now - former.lastContactAt > timing.workerLeaseTtlMs
         if (former.mayConfirm && wasCutOff) uncertainAtByLabel[label] = now
     }
 
     /** Whether leases may be renewed here although the state service is out of reach. */
     fun mayRenewLeases(): Boolean {
-        val requiredFreshnessMs = clock.steadyMs() - timing.blindRenewalMs
+        val requiredFreshnessMs = clock.steadyMs() - timing.maxRenewalStalenessMs
         val readUpToMs = cache.freshAsOfMs
         if (readUpToMs >= requiredFreshnessMs) return true
         uncertainAtByLabel.values.removeIf { it <= readUpToMs }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -87,7 +87,7 @@
         if (record.placements.isEmpty()) return
         val now = clock.steadyMs()
         val ageMs = record.cancelledMs?.let { clock.wallMs() - it + settings.skewMs.toLong() } ?: 0
-        val pending = PendingCancellation(cancellation, isConfirmedHere, now, now - ageMs.coerceIn(0, timing.cancelMs))
+        val pending = PendingCancellation(cancellation, isConfirmedHere, now, now - ageMs.coerceIn(0, timing.cancelDeadlineMs))
         pendingById[cancellation.id] = pending
         if (isConfirmedHere) sendToAll(pending)
     }
@@ -134,7 +134,7 @@
                     pending.isConfirmedHere -> true
                     // By the watch all learn of it in time; one that lost the state service, or was started since,
                     // doesn't.
-                    else -> now - pending.observedAt > timing.enforceAfterMs || peerHealth.isWithoutState(peer.label)
+                    else -> now - pending.observedAt > timing.enforceAfterMs || peerHealth.isCutOffFromState(peer.label)
                 }
             if (due) peers.send(peer.label, CancellationNotice.Cancelled(self, pending.cancellation))
         }
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -43,7 +43,7 @@
             // A duplicate of an older heartbeat renews nothing and proves nothing.
             if (position <= machine.lastHeartbeat) return machine
             machine.lastHeartbeat = position
-            machine.lease.renewed(now)
+            machine.lease.onRenewed(now)
         }
         if (position <= machine.position) return machine
         if (heartbeat.incarnation > machine.position.incarnation || heartbeat.token > machine.token) {
@@ -119,7 +119,7 @@
         if (!attempt.isWanted || isAbsent && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)) {
             // The former leader saw it end and gave its quota to others, but ended before it had stored the end.
             cluster.remove(attempt)
-        } else if (isHeartbeat && attempt.isOverdue(now, timing.workerLeaseRawMs)) {
+        } else if (isHeartbeat && attempt.isOverdue(now, timing.workerLeaseTtlMs)) {
             // Its heartbeats arrive, but our commands don't reach it: the work goes elsewhere.
             log.info("start not acted on: machine={} attempt={}", machine.id, attempt.id)
             machine.unresponsiveUntil = now + timing.unresponsiveMs
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -62,7 +62,7 @@
         // A direct start may still be on its way, and a stop alone would be too early for it. Started and stopped
         // at once, the attempt stays known as exited, and the late copy has no effect.
         val cancelledAt = attempt.job.cancelledAt
-        val inTime = cancelledAt == null || now < cancelledAt + timing.cancelPatienceMs / 2
+        val inTime = cancelledAt == null || now < cancelledAt + timing.cancelReleaseAfterMs / 2
         if (attempt.id in machine.unresolvedStarts && inTime) {
             result.add(WorkerCommand.Start(attempt.id))
             result.add(WorkerCommand.Stop(attempt.id, 0.0))
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -38,7 +38,7 @@
             // A leader elected during a cut has never heard the machines behind it.
             val since = lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
             if (now - since > timing.zonePartitionSilenceMs) count.silent++
-            if (lastContactAt != null && now - lastContactAt > timing.suspectMs) suspects.add(machine)
+            if (lastContactAt != null && now - lastContactAt > timing.suspectAfterMs) suspects.add(machine)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -122,7 +122,7 @@
     ) {
         val withdrawnAttempts = cluster.withdrawUncommitted(job)
         log.error("job record too large: job={} withdrawnAttempts={}", job.id, withdrawnAttempts)
-        job.writeNotBefore = now + timing.workerLeaseRawMs
+        job.writeNotBefore = now + timing.workerLeaseTtlMs
     }
 
     private fun send(
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -113,8 +113,8 @@
             lease = granted
             isRegistered = false
             if (granted != null) {
-                leaseValidUntilMs = now + timing.leadershipLeaseMs
-                nextRenewalAt = now + timing.leadershipRenewMs
+                leaseValidUntilMs = now + timing.leadershipLeaseValidityMs
+                nextRenewalAt = now + timing.leadershipRenewIntervalMs
                 registerOrCampaign(clock.steadyMs())
             } else {
                 nextRenewalAt = clock.steadyMs() + timing.retryMs()
@@ -133,9 +133,9 @@
             when (outcome) {
                 TouchOutcome.RENEWED -> {
                     // Counted from when the renewal was sent: the service may have done it at once.
-                    leaseValidUntilMs = maxOf(leaseValidUntilMs, now + timing.leadershipLeaseMs)
-                    cache.contacted(now)
-                    nextRenewalAt = now + timing.leadershipRenewMs
+                    leaseValidUntilMs = maxOf(leaseValidUntilMs, now + timing.leadershipLeaseValidityMs)
+                    cache.recordContact(now)
+                    nextRenewalAt = now + timing.leadershipRenewIntervalMs
                 }
                 TouchOutcome.OVER -> {
                     log.info("controller lease expired: lease={}", heldLease)
@@ -195,7 +195,7 @@
             if (outcome is CommitOutcome.Applied) {
                 if (registrationLease != null && lease == registrationLease) isRegistered = true
                 log.info("leader elected: epoch={}", next.epoch)
-                cache.adopt(next.copy(version = outcome.revision))
+                cache.applyLeadershipRecord(next.copy(version = outcome.revision))
             } else {
                 // Won or lost unseen: the watch reports it, and a leadership record that names us is adopted from
                 // there.
@@ -214,7 +214,7 @@
         lease = null
         isRegistered = false
         leaseValidUntilMs = NEVER_MS
-        val pause = timing.workerLeaseRawMs
+        val pause = timing.workerLeaseTtlMs
         nextRenewalAt = clock.steadyMs() + pause
         nextElectionAt = clock.steadyMs() + pause
         state.release(heldLease)
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -46,7 +46,7 @@
         if (machine.isDirectCommandInFlight) return false
         val commands =
             if (decisions.mayLead) {
-                checks.storedOnly(machine, cluster.commands(machine, now))
+                checks.dropUnstoredStarts(machine, cluster.commands(machine, now))
             } else {
                 cluster.cancelledStops(machine)
             }
@@ -73,7 +73,7 @@
             DirectOutcome.Unanswered -> {
                 // It may be executed minutes later; from here on the answers to heartbeats carry the commands.
                 machine.unresolvedStarts.addAll(starts)
-                machine.nextDirectCommandAt = clock.steadyMs() + timing.workerLeaseRawMs
+                machine.nextDirectCommandAt = clock.steadyMs() + timing.workerLeaseTtlMs
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
@@ -41,13 +41,13 @@
         clock.steadyMs() - heartbeat.receivedAtMs < timing.peerHeartbeatMs * ALIVE_HEARTBEATS
 
     /** Whether it said, in its last heartbeat, that the state service hasn't answered it lately. */
-    fun isWithoutState(label: String): Boolean = lastHeartbeats[label]?.mayConfirm == false
+    fun isCutOffFromState(label: String): Boolean = lastHeartbeats[label]?.mayConfirm == false
 
     /**
      * Whether another controller reaches the state service. Also true while no other one is heard: then it is this one
      * that is cut off.
      */
-    fun isStateVisibleToOthers(): Boolean {
+    fun isStateReachableByOthers(): Boolean {
         if (peerCount == 0) return false
         val recent = lastHeartbeats.values.filter(::isRecent)
         return recent.isEmpty() || recent.any { it.seesState }
--- a/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
@@ -61,7 +61,7 @@
     private fun put(key: String) = store.commit(Transaction(emptyList(), listOf(Change.Put(key, mapOf("x" to 1L)))))
 
     private fun tick() {
-        clock.now += timing.leadershipRenewMs
+        clock.now += timing.leadershipRenewIntervalMs
         cache.tick()
         election.tick()
     }
@@ -93,7 +93,7 @@
         touches[0](TouchOutcome.RENEWED)
         repeat(2) { tick() }
         assertEquals(1, grants, "no new lease before the pause is over")
-        clock.now += timing.workerLeaseRawMs
+        clock.now += timing.workerLeaseTtlMs
         tick()
         assertEquals(2, grants)
     }
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -182,7 +182,7 @@
     /** The jobs are cancelled one after the other, and [there] still run. */
     private fun play(
         there: List<JobId>,
-        forMs: Long = timing.cancelMs,
+        forMs: Long = timing.cancelDeadlineMs,
     ) {
         running.addAll(there.map(::attempt))
         cancelled(first)
@@ -203,13 +203,13 @@
 
     @Test
     fun `each cancelled job's attempts on a shared machine are stopped`() {
-        play(listOf(first, second), forMs = timing.cancelPatienceMs)
+        play(listOf(first, second), forMs = timing.cancelReleaseAfterMs)
         assertEquals(emptySet<AttemptId>(), running)
     }
 
     @Test
     fun `that one job's attempts are gone isn't taken for the other's`() {
-        play(listOf(second), forMs = timing.cancelPatienceMs)
+        play(listOf(second), forMs = timing.cancelReleaseAfterMs)
         assertEquals(emptySet<AttemptId>(), running)
     }
 
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -21,7 +21,7 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.scaling.MachineScaler
 import oxbowlug.scheduling.SchedulingRound
-import oxbowlug.scheduling.ZoneUses
+import oxbowlug.scheduling.ZoneTaskCounts
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.failingInvariants
@@ -202,10 +202,10 @@
         hello(report(10, tasks = listOf(task(TaskState.RUNNING))))
         hello(report(9))
         assertTrue(isHeld, "an older report lacks it")
-        clock.now += timing.workerLeaseRawMs - 100
+        clock.now += timing.workerLeaseTtlMs - 100
         assertFalse(cluster.expire(cluster.machines.getValue(machine), clock.now))
         hello(report(8))
-        clock.now += timing.workerExpiryMs - timing.workerLeaseRawMs + 100
+        clock.now += timing.workerLeaseExpiryMs - timing.workerLeaseTtlMs + 100
         assertTrue(cluster.expire(cluster.machines.getValue(machine), clock.now), "a copy renews nothing")
         assertFalse(isHeld)
         assertFalse(hello(report(11, tasks = listOf(task(TaskState.RUNNING)))) == null)
@@ -221,7 +221,7 @@
         take(record(placed = false), 7)
         hello(report(1))
         val host = cluster.machines.getValue(machine)
-        clock.now += timing.workerLeaseRawMs - 1_000
+        clock.now += timing.workerLeaseTtlMs - 1_000
         // It heard none of our last answers, so its incarnation ended, and the next one began without a report to us.
         cluster.applyHeartbeat(report(2, incarnation = 2), isHeartbeat = false)
         cluster.place(job, 0, host)
@@ -232,7 +232,7 @@
         clock.now += 2_000
         cluster.expire(host, clock.now)
         assertTrue(isHeld, "the new incarnation's lease is not over, and the task runs")
-        clock.now += timing.workerExpiryMs
+        clock.now += timing.workerLeaseExpiryMs
         assertTrue(cluster.expire(host, clock.now), "a lease after it was shown, it is")
         assertFalse(isHeld)
     }
@@ -241,7 +241,7 @@
     fun `the end of a lease proves nothing while another token may have renewed it`() {
         take(record(), 7)
         hello(report(10, seen = FencingToken(4), tasks = listOf(task(TaskState.RUNNING))))
-        clock.now += timing.workerExpiryMs * 3
+        clock.now += timing.workerLeaseExpiryMs * 3
         assertFalse(cluster.expire(cluster.machines.getValue(machine), clock.now))
         assertTrue(isHeld)
     }
@@ -367,7 +367,7 @@
         assertEquals(pauses.sorted(), pauses, "the pause grows")
         assertTrue(pauses.last() > pauses[1])
         for (index in 7..30) FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
-        val longest = maxOf(job.holdUntil - clock.now, timing.avoidMs)
+        val longest = maxOf(job.holdUntil - clock.now, timing.failedMachineAvoidMs)
         assertTrue(longest <= 75_000, "after the trouble it would be left waiting for $longest ms beside free room")
     }
 
@@ -386,7 +386,7 @@
             isHeartbeat = true,
         )
         val silent = cluster.machines.getValue(machine)
-        clock.now += timing.suspectMs
+        clock.now += timing.suspectAfterMs
         assertFalse(planning.hasRoomFor(listOf(silent), types), "it is the only one")
         for (name in listOf("host-000002", "host-000003")) {
             cluster.applyHeartbeat(report(1).copy(machine = MachineId(name)), isHeartbeat = true)
@@ -415,7 +415,7 @@
             val suspects: Int,
         )
 
-        val silent = timing.suspectMs + 1
+        val silent = timing.suspectAfterMs + 1
         val cases =
             listOf(
                 Case("all heard", listOf(0, 500, 900, 100, 0, 0), false, 0),
@@ -443,13 +443,13 @@
     fun `tasks on a machine of which nothing is known yet count in every zone`() {
         // Found by the simulation: a new leader left them out, and more than half of a spread job came into one zone.
         take(record(), 1)
-        val uses = ZoneUses(cluster, settings.zones)
+        val uses = ZoneTaskCounts(cluster, settings.zones)
         assertEquals(settings.zones.associateWith { 1 }, uses.of(job))
-        assertFalse(uses.isKnown(job))
+        assertFalse(uses.areAllZonesKnown(job))
         hello(report(1))
-        val known = ZoneUses(cluster, settings.zones)
+        val known = ZoneTaskCounts(cluster, settings.zones)
         assertEquals(mapOf(cluster.machines.getValue(machine).zone to 1), known.of(job))
-        assertTrue(known.isKnown(job))
+        assertTrue(known.areAllZonesKnown(job))
     }
 
     private object NoCloud : CloudPort {
--- a/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
@@ -53,7 +53,7 @@
         election.tick()
         cache.catchUp {}
         clock.now += 250
-        val leftMs = timing.leadershipLeaseMs - 250
+        val leftMs = timing.leadershipLeaseValidityMs - 250
         val copy = "revision=${cache.revision} stalenessMs=250"
         assertEquals("role=leader epoch=7 token=5 leaseRemainingMs=$leftMs $copy", decisions.describe())
         clock.now += timing.leadershipLeaseTtlMs
--- a/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
@@ -121,7 +121,7 @@
             val overAfterMs: Long?,
             val said: (sinceMs: Long, nowMs: Long) -> PeerHeartbeat?,
         )
-        val expiry = timing.workerExpiryMs
+        val expiry = timing.workerLeaseExpiryMs
         val cases =
             listOf(
                 Case("no deputy there", Zone("a"), 0) { _, _ -> null },
@@ -144,7 +144,7 @@
             var overAt: Long? = null
             while (overAt == null && clock.now < answeredAt + expiry * 3) {
                 case.said(clock.now - answeredAt, clock.now)?.let(delegates::onHeartbeat)
-                if (delegates.isSurelyExpired(case.zone, answeredAt)) overAt = clock.now - answeredAt
+                if (delegates.isProvenExpired(case.zone, answeredAt)) overAt = clock.now - answeredAt
                 clock.now += 100
             }
             assertEquals(case.overAfterMs?.let { (it + 99) / 100 * 100 }, overAt, case.name)
@@ -166,7 +166,7 @@
         }
         val assigned = DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1)
         assertEquals(Member("n1", "z"), assigned.byZone[zone])
-        assertFalse(delegates.isSurelyExpired(zone, 0), "the former may have renewed something to its end")
+        assertFalse(delegates.isProvenExpired(zone, 0), "the former may have renewed something to its end")
     }
 
     @Test
@@ -178,14 +178,14 @@
         isAway = true
         here.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
         assertNull(here.renew(report), "just heard")
-        clock.now += timing.delegateAfterMs
+        clock.now += timing.delegateActivationMs
         assertEquals(FencingToken(3), here.renew(report))
         assertNull(here.renew(report(Zone("a"), 3)), "of another zone")
         assertNull(here.renew(report(zone, 4)), "it knows a newer token")
         assertEquals(HeartbeatEcho(leader, 7, 1), here.echo())
         here.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 8))
         assertNull(here.renew(report), "the leader is heard again")
-        clock.now += timing.delegateAfterMs
+        clock.now += timing.delegateActivationMs
         isAway = false
         cache.catchUp {}
         assertNull(here.renew(report), "the state service answers")
@@ -200,7 +200,7 @@
         val here = LeaseRenewalDelegate(delegate, zone, regional, clock, timing, cache())
         isAway = true
         here.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
-        clock.now += timing.delegateAfterMs
+        clock.now += timing.delegateActivationMs
         assertEquals(FencingToken(3), here.renew(report(Zone("c"), 3)))
         assertNull(here.renew(report(Zone("d"), 3)), "another one is named")
         assertEquals(leader, here.delegateFor(report(Zone("d"), 3)), "and the worker is sent there")
@@ -223,20 +223,20 @@
         assertEquals(mapOf(zone to delegate, Zone("c") to delegate), assigned)
         val answeredAt = clock.now
         val renewedAt = answeredAt + 3_000
-        val until = answeredAt + timing.workerExpiryMs + 200
+        val until = answeredAt + timing.workerLeaseExpiryMs + 200
         while (clock.now < until) {
             delegates.onHeartbeat(word(clock.now - 5, renewals = if (clock.now < renewedAt) 0 else 1))
             clock.now += 100
         }
         assertFalse(
-            delegates.isSurelyExpired(Zone("c"), answeredAt),
+            delegates.isProvenExpired(Zone("c"), answeredAt),
             "it renewed something, nobody knows in which zone",
         )
-        while (clock.now < renewedAt + timing.workerExpiryMs + 200) {
+        while (clock.now < renewedAt + timing.workerLeaseExpiryMs + 200) {
             clock.now += 100
             delegates.onHeartbeat(word(clock.now - 5, renewals = 1))
         }
-        assertEquals(true, delegates.isSurelyExpired(Zone("c"), answeredAt), "nothing since")
+        assertEquals(true, delegates.isProvenExpired(Zone("c"), answeredAt), "nothing since")
     }
 
     private fun report(
