--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -96,7 +96,7 @@
         val leaseCountsFrom = machine.lease.ttlStartMs ?: return false
         val type = types[machine.type] ?: return false
         val leaseLeftS = (timing.workerLeaseExpiryMs - (now - leaseCountsFrom)) / 1000.0
-        return Pricing.isWorthGivingUp(round.replicaWeight(machine), leaseLeftS, type, machine.spot, types.values)
+        return Pricing.isReplacementCheaper(round.replicaWeight(machine), leaseLeftS, type, machine.spot, types.values)
     }
 
     private fun isSuspect(
--- a/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
@@ -38,7 +38,7 @@
             id = job.id,
             spec = job.spec,
             pending = pending,
-            zoneUse = zoneTaskCounts.of(job),
+            tasksByZone = zoneTaskCounts.of(job),
             waitedS = waitedS,
             estimateS = if (job.spec.kind == JobKind.SERVICE) 0.0 else job.spec.estimateS,
             deadlineInS = job.latestEndMs?.let { (it - nowMs) / 1000.0 },
@@ -61,7 +61,7 @@
                 // With twice the tasks, the zone cap of a spread job doesn't limit the reservation.
                 spec = example.copy(tasks = count * 2, zone = null, oneZone = false),
                 pending = IntArray(count) { it },
-                zoneUse = emptyMap(),
+                tasksByZone = emptyMap(),
                 waitedS = 0.0,
                 estimateS = 0.0,
                 deadlineInS = null,
