--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -5,8 +5,8 @@
 import oxbowlug.cache.StateCache
 import oxbowlug.config.Settings
 import oxbowlug.membership.PeerHealth
-import oxbowlug.port.Acknowledgement
 import oxbowlug.port.Cancellation
+import oxbowlug.port.CancellationAcknowledgement
 import oxbowlug.port.CancellationListener
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.Clock
@@ -42,7 +42,7 @@
     val allPending: Collection<PendingCancellation> get() = pendingById.values
 
     /** Whether the leader doesn't yet know of one that was confirmed here. */
-    fun hasUnacknowledged(): Boolean {
+    fun hasUnacknowledgedCancellations(): Boolean {
         val leader = cache.leadership?.leader ?: return false
         return leader != self &&
             pendingById.values.any { it.isConfirmedHere && !it.isTerminationProven && leader !in it.acknowledged }
@@ -99,7 +99,7 @@
     }
 
     /** A user is about to be answered that it is cancelled from what was read here, which confirms it just as well. */
-    override fun onUserInformed(id: JobId) {
+    override fun onCancellationAnswered(id: JobId) {
         pendingById[id]?.let(::confirmHere)
     }
 
@@ -175,7 +175,10 @@
             cache.job(cancellation.id)?.placed == 0 || isTerminationProvenHere(cancellation.id) == true
         peers.send(
             notice.sender.label,
-            CancellationNotice.Acknowledged(self, listOf(Acknowledgement(cancellation.id, isTerminationProven))),
+            CancellationNotice.Acknowledged(
+                self,
+                listOf(CancellationAcknowledgement(cancellation.id, isTerminationProven)),
+            ),
         )
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -136,7 +136,7 @@
         val attempt = cluster.jobs[task.attempt.task.job]?.attempts?.get(task.attempt.task.index) ?: return
         if (attempt.machine == machine.id || attempt.workerState != TaskState.RUNNING) return
         val what = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
-        invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
+        invariants.recordViolation(Invariant.ONE_MACHINE_PER_TASK, what)
     }
 
     private fun applyTaskStatus(
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -178,7 +178,7 @@
                 requeue(batch, now)
                 nextWriteAt = now + timing.retryMs()
             }
-            CommitOutcome.Invalid, CommitOutcome.LeaseOver -> handleTooLarge(batch, now)
+            CommitOutcome.Invalid, CommitOutcome.LeaseExpired -> handleTooLarge(batch, now)
             // It may have been applied, or may be later: read, then write again with the same compare-and-swap
             // versions.
             CommitOutcome.Unanswered -> cache.catchUp { requeue(batch, clock.steadyMs()) }
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -131,16 +131,16 @@
             heartbeats.answerWaiting()
         }
         terms.current()?.flush()
-        load.stepped(clock.nanoTime() - beganNs)
+        load.recordStep(clock.nanoTime() - beganNs)
     }
 
     /** Whether users and workers can be served here, or at least no worse than elsewhere. */
     fun isHealthy(): Boolean =
-        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.isStateReachableByOthers())
+        cache.isSynced && catalog.types.isNotEmpty() && (reachesState() || !peerHealth.isStateReachableByOthers())
 
     private fun isElected(): Boolean = cache.leadership?.leader == self
 
-    private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateUnreachableMs * 2
+    private fun reachesState() = clock.steadyMs() - cache.lastContactMs < timing.stateUnreachableMs * 2
 
     /** What the other controllers are told of this one. */
     fun heartbeat(): PeerHeartbeat =
@@ -148,11 +148,11 @@
             self,
             cache.leadership?.epoch ?: 0,
             cache.leadership?.leader,
-            seesState(),
+            reachesState(),
             clock.steadyMs(),
             delegate.echo(),
-            hasUnacknowledged = cancellations.hasUnacknowledged(),
-            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
+            hasUnacknowledgedCancellations = cancellations.hasUnacknowledgedCancellations(),
+            mayConfirmCancellations = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
         )
 
     /**
@@ -256,7 +256,7 @@
             val (epoch, token, leader) = leadership
             log.info("leader changed: epoch={} token={} leader={}", epoch, token.value, leader.label)
             leaderChanged = true
-            peers.heartbeatChanged()
+            peers.broadcastHeartbeat()
         }
 
         override fun onJob(
--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -21,7 +21,7 @@
     ) {
         val missing = cache.cancelledWork(heartbeat).missingFrom(commands)
         if (missing.isEmpty()) return
-        invariants.violated(
+        invariants.recordViolation(
             Invariant.CANCELLED_WORK_IS_STOPPED,
             "${missing.map { it.attempt }} on ${heartbeat.machine}",
         )
@@ -34,7 +34,7 @@
     ): List<WorkerCommand> {
         val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.committed != true }
         if (unstored.isEmpty()) return commands
-        invariants.violated(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
+        invariants.recordViolation(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
         return commands - unstored.toSet()
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
+++ b/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
@@ -58,7 +58,7 @@
         if (log.isDebugEnabled) log.debug("{}", PlanSummary(plan, snapshot))
         round.apply(plan)
         val elapsedNs = clock.nanoTime() - began
-        load.planned(elapsedNs, plan.priced)
+        load.recordPlan(elapsedNs, plan.priced)
         if (plan.starts.isNotEmpty() || plan.stops.isNotEmpty()) {
             log.info(
                 "plan applied: starts={} stops={} elapsedMs={} {}",
--- a/src/main/kotlin/oxbowlug/request/Submissions.kt
+++ b/src/main/kotlin/oxbowlug/request/Submissions.kt
@@ -146,12 +146,12 @@
         state.commit(transaction) { outcome ->
             val elapsedMs = clock.steadyMs() - now
             concurrency.leave(elapsedMs, outcome is CommitOutcome.Applied)
-            meters.committed(elapsedMs)
+            meters.recordCommit(elapsedMs)
             when (outcome) {
                 is CommitOutcome.Applied -> answerCommitted(spec.id, answer)
                 is CommitOutcome.Conflict -> responder.answerAccepted(spec.id, answer)
                 CommitOutcome.Refused -> answer(responder.unavailable("the state service is busy"))
-                CommitOutcome.Invalid, CommitOutcome.LeaseOver ->
+                CommitOutcome.Invalid, CommitOutcome.LeaseExpired ->
                     answer(responder.unavailable("the state service did not take it"))
                 // Settled by reading, never guessed; if it isn't there it may still come, and the user asks again.
                 CommitOutcome.Unanswered -> responder.answerAccepted(spec.id, answer)
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -13,8 +13,8 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
 import oxbowlug.testing.ImmediateStatePort
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
@@ -163,7 +163,7 @@
 
     private inner class Listener(
         private val applied: MutableList<Applied>,
-    ) : StateCacheListener by IgnoringListener {
+    ) : StateCacheListener by NoOpStateCacheListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.CloudPort
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.WorkerPort
@@ -22,9 +22,9 @@
 import oxbowlug.record.Placement
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
 import oxbowlug.timing.TokenBucket
@@ -94,11 +94,11 @@
                 token: FencingToken,
                 incarnation: Long,
                 commands: List<WorkerCommand>,
-                done: (DirectOutcome) -> Unit,
+                done: (CommandOutcome) -> Unit,
             ) {
-                if (!obeys) return done(DirectOutcome.Unanswered)
+                if (!obeys) return done(CommandOutcome.Unanswered)
                 running.removeAll(commands.filterIsInstance<WorkerCommand.Stop>().map { it.attempt }.toSet())
-                done(DirectOutcome.Answered(account(), executed = true))
+                done(CommandOutcome.Answered(account(), executed = true))
             }
         }
 
@@ -132,10 +132,10 @@
                 notice: CancellationNotice,
             ) = Unit
 
-            override fun heartbeatChanged() = Unit
+            override fun broadcastHeartbeat() = Unit
         }
 
-    private inner class Listener : StateCacheListener by IgnoringListener {
+    private inner class Listener : StateCacheListener by NoOpStateCacheListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -22,8 +22,8 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
 import oxbowlug.testing.ImmediateStatePort
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.failingInvariants
 import oxbowlug.testing.permissiveContext
@@ -90,7 +90,7 @@
         put(Keys.LEADERSHIP, leadership.encode())
         if (isSwitchedOn) put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST))
         for (record in records) put(Keys.job(record.spec.id.value), record.encode())
-        val cache = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val version = store.entry(Keys.LEADERSHIP)?.version ?: error("it was just written")
         cache.forEachActive { id, stored -> stored.value?.let { cluster.applyJob(id, stored, it) } }
         commits =
