--- a/src/main/kotlin/oxbowlug/api/ApiServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ApiServer.kt
@@ -79,6 +79,7 @@
             try {
                 ControllerEvent.Submit(JobSpecCodec.decode(body)) { replyToUser(request, it) }
             } catch (e: InvalidField) {
+                // A job of this id may have been accepted before; then the controller answers with its status, not 400.
                 val id = (body["id"] as? String)?.takeIf(JobId::isValid) ?: throw e
                 log.info("refused {}: {}", request.path(), e.message)
                 ControllerEvent.SubmitMalformed(JobId(id), e.message.orEmpty()) { replyToUser(request, it) }
@@ -148,7 +149,7 @@
 
     private fun replyWrongMethod(request: HttpServerRequest) = reply(request, 405, AnswerCodec.problem("wrong method"))
 
-    /** Reads and decodes the request's body and calls [handle] with it; a body that is too large is rejected early. */
+    /** Reads and decodes the request's body and calls [handle] with it. Rejects a body that is too large early. */
     private fun readBody(
         request: HttpServerRequest,
         method: HttpMethod,
--- a/src/main/kotlin/oxbowlug/http/HttpCaller.kt
+++ b/src/main/kotlin/oxbowlug/http/HttpCaller.kt
@@ -60,6 +60,7 @@
             ).with(PoolOptions().setHttp1MaxSize(maxConnections).setMaxWaitQueueSize(maxQueuedCalls))
             .build()
 
+    /** Sends a request and waits for the whole answer. Failures are returned as a result, never thrown. */
     suspend fun call(
         address: Address,
         method: HttpMethod,
--- a/src/scale/kotlin/oxbowlug/standin/SimStore.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimStore.kt
@@ -96,7 +96,9 @@
         val failed = transaction.conditions.filter { (entries[it.key]?.version ?: 0L) != it.version }.map { it.key }
         if (failed.isNotEmpty()) return CommitOutcome.Conflict(failed)
         for (change in transaction.changes) {
-            if (change is Change.Put && change.lease != null && change.lease !in leases) return CommitOutcome.LeaseExpired
+            if (change is Change.Put && change.lease != null && change.lease !in leases) {
+                return CommitOutcome.LeaseExpired
+            }
         }
         if (transaction.changes.isEmpty()) return CommitOutcome.Applied(revision)
         revision++
