--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -47,7 +47,12 @@
         val now = clock.steadyMs()
         val label = heartbeat.sender.label
         val present = confirmationsByPeer[label]
-        if (present != null && present.incarnation == heartbeat.sender && heartbeat.sentAtMs < present.senderMs) return
+        if (present != null &&
+            present.incarnation == heartbeat.sender &&
+            heartbeat.sendTimeMs < present.senderMs
+        ) {
+            return
+        }
         val confirmations =
             if (present?.incarnation ==
                 heartbeat.sender
@@ -58,7 +63,7 @@
             }
         if (present != null && confirmations !== present) onRestarted(label, present, now)
         confirmations.lastContactAt = now
-        confirmations.senderMs = heartbeat.sentAtMs
+        confirmations.senderMs = heartbeat.sendTimeMs
         confirmations.mayConfirmCancellations = heartbeat.mayConfirmCancellations
         val echo = heartbeat.echo
         // It wrote this after it had received our heartbeat of that time, and had confirmed nothing by then that we
@@ -67,7 +72,7 @@
             echo != null &&
             echo.leader == self
         ) {
-            confirmations.knownUpToMs = maxOf(confirmations.knownUpToMs, echo.sentAtMs)
+            confirmations.knownUpToMs = maxOf(confirmations.knownUpToMs, echo.sendTimeMs)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/peer/PeerFrameCodec.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerFrameCodec.kt
@@ -67,11 +67,11 @@
         payload.writeByte(if (heartbeat.reachesState) 1 else 0)
         payload.writeByte(if (heartbeat.leader == null) 0 else 1)
         heartbeat.leader?.let { payload.writeMember(it) }
-        payload.writeLong(heartbeat.sentAtMs)
+        payload.writeLong(heartbeat.sendTimeMs)
         payload.writeByte(if (heartbeat.echo == null) 0 else 1)
         heartbeat.echo?.let { echo ->
             payload.writeMember(echo.leader)
-            payload.writeLong(echo.sentAtMs)
+            payload.writeLong(echo.sendTimeMs)
             payload.writeLong(echo.renewals)
         }
         payload.writeByte(if (heartbeat.hasUnacknowledgedCancellations) 1 else 0)
@@ -180,7 +180,7 @@
         if (epoch < 0) throw MalformedFrame("negative epoch")
         val reachesState = payload.readByte().toInt() != 0
         val leader = if (payload.readByte().toInt() == 0) null else payload.readMember()
-        val sentAtMs = payload.readLong()
+        val sendTimeMs = payload.readLong()
         val hasEcho = payload.readByte().toInt() != 0
         val echo = if (hasEcho) HeartbeatEcho(payload.readMember(), payload.readLong(), payload.readLong()) else null
         val hasUnacknowledgedCancellations = payload.readByte().toInt() != 0
@@ -190,7 +190,7 @@
             epoch,
             leader,
             reachesState,
-            sentAtMs,
+            sendTimeMs,
             echo,
             hasUnacknowledgedCancellations,
             mayConfirmCancellations,
--- a/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
@@ -12,7 +12,7 @@
     val leader: Member?,
     val reachesState: Boolean,
     /** Send time by the sender's steady clock; comparable only between heartbeats of the same incarnation. */
-    val sentAtMs: Long = 0,
+    val sendTimeMs: Long = 0,
     /** Echoes the newest heartbeat that the sender has received from a leader; null if there was none yet. */
     val echo: HeartbeatEcho? = null,
     /** Whether the sender has confirmed a cancellation that the leader hasn't acknowledged yet. */
@@ -25,12 +25,12 @@
 )
 
 /**
- * Echo of the leader's heartbeats in a peer's heartbeat. [sentAtMs] is the send time, by the clock of [leader], of the
+ * Echo of the leader's heartbeats in a peer's heartbeat. [sendTimeMs] is the send time, by the clock of [leader], of the
  * newest heartbeat that the peer has received from it. [renewals] counts the worker leases that the peer has renewed as
  * a lease renewal delegate in its current incarnation.
  */
 internal data class HeartbeatEcho(
     val leader: Member,
-    val sentAtMs: Long,
+    val sendTimeMs: Long,
     val renewals: Long,
 )
--- a/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
@@ -109,7 +109,7 @@
         3,
         leader,
         reachesState = true,
-        sentAtMs = 0,
+        sendTimeMs = 0,
         echo = HeartbeatEcho(leader, lastContactAt, renewals),
     )
 
@@ -188,14 +188,14 @@
         val renewalDelegate = LeaseRenewalDelegate(delegate, zone, Regions(), clock, timing, cache)
         val heartbeat = workerHeartbeat(zone, 3)
         isStateUnreachable = true
-        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sentAtMs = 7))
+        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sendTimeMs = 7))
         assertNull(renewalDelegate.renew(heartbeat), "the leader was reached just now")
         clock.now += timing.delegateActivationMs
         assertEquals(FencingToken(3), renewalDelegate.renew(heartbeat))
         assertNull(renewalDelegate.renew(workerHeartbeat(Zone("a"), 3)), "a worker of another zone")
         assertNull(renewalDelegate.renew(workerHeartbeat(zone, 4)), "the worker has seen a newer token")
         assertEquals(HeartbeatEcho(leader, 7, 1), renewalDelegate.echo())
-        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sentAtMs = 8))
+        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sendTimeMs = 8))
         assertNull(renewalDelegate.renew(heartbeat), "the leader is reached again")
         clock.now += timing.delegateActivationMs
         isStateUnreachable = false
@@ -211,7 +211,7 @@
         put(Keys.DELEGATES, DelegateAssignments(FencingToken(3), byZone, 0).encode())
         val renewalDelegate = LeaseRenewalDelegate(delegate, zone, southRegion, clock, timing, cache())
         isStateUnreachable = true
-        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sentAtMs = 7))
+        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sendTimeMs = 7))
         clock.now += timing.delegateActivationMs
         assertEquals(FencingToken(3), renewalDelegate.renew(workerHeartbeat(Zone("c"), 3)))
         assertNull(renewalDelegate.renew(workerHeartbeat(Zone("d"), 3)), "another delegate is assigned")
--- a/src/test/kotlin/oxbowlug/peer/PeerFrameCodecTest.kt
+++ b/src/test/kotlin/oxbowlug/peer/PeerFrameCodecTest.kt
@@ -32,7 +32,7 @@
                 heartbeat,
                 heartbeat.copy(leader = null),
                 heartbeat.copy(reachesState = false),
-                heartbeat.copy(sentAtMs = 7, echo = echo),
+                heartbeat.copy(sendTimeMs = 7, echo = echo),
                 heartbeat.copy(hasUnacknowledgedCancellations = true),
                 heartbeat.copy(mayConfirmCancellations = true),
             )
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -117,7 +117,7 @@
                 7,
                 leader,
                 reachesState = true,
-                sentAtMs = 41,
+                sendTimeMs = 41,
                 echo = HeartbeatEcho(leader, 40, 3),
                 hasUnacknowledgedCancellations = true,
                 mayConfirmCancellations = true,
