--- a/src/main/kotlin/oxbowlug/port/PeerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerPort.kt
@@ -3,7 +3,7 @@
 /**
  * Sends messages to the other controllers, which are addressed by their labels. Called on the event loop that owns the
  * controller's state. Sending is fire-and-forget: calls return at once and report no outcome. Messages to the same
- * controller may be lost, but are never reordered.
+ * controller arrive in order or are lost; only one that was sent before a reconnect may arrive late.
  */
 internal interface PeerPort {
     /**
