--- a/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
@@ -25,9 +25,9 @@
 )
 
 /**
- * Echo of the leader's heartbeats in a peer's heartbeat. [sendTimeMs] is the send time, by the clock of [leader], of the
- * newest heartbeat that the peer has received from it. [renewals] counts the worker leases that the peer has renewed as
- * a lease renewal delegate in its current incarnation.
+ * Echo of the leader's heartbeats in a peer's heartbeat. [sendTimeMs] is the send time, by the clock of [leader], of
+ * the newest heartbeat that the peer has received from it. [renewals] counts the worker leases that the peer has
+ * renewed as a lease renewal delegate in its current incarnation.
  */
 internal data class HeartbeatEcho(
     val leader: Member,
