--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -29,7 +29,7 @@
     var version = version
         private set
     private var stored: Map<Int, Placement> = record.placements
-    private var lastWrite = record.write
+    private var lastWrite = record.writeId
     private var pendingRecord: JobRecord? = null
 
     /** As they are in the state service; null where only their number is known. */
@@ -155,9 +155,9 @@
         attempt: AttemptId,
     ): Boolean = placements[attempt.task.index]?.attempt == attempt.number
 
-    /** What is to be written now, under the name [write]; [isBrief] leaves out what nobody asks for any more. */
+    /** What is to be written now, under the name [writeId]; [isBrief] leaves out what nobody asks for any more. */
     fun record(
-        write: String,
+        writeId: String,
         isBrief: Boolean = false,
     ) = JobRecord(
         spec,
@@ -166,7 +166,7 @@
         if (isBrief) briefDone() else done.clone() as BitSet,
         nextAttempt,
         attempts.mapValues { (_, attempt) -> Placement(attempt.machine, attempt.number) },
-        write,
+        writeId,
         cancelledMs,
     )
 
@@ -202,7 +202,7 @@
         stored = record.placements
         storedParts = pendingParts
         isWrittenAlone = false
-        lastWrite = record.write
+        lastWrite = record.writeId
         for ((task, placement) in record.placements) {
             val attempt = attempts[task]
             if (attempt != null && attempt.number == placement.attempt) attempt.committed = true
@@ -246,15 +246,15 @@
         now: Long,
     ): Boolean {
         val pending = pendingRecord
-        if (pending != null && record.write == pending.write) written(pending, newVersion)
+        if (pending != null && record.writeId == pending.writeId) written(pending, newVersion)
         version = newVersion
         stored = record.placements
         if (record.partCount != storedParts.size) {
             storedParts = arrayOfNulls<Map<String, Any?>>(record.partCount).asList()
         }
         var replaced = false
-        if (record.write != lastWrite) {
-            lastWrite = record.write
+        if (record.writeId != lastWrite) {
+            lastWrite = record.writeId
             pendingRecord = null
             storedParts = arrayOfNulls<Map<String, Any?>>(record.partCount).asList()
             done.clear()
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -128,7 +128,7 @@
         queue.drain(::handle)
         if (leaderChanged) {
             leaderChanged = false
-            heartbeats.answerWaiting()
+            heartbeats.retryDeferred()
         }
         terms.current()?.flush()
         load.recordStep(clock.nanoTime() - beganNs)
@@ -171,7 +171,7 @@
             is ControllerEvent.Poll -> requests.poll(event.id, event.answer)
             is ControllerEvent.Cancel -> requests.cancel(event.id, event.answer)
             is ControllerEvent.Heartbeat -> {
-                load.reported()
+                load.heartbeatReceived()
                 heartbeats.accept(event)
             }
             is ControllerEvent.PeerHeartbeatReceived -> onPeerHeartbeat(event.heartbeat)
@@ -197,7 +197,7 @@
         val now = clock.steadyMs()
         load.ticked(now)
         logRoleChange()
-        heartbeats.answerWaiting()
+        heartbeats.retryDeferred()
         catalog.tick(now)
         cancellations.tick()
         formatUpgrade.tick(cache.leadership?.takeIf { isLeading })
@@ -216,7 +216,7 @@
     ) {
         term.tick(catalog.types)
         // Cut from the workers alone, a leader would redirect them all to itself until their leases expire.
-        if (term.hasLostItsWorkers(now) && cache.memberCount() > 1) {
+        if (term.hasLostAllWorkers(now) && cache.memberCount() > 1) {
             log.info("no worker reaches this leader: {}", decisions.describe())
             election.resign()
         }
@@ -246,7 +246,7 @@
             limits.cloudCalls,
             load,
             rememberedImages,
-            formerLeader::mayAnswer,
+            formerLeader::mayStillAnswerWorkers,
         )
 
     private inner class CacheListener : StateCacheListener {
@@ -277,7 +277,7 @@
             if (format != WritableFormat.HEAD_AND_PARTS) return
             // From here on everything is built for both limits, so that the moment at which they change doesn't matter.
             limits.lowerWrites(settings.state.lowest.writeRps)
-            terms.latest?.divideLargeRecords()
+            terms.latest?.splitLargeRecords()
         }
     }
 
--- a/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
@@ -40,7 +40,7 @@
         answerOrWait(WaitingHeartbeat(event, clock.steadyMs() + timing.heartbeatWaitMs))
 
     /** Tries again what waits; called on every tick, and as soon as another leader is known. */
-    fun answerWaiting() {
+    fun retryDeferred() {
         repeat(waiting.size) { waiting.removeFirstOrNull()?.let(::answerOrWait) }
     }
 
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -144,7 +144,7 @@
                 LeaseRenewalOutcome.RENEWED -> {
                     // The TTL counts from when the request was sent: the service may have renewed the lease right then.
                     leaseValidUntilMs = maxOf(leaseValidUntilMs, now + timing.leadershipLeaseValidityMs)
-                    cache.contacted(now)
+                    cache.recordContact(now)
                     nextRenewalAt = now + timing.leadershipRenewIntervalMs
                 }
                 LeaseRenewalOutcome.EXPIRED -> {
@@ -205,7 +205,7 @@
             if (outcome is CommitOutcome.Applied) {
                 if (registrationLease != null && lease == registrationLease) isRegistered = true
                 log.info("leader elected: epoch={}", newLeadership.epoch)
-                cache.adopt(newLeadership.copy(version = outcome.revision))
+                cache.applyLeadershipRecord(newLeadership.copy(version = outcome.revision))
             } else {
                 // The outcome may be unknown. If the transaction was applied after all, the watch delivers the
                 // leadership record that names this controller.
--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -1,7 +1,7 @@
 package oxbowlug.leader
 
 import oxbowlug.cache.StateCache
-import oxbowlug.cache.cancelledWork
+import oxbowlug.cache.stopsForCancelledTasks
 import oxbowlug.cluster.Machine
 import oxbowlug.invariant.Invariants
 import oxbowlug.lease.missingFrom
@@ -15,11 +15,11 @@
     private val invariants: Invariants,
 ) {
     /** The cluster state and the state cache have to agree on what is cancelled, or one of them lacks it. */
-    fun requireStops(
+    fun requireStopsOfCancelledWork(
         heartbeat: WorkerHeartbeat,
         commands: List<WorkerCommand>,
     ) {
-        val missing = cache.cancelledWork(heartbeat).missingFrom(commands)
+        val missing = cache.stopsForCancelledTasks(heartbeat).missingFrom(commands)
         if (missing.isEmpty()) return
         invariants.recordViolation(
             Invariant.CANCELLED_WORK_IS_STOPPED,
@@ -28,7 +28,7 @@
     }
 
     /** All starts pass here on their way out: those that no stored record names are dropped. */
-    fun storedOnly(
+    fun dropUnstoredStarts(
         machine: Machine,
         commands: List<WorkerCommand>,
     ): List<WorkerCommand> {
--- a/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
+++ b/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
@@ -45,7 +45,7 @@
         window.longestPlanNs = maxOf(window.longestPlanNs, nanos)
     }
 
-    fun reported() {
+    fun heartbeatReceived() {
         window.heartbeats++
     }
 
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -46,7 +46,7 @@
         if (machine.isDirectCommandInFlight) return false
         val commands =
             if (decisions.mayLead) {
-                checks.storedOnly(machine, cluster.commands(machine, now))
+                checks.dropUnstoredStarts(machine, cluster.commands(machine, now))
             } else {
                 cluster.cancelledStops(machine)
             }
--- a/src/main/kotlin/oxbowlug/request/UserResponder.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponder.kt
@@ -26,7 +26,7 @@
     ) = answerOrElse(id, answer) { UserResponse.NotFound }
 
     /** The state of a job that was accepted for sure; if it cannot be read now, the user has to ask again. */
-    fun answerAccepted(
+    fun answerExistingJob(
         id: JobId,
         answer: (UserResponse) -> Unit,
     ) = answerOrElse(id, answer) { stateUnavailable() }
@@ -37,7 +37,7 @@
         ifAbsent: () -> UserResponse,
     ) {
         val stored = cache.job(id)
-        if (stored != null && stored.phase.isFinal) return answer(current(id, stored))
+        if (stored != null && stored.phase.isFinal) return answer(currentResponse(id, stored))
         afterCatchUp(id, answer) { answer(ifAbsent()) }
     }
 
@@ -53,16 +53,16 @@
         cache.catchUp { ok ->
             when {
                 !ok -> answer(stateUnavailable())
-                cache.job(id) != null -> answer(current(id))
+                cache.job(id) != null -> answer(currentResponse(id))
                 else -> ifAbsent()
             }
         }
     }
 
     /** The state of a job whose record is in the cache. */
-    fun current(id: JobId): UserResponse = current(id, cache.job(id) ?: error("$id was just there"))
+    fun currentResponse(id: JobId): UserResponse = currentResponse(id, cache.job(id) ?: error("$id was just there"))
 
-    fun current(
+    fun currentResponse(
         id: JobId,
         stored: CachedJob,
     ): UserResponse {
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -124,7 +124,7 @@
             parts: List<Map<String, Any?>>,
         ) {
             val whole = record.encode() + mapOf(RecordLayout.PARTS to parts.size.toLong())
-            val head = if (parts.isEmpty()) record.encode() else layout.headAlone(whole)
+            val head = if (parts.isEmpty()) record.encode() else layout.headOnly(whole)
             commit(id, listOf(Change.Put(Keys.job(id), head)), record, parts)
         }
 
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -21,7 +21,7 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.scaling.MachineScaler
 import oxbowlug.scheduling.SchedulingRound
-import oxbowlug.scheduling.ZoneUses
+import oxbowlug.scheduling.ZoneTaskCounts
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.failingInvariants
@@ -443,13 +443,13 @@
     fun `tasks on a machine of which nothing is known yet count in every zone`() {
         // Found by the simulation: a new leader left them out, and more than half of a spread job came into one zone.
         take(record(), 1)
-        val uses = ZoneUses(cluster, settings.zones)
+        val uses = ZoneTaskCounts(cluster, settings.zones)
         assertEquals(settings.zones.associateWith { 1 }, uses.of(job))
-        assertFalse(uses.isKnown(job))
+        assertFalse(uses.areAllZonesKnown(job))
         hello(report(1))
-        val known = ZoneUses(cluster, settings.zones)
+        val known = ZoneTaskCounts(cluster, settings.zones)
         assertEquals(mapOf(cluster.machines.getValue(machine).zone to 1), known.of(job))
-        assertTrue(known.isKnown(job))
+        assertTrue(known.areAllZonesKnown(job))
     }
 
     private object NoCloud : CloudPort {
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -88,7 +88,7 @@
     ) {
         val leadership = LeadershipRecord(1, FencingToken(1), Member("n0", "x"), 0)
         put(Keys.LEADERSHIP, leadership.encode())
-        if (isSwitchedOn) put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST))
+        if (isSwitchedOn) put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST))
         for (record in records) put(Keys.job(record.spec.id.value), record.encode())
         val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val version = store.entry(Keys.LEADERSHIP)?.version ?: error("it was just written")
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -185,7 +185,7 @@
     }
 
     private fun switchFormatOn() {
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))))
+        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST)))))
     }
 
     private fun answerTo(
@@ -245,7 +245,7 @@
 
     @Test
     fun `nothing is written under a newer version's marker`() {
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(99)))))
+        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(99)))))
         accept("run-a")
         val copy = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val before = store.revision
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -90,7 +90,7 @@
                         "view" to Keys.LEADERSHIP,
                         "member" to Keys.member(Member("n0", "x1")),
                         "delegates" to Keys.DELEGATES,
-                        "format" to Keys.FORMAT,
+                        "format" to Keys.FORMAT_MARKER,
                         "reads" to Keys.format("n0"),
                     ),
             )
