--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -186,7 +186,7 @@
                 requeue(batch, now)
                 nextWriteAt = now + timing.retryMs()
             }
-            CommitOutcome.Invalid, CommitOutcome.LeaseOver -> handleTooLarge(batch, now)
+            CommitOutcome.Invalid, CommitOutcome.LeaseExpired -> handleTooLarge(batch, now)
             // The transaction may have been applied or may still be: catch up first, then write again with the same
             // compare-and-swap versions.
             CommitOutcome.Unanswered -> cache.catchUp { requeue(batch, clock.steadyMs()) }
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -120,8 +120,8 @@
     private var lastHeartbeatAt: Long? = null
 
     /**
-     * Whether workers sent heartbeats in this term, but none for [Timing.resignAfterSilenceMs]: then either all workers hang,
-     * or this controller is partitioned from them.
+     * Whether workers sent heartbeats in this term, but none for [Timing.resignAfterSilenceMs]: then either all workers
+     * hang, or this controller is partitioned from them.
      */
     fun hasLostAllWorkers(now: Long): Boolean {
         val last = lastHeartbeatAt ?: return false
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -8,23 +8,23 @@
 import oxbowlug.http.HttpCaller
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.StoreCodec
 import oxbowlug.wire.Transaction
 
 /**
- * The state service over HTTP. [settle] brings outcomes back to the controller's event queue. A malformed answer counts
- * as none. Times are in milliseconds; a read of changes may be answered later than [timeoutMs] by its own wait.
+ * HTTP client of the state service. [runOnEventLoop] enqueues outcomes as events of the controller. A malformed answer
+ * is treated as no answer. Times are in milliseconds; the timeout of a watch is [timeoutMs] plus its wait time.
  */
 internal class StateClient(
     private val address: Address,
     private val http: HttpCaller,
     private val scope: CoroutineScope,
     private val timeoutMs: Long,
-    private val settle: (() -> Unit) -> Unit,
+    private val runOnEventLoop: (() -> Unit) -> Unit,
 ) : StatePort {
     override fun commit(
         transaction: Transaction,
@@ -42,7 +42,7 @@
         return when (result.status) {
             OK -> body?.let { CommitOutcome.Applied(StoreCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
             CONFLICT -> CommitOutcome.Conflict(body?.let(StoreCodec::decodeFailed).orEmpty())
-            BAD_REQUEST -> if (StoreCodec.isLeaseOver(body)) CommitOutcome.LeaseOver else CommitOutcome.Invalid
+            BAD_REQUEST -> if (StoreCodec.isLeaseOver(body)) CommitOutcome.LeaseExpired else CommitOutcome.Invalid
             TOO_MANY_REQUESTS, UNAVAILABLE -> CommitOutcome.Refused
             else -> CommitOutcome.Unanswered
         }
@@ -53,9 +53,9 @@
         after: String?,
         done: (ReadPage?) -> Unit,
     ) {
-        val from = if (after == null) "" else "&from=$after"
-        call(HttpMethod.GET, "/store?prefix=$prefix$from&limit=$PAGE_ENTRIES", null, timeoutMs, done) { result ->
-            result.bodyOf(OK)?.let(StoreCodec::decodePage)
+        val fromParameter = if (after == null) "" else "&from=$after"
+        call(HttpMethod.GET, "/store?prefix=$prefix$fromParameter&limit=$PAGE_SIZE", null, timeoutMs, done) { result ->
+            result.bodyIfStatus(OK)?.let(StoreCodec::decodePage)
         }
     }
 
@@ -67,62 +67,62 @@
     ) {
         val path = "/changes?prefix=$prefix&from=$from&block_ms=$waitMs"
         call(HttpMethod.GET, path, null, timeoutMs + waitMs, done) { result ->
-            val body = result.bodyOf(OK)
+            val body = result.bodyIfStatus(OK)
             when {
                 body != null -> ChangesOutcome.Read(StoreCodec.decodeChanges(body))
-                result is CallResult.Answered && result.status == GONE -> ChangesOutcome.TooOld
+                result is CallResult.Answered && result.status == GONE -> ChangesOutcome.Compacted
                 else -> ChangesOutcome.Failed
             }
         }
     }
 
-    override fun grant(
-        lifeMs: Long,
+    override fun grantLease(
+        ttlMs: Long,
         done: (Long?) -> Unit,
-    ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to lifeMs), timeoutMs, done) { result ->
-        result.bodyOf(OK)?.let(StoreCodec::decodeLease)
+    ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to ttlMs), timeoutMs, done) { result ->
+        result.bodyIfStatus(OK)?.let(StoreCodec::decodeLease)
     }
 
-    override fun touch(
+    override fun keepLeaseAlive(
         lease: Long,
-        done: (TouchOutcome) -> Unit,
+        done: (LeaseRenewalOutcome) -> Unit,
     ) = call(HttpMethod.POST, "/holds/$lease/touch", emptyMap(), timeoutMs, done) { result ->
         when {
-            result is CallResult.Answered && result.status == OK -> TouchOutcome.RENEWED
-            result is CallResult.Answered && result.status == NOT_FOUND -> TouchOutcome.OVER
-            else -> TouchOutcome.FAILED
+            result is CallResult.Answered && result.status == OK -> LeaseRenewalOutcome.RENEWED
+            result is CallResult.Answered && result.status == NOT_FOUND -> LeaseRenewalOutcome.EXPIRED
+            else -> LeaseRenewalOutcome.FAILED
         }
     }
 
-    override fun release(lease: Long) = call(HttpMethod.DELETE, "/holds/$lease", null, timeoutMs, {}) {}
+    override fun revokeLease(lease: Long) = call(HttpMethod.DELETE, "/holds/$lease", null, timeoutMs, {}) {}
 
     private fun <T> call(
         method: HttpMethod,
         path: String,
         body: Map<String, Any?>?,
-        timeout: Long,
+        callTimeoutMs: Long,
         done: (T) -> Unit,
-        read: (CallResult) -> T,
+        toOutcome: (CallResult) -> T,
     ) {
         scope.launch {
-            val result = http.call(address, method, path, body, timeout)
+            val result = http.call(address, method, path, body, callTimeoutMs)
             val outcome =
                 try {
-                    read(result)
+                    toOutcome(result)
                 } catch (_: InvalidField) {
-                    // A malformed answer counts as none.
-                    read(CallResult.Unanswered)
+                    // A malformed answer is treated as no answer.
+                    toOutcome(CallResult.Unanswered)
                 }
-            settle { done(outcome) }
+            runOnEventLoop { done(outcome) }
         }
     }
 
-    private fun CallResult.bodyOf(status: Int): Map<String, Any?>? =
+    private fun CallResult.bodyIfStatus(status: Int): Map<String, Any?>? =
         if (this is CallResult.Answered && this.status == status) body else null
 
     private companion object {
-        /** How many entries of a page are asked for. */
-        const val PAGE_ENTRIES = 250
+        /** Entries requested per page. */
+        const val PAGE_SIZE = 250
         const val OK = 200
         const val BAD_REQUEST = 400
         const val NOT_FOUND = 404
--- a/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
@@ -8,9 +8,9 @@
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.Invariant
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.port.Meters
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.WritableFormat
 import oxbowlug.standin.SimStore
@@ -18,8 +18,8 @@
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.Transaction
 
-/** Whoever tests a copy of the store without anything that depends on it. */
-internal object IgnoringListener : StateCacheListener {
+/** For tests of the state cache without the components that it notifies. */
+internal object NoOpStateCacheListener : StateCacheListener {
     override fun onMembershipRead() = Unit
 
     override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
@@ -35,7 +35,7 @@
     override fun onWritableFormat(format: WritableFormat) = Unit
 }
 
-/** Stands still until a test sets it. */
+/** A clock that only advances when a test sets [now]. */
 internal class ManualClock(
     var now: Long = 100_000,
 ) : Clock {
@@ -46,7 +46,7 @@
     override fun nanoTime() = now * 1_000_000
 }
 
-/** For tests of decisions, not of what is logged beside them. */
+/** A decision context that always allows leading, and has nothing to log. */
 internal val permissiveContext =
     object : DecisionContext {
         override val mayLead = true
@@ -56,25 +56,25 @@
 
 /** A violated invariant fails the test. */
 internal object FailingMeters : Meters {
-    override fun planned(
+    override fun recordPlan(
         nanos: Long,
         priced: Int,
     ) = Unit
 
-    override fun stepped(nanos: Long) = Unit
+    override fun recordStep(nanos: Long) = Unit
 
-    override fun waited(millis: Long) = Unit
+    override fun recordQueueDelay(millis: Long) = Unit
 
-    override fun committed(millis: Long) = Unit
+    override fun recordCommit(millis: Long) = Unit
 
-    override fun refused(reason: String) = Unit
+    override fun recordRefusal(reason: String) = Unit
 
-    override fun violated(invariant: Invariant): Nothing = throw AssertionError("${invariant.label} is violated")
+    override fun recordViolation(invariant: Invariant): Nothing = throw AssertionError("${invariant.label} is violated")
 }
 
 internal val failingInvariants = Invariants(permissiveContext, FailingMeters)
 
-/** Answers at once from the store; watches stay open, and there are no leases. */
+/** Answers calls at once from [store]. Watches and lease calls are never answered. */
 internal open class ImmediateStatePort(
     private val store: SimStore,
 ) : StatePort {
@@ -87,7 +87,7 @@
         prefix: String,
         after: String?,
         done: (ReadPage?) -> Unit,
-    ) = done(store.read(prefix, after, PAGE))
+    ) = done(store.read(prefix, after, PAGE_SIZE))
 
     override fun changes(
         prefix: String,
@@ -98,19 +98,19 @@
         if (waitMs == 0L) done(store.changes(prefix, from))
     }
 
-    override fun grant(
-        lifeMs: Long,
+    override fun grantLease(
+        ttlMs: Long,
         done: (Long?) -> Unit,
     ) = Unit
 
-    override fun touch(
+    override fun keepLeaseAlive(
         lease: Long,
-        done: (TouchOutcome) -> Unit,
+        done: (LeaseRenewalOutcome) -> Unit,
     ) = Unit
 
-    override fun release(lease: Long) = Unit
+    override fun revokeLease(lease: Long) = Unit
 
     private companion object {
-        const val PAGE = 1000
+        const val PAGE_SIZE = 1000
     }
 }
