--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatPosition.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatPosition.kt
@@ -1,6 +1,6 @@
 package oxbowlug.cluster
 
-/** The order of a worker's messages: by incarnation, then by sequence number. */
+/** The place of a message in the order of one worker's messages: by incarnation, then by sequence number. */
 internal data class HeartbeatPosition(
     val incarnation: Long,
     val sequence: Long,
--- a/src/main/kotlin/oxbowlug/cluster/RemovalReason.kt
+++ b/src/main/kotlin/oxbowlug/cluster/RemovalReason.kt
@@ -1,6 +1,6 @@
 package oxbowlug.cluster
 
-/** How the cloud proved that a machine is gone: proofs 2 and 3 of docs/safety.md. Its name goes to the log. */
+/** How the cloud proved that a machine is gone: proofs 2 and 3 of docs/safety.md. Logs have the name in lower case. */
 internal enum class RemovalReason {
     RELEASED,
     FAILED,
