--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -18,52 +18,52 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /**
- * Jobs and machines as their leader knows them, kept in step. This class is the only owner of that state;
- * [JobReconciliation],
- * [HeartbeatReconciliation] and [WorkerCommands] work on it. An attempt is removed only by one of the proofs in
- * docs/safety.md; silence, a refused connection or a recent list of machines prove nothing.
+ * The leader's consistent view of jobs, machines and task attempts. This class alone owns that state.
+ * [JobReconciliation] and [HeartbeatReconciliation] update it, [WorkerCommands] reads it. An attempt is removed only on
+ * one of the proofs in docs/safety.md that it isn't running. Missing heartbeats, a refused connection, or absence from
+ * a recently requested machine list, which may lag, are no proof.
  */
 internal class ClusterState(
     val token: FencingToken,
     private val clock: Clock,
     private val timing: Timing,
     val forecast: DemandForecast,
-    /** Images by machine as an earlier leader told them: a hint for prices, never a fact. */
-    private val rememberedImages: Map<MachineId, List<ImageName>> = emptyMap(),
+    /** Images by machine, as an earlier leader sent them. They only influence prices, since they may be out of date. */
+    private val initialImages: Map<MachineId, List<ImageName>> = emptyMap(),
     teams: Map<TeamName, Team> = emptyMap(),
-    /** What a job's predecessors mean for it, as committed. */
+    /** Whether a job with these predecessors may start, by their committed records. */
     dependencyState: (List<JobId>) -> DependencyState = { DependencyState.READY },
     invariants: Invariants,
 ) {
     private val quotas = TeamQuotas(teams, timing)
     private val jobReconciliation = JobReconciliation(this, clock, timing, dependencyState)
-    private val reconciliation = HeartbeatReconciliation(this, clock, timing, quotas, invariants)
-    private val commands = WorkerCommands(this, timing, quotas)
+    private val heartbeatReconciliation = HeartbeatReconciliation(this, clock, timing, quotas, invariants)
+    private val workerCommands = WorkerCommands(this, timing, quotas)
     val jobs = LinkedHashMap<JobId, Job>()
     val machines = LinkedHashMap<MachineId, Machine>()
 
-    /** Released, failed or no longer listed: late messages of theirs are not believed any more. */
-    private val removed = HashSet<MachineId>()
+    /** Machines that the cloud released, lists as failed or no longer lists. Late heartbeats from them are ignored. */
+    private val removedMachines = HashSet<MachineId>()
 
-    /** Something changed that a new plan could use; cleared by whoever plans. */
-    var planWanted = true
+    /** Whether something changed since the last plan that a new plan could use. The planning loop clears it. */
+    var needsReplan = true
 
-    /** Machines whose commands changed and that should be sent them directly, before their next heartbeat. */
-    val pendingPushes = LinkedHashSet<MachineId>()
+    /** Machines whose commands changed and are to be sent by a direct call, before the worker's next heartbeat. */
+    val commandQueue = LinkedHashSet<MachineId>()
 
-    /** Jobs that differ from what is stored: looked for among all jobs, they would cost a scan for every heartbeat. */
-    val dirty = LinkedHashSet<Job>()
+    /** Jobs that differ from their stored records. Without this set, every heartbeat would need a scan of all jobs. */
+    val dirtyJobs = LinkedHashSet<Job>()
 
-    /** An attempt may be held on a machine that is gone. */
-    var hasOrphans = false
+    /** Whether some job may still have an attempt on a removed machine. */
+    var mayHaveOrphans = false
 
-    fun isRemoved(id: MachineId): Boolean = id in removed
+    fun isRemoved(id: MachineId): Boolean = id in removedMachines
 
-    /** The machine, created at its first mention; null if it was removed. */
+    /** The machine with this id, which is added when it isn't known yet; null if the machine was removed. */
     fun machine(id: MachineId): Machine? {
-        if (id in removed) return null
+        if (id in removedMachines) return null
         return machines.getOrPut(id) {
-            Machine(id, clock.steadyMs()).also { it.images.addAll(rememberedImages[id].orEmpty()) }
+            Machine(id, clock.steadyMs()).also { it.images.addAll(initialImages[id].orEmpty()) }
         }
     }
 
@@ -77,77 +77,81 @@
     /** See [JobReconciliation.onDependencyChanged]. */
     fun onDependencyChanged(id: JobId) = jobReconciliation.onDependencyChanged(id)
 
-    /** Placements that were never written, so no start of them was sent; returns how many. */
+    /** Removes attempts that were never stored, so no start of them was sent. Returns how many there were. */
     fun withdrawUncommitted(job: Job): Int {
-        val uncommitted = job.attempts.values.filter { !it.committed }
-        uncommitted.forEach(::remove)
+        val uncommitted = job.attempts.values.filter { !it.isCommitted }
+        uncommitted.forEach(::removeAttempt)
         return uncommitted.size
     }
 
-    /** Creates an attempt. It is not started before its job's record is stored. */
+    /** Creates an attempt of [task] on [machine]. Its start isn't sent before the job's record is stored. */
     fun place(
         job: Job,
         task: Int,
         machine: Machine,
     ) {
-        // Started before its predecessors' ends are committed, it would run even if one of them is cancelled instead.
-        check(job.readyMs != null) { "${job.id} waits for other jobs" }
+        // A job that started before its predecessors are committed as done would run even if one of them were
+        // cancelled instead.
+        check(job.readyMs != null) { "job ${job.id} can't be placed before its predecessors are done" }
         val attempt = job.place(task, machine.id, clock.steadyMs())
         machine.attempts[attempt.id] = attempt
         machine.idleSince = null
     }
 
-    /** Has [attempt] stopped; [target] is where its task is to go on, if it is only moved. */
+    /** Requests the stop of [attempt]. If its task is only being moved, [moveTarget] is the machine it moves to. */
     fun stop(
         attempt: TaskAttempt,
         reason: StopReason,
-        target: MachineId? = null,
+        moveTarget: MachineId? = null,
     ) {
         attempt.stopReason = reason
-        attempt.target = target
+        attempt.moveTarget = moveTarget
         val machine = machines[attempt.machine]
-        removeOrPush(machine, attempt)
+        stopOrRemove(machine, attempt)
     }
 
-    /** Its worker has to be told to stop it, unless it surely isn't there. */
-    fun removeOrPush(
+    /** Queues a direct command that stops [attempt], or removes [attempt] if it can't exist on [machine]. */
+    fun stopOrRemove(
         machine: Machine?,
         attempt: TaskAttempt,
     ) {
-        val there = machine != null && attempt.committed && machine.mayBeThere(attempt, token)
-        if (there) pendingPushes.add(attempt.machine) else remove(attempt)
+        val mayExist = machine != null && attempt.isCommitted && machine.mayHold(attempt, token)
+        if (mayExist) commandQueue.add(attempt.machine) else removeAttempt(attempt)
     }
 
     /**
-     * The attempt is gone, or was never there: its task may be placed again. Only the four proofs of docs/safety.md
-     * may lead here, and so only this class and the reconciliations call it.
+     * Removes an attempt that no longer exists or never started, so that its task can be placed again. The call needs
+     * one of the four proofs of docs/safety.md, so only this class and the reconciliations make it.
      */
-    fun remove(attempt: TaskAttempt) {
+    fun removeAttempt(attempt: TaskAttempt) {
         val now = clock.steadyMs()
-        if (attempt.target != null) attempt.job.movingUntil = now + timing.movingMs
-        if (attempt.job.attempts[attempt.task] === attempt) quotas.freed(attempt.job.spec.team, attempt.job.need)
-        attempt.job.drop(attempt.task, now)
+        if (attempt.moveTarget != null) attempt.job.movingUntil = now + timing.movingMs
+        if (attempt.job.attempts[attempt.task] === attempt) quotas.subtract(attempt.job.spec.team, attempt.job.need)
+        attempt.job.removeAttempt(attempt.task, now)
         machines[attempt.machine]?.attempts?.remove(attempt.id)
-        planWanted = true
+        needsReplan = true
     }
 
     /** See [HeartbeatReconciliation.apply]. */
     fun applyHeartbeat(
         heartbeat: WorkerHeartbeat,
         isHeartbeat: Boolean,
-    ): Machine? = reconciliation.apply(heartbeat, isHeartbeat)
+    ): Machine? = heartbeatReconciliation.apply(heartbeat, isHeartbeat)
 
     /** See [WorkerCommands.of]. */
     fun commands(
         machine: Machine,
         now: Long,
-    ): List<WorkerCommand> = commands.of(machine, now)
+    ): List<WorkerCommand> = workerCommands.of(machine, now)
 
-    /** See [WorkerCommands.cancelledStops]. */
-    fun cancelledStops(machine: Machine): List<WorkerCommand> = commands.cancelledStops(machine)
+    /** See [WorkerCommands.stopsForCancelledJobs]. */
+    fun stopsForCancelledJobs(machine: Machine): List<WorkerCommand> = workerCommands.stopsForCancelledJobs(machine)
 
-    /** Proof 4: the present incarnation's lease is over, and no other token can have renewed it. */
-    fun expire(
+    /**
+     * Proof 4 of docs/safety.md: the lease of the worker's current incarnation has expired, and no controller with
+     * another token can have renewed it. Removes the machine's attempts. Returns whether this call ended the lease.
+     */
+    fun expireLease(
         machine: Machine,
         now: Long,
     ): Boolean {
@@ -169,38 +173,41 @@
         machine.unresolvedStarts.clear()
         machine.tasks = emptyMap()
         for (attempt in machine.attempts.values.toList()) {
-            attempt.startAnsweredAt = null
-            remove(attempt)
+            attempt.startSentInAnswerTo = null
+            removeAttempt(attempt)
         }
-        planWanted = true
+        needsReplan = true
         return true
     }
 
-    /** Proofs 2 and 3: the cloud released it, lists it as failed, or lists it no more. */
+    /** Proofs 2 and 3 of docs/safety.md: the cloud released the machine, lists it as failed, or no longer lists it. */
     fun removeMachine(
         id: MachineId,
         reason: RemovalReason,
     ) {
-        removed.add(id)
-        hasOrphans = true
+        removedMachines.add(id)
+        mayHaveOrphans = true
         val machine = machines[id] ?: return
         log.info("machine removed: machine={} reason={} attempts={}", id, reason, machine.attempts.size)
-        for (attempt in machine.attempts.values.toList()) remove(attempt)
+        for (attempt in machine.attempts.values.toList()) removeAttempt(attempt)
         machines.remove(id)
-        planWanted = true
+        needsReplan = true
     }
 
-    /** Attempts on machines that an earlier proof removed. */
+    /** Removes attempts on machines that were removed before, by proof 2 or 3. */
     fun removeOrphans() {
-        if (!hasOrphans) return
-        hasOrphans = false
+        if (!mayHaveOrphans) return
+        mayHaveOrphans = false
         for (job in jobs.values) {
-            for (attempt in job.attempts.values.toList()) if (attempt.machine in removed) remove(attempt)
+            for (attempt in job.attempts.values.toList()) if (attempt.machine in removedMachines) removeAttempt(attempt)
         }
     }
 
-    /** Not before the state cache has caught up with our last write: an older event would add the job again. */
-    fun forgetFinished(cache: StateCache) {
+    /**
+     * Removes final jobs whose records are stored. A job stays until [cache] has the version of this leader's last
+     * write: an older change event would add the job again.
+     */
+    fun removeFinishedJobs(cache: StateCache) {
         jobs.values.removeIf { job ->
             job.phase.isFinal &&
                 job.attempts.isEmpty() &&
--- a/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
@@ -2,13 +2,16 @@
 
 import oxbowlug.timing.Timing
 
-/** Errors suspect the machine first; the same job failing on several machines suspects the job. */
+/**
+ * Attributes errors of tasks to machines or to jobs. A machine on which several jobs fail is quarantined; a job that
+ * fails on several machines is started again only after a delay, which doubles with each further machine up to a limit.
+ */
 internal object FailureBackoff {
     private const val JOBS_TO_SUSPECT_MACHINE = 2
     private const val MACHINES_TO_SUSPECT_JOB = 3
     private const val MAX_DOUBLINGS = 6
 
-    /** A task of [job] failed on [machine]. */
+    /** A task of [job] exited with an error on [machine]. */
     fun onError(
         machine: Machine,
         job: Job,
@@ -22,11 +25,11 @@
         if (machine.failedJobs.size >= JOBS_TO_SUSPECT_MACHINE) machine.isQuarantined = true
         if (job.failedOn.size >= MACHINES_TO_SUSPECT_JOB) {
             val doublings = (job.failedOn.size - MACHINES_TO_SUSPECT_JOB).coerceAtMost(MAX_DOUBLINGS)
-            job.holdUntil = now + minOf(timing.errorPauseMs shl doublings, timing.errorPauseMaxMs)
+            job.backoffUntil = now + minOf(timing.errorPauseMs shl doublings, timing.errorPauseMaxMs)
         }
     }
 
-    /** [machine] refused or lost a task of [job] for a reason that isn't the task's own. */
+    /** [machine] refused or lost a task of [job], for a reason that isn't an error of the task. */
     fun onRefused(
         machine: Machine,
         job: Job,
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -13,8 +13,8 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /**
- * Reconciles the cluster state of a machine with what its worker reports: proof 1 of docs/safety.md, the worker's
- * own word that an attempt is gone.
+ * Reconciles the leader's state of a machine with the heartbeats of its worker. A heartbeat that shows an attempt to be
+ * gone is proof 1 of docs/safety.md.
  */
 internal class HeartbeatReconciliation(
     private val cluster: ClusterState,
@@ -24,8 +24,8 @@
     private val invariants: Invariants,
 ) {
     /**
-     * Applies one heartbeat, or the answer to a direct command if [isHeartbeat] is false: such an answer renews no
-     * lease. Returns the machine that sent it, or null if the machine was removed.
+     * Applies a heartbeat or, if [isHeartbeat] is false, the answer to a direct command, which renews no lease. Returns
+     * the machine whose worker sent it, or null if the machine was removed.
      */
     fun apply(
         heartbeat: WorkerHeartbeat,
@@ -40,24 +40,26 @@
         }
         machine.lease.onIncarnationObserved(heartbeat.incarnation, now)
         if (isHeartbeat) {
-            // A duplicate of an older heartbeat renews nothing and proves nothing.
-            if (position <= machine.lastHeartbeat) return machine
-            machine.lastHeartbeat = position
+            // A late duplicate of an older heartbeat renews no lease and proves nothing.
+            if (position <= machine.lastHeartbeatPosition) return machine
+            machine.lastHeartbeatPosition = position
             machine.lease.renewed(now)
         }
+        // The answer to a direct command has already brought a newer report.
         if (position <= machine.position) return machine
         if (heartbeat.incarnation > machine.position.incarnation || heartbeat.token > machine.token) {
-            // Direct commands carry incarnation and token, so those of an earlier one can't be executed any more.
+            // Workers refuse direct commands for an earlier incarnation or with an older token, so the worker can't
+            // execute unanswered starts any more.
             machine.unresolvedStarts.clear()
         }
-        val firstHeard = machine.lastContactAt == null
-        update(machine, heartbeat, position, now)
-        if (firstHeard) cluster.planWanted = true
+        val isFirstContact = machine.lastContactAt == null
+        updateMachine(machine, heartbeat, position, now)
+        if (isFirstContact) cluster.needsReplan = true
         applyTasks(machine, position, isHeartbeat, now)
         return machine
     }
 
-    private fun update(
+    private fun updateMachine(
         machine: Machine,
         heartbeat: WorkerHeartbeat,
         position: HeartbeatPosition,
@@ -81,62 +83,64 @@
         isHeartbeat: Boolean,
         now: Long,
     ) {
-        val settled = machine.isSettled(cluster.token)
+        val hasCurrentToken = machine.hasAcknowledgedToken(cluster.token)
         for (attempt in machine.attempts.values.toList()) {
             val reported = machine.tasks[attempt.id]
             if (reported != null) {
-                attempt.startAnsweredAt = null
+                attempt.startSentInAnswerTo = null
                 attempt.isInherited = false
                 machine.unresponsiveUntil = 0L
                 applyTaskStatus(machine, attempt, reported, now)
                 continue
             }
-            applyAbsence(machine, attempt, position, isHeartbeat, now)
+            onAttemptNotReported(machine, attempt, position, isHeartbeat, now)
         }
         for (task in machine.tasks.values) {
             if (task.attempt in machine.attempts) continue
-            adoptUnknownResult(task, now)
-            if (settled) requireOnePlace(machine, task)
+            applyUntrackedResult(task, now)
+            if (hasCurrentToken) checkSinglePlacement(machine, task)
         }
     }
 
-    /** The machine's newest heartbeat doesn't name [attempt]: gone, not yet started, or its start was lost. */
-    private fun applyAbsence(
+    /** The newest report of the machine lacks [attempt]: it has ended, hasn't started yet, or its start was lost. */
+    private fun onAttemptNotReported(
         machine: Machine,
         attempt: TaskAttempt,
         position: HeartbeatPosition,
         isHeartbeat: Boolean,
         now: Long,
     ) {
-        val settled = machine.isSettled(cluster.token)
-        val isAbsent = settled && attempt.isInherited
-        if (settled) attempt.isInherited = false
-        val answered = attempt.startAnsweredAt
-        // One heartbeat is in flight at a time: after a newer one, an older answer is executed or dropped for good.
-        if (isHeartbeat && answered != null && position > answered) attempt.startAnsweredAt = null
+        val hasCurrentToken = machine.hasAcknowledgedToken(cluster.token)
+        val wasInherited = hasCurrentToken && attempt.isInherited
+        if (hasCurrentToken) attempt.isInherited = false
+        val answeredPosition = attempt.startSentInAnswerTo
+        // A worker has one heartbeat in flight at a time: when it sends the next, it has either executed the start in
+        // the answer to the one before, or never will.
+        if (isHeartbeat && answeredPosition != null && position > answeredPosition) attempt.startSentInAnswerTo = null
         attempt.workerState = null
-        if (machine.mayBeThere(attempt, cluster.token)) return
-        if (!attempt.isWanted || isAbsent && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)) {
-            // The former leader saw it end and gave its quota to others, but ended before it had stored the end.
-            cluster.remove(attempt)
-        } else if (isHeartbeat && attempt.isOverdue(now, timing.workerLeaseRawMs)) {
-            // Its heartbeats arrive, but our commands don't reach it: the work goes elsewhere.
+        if (machine.mayHold(attempt, cluster.token)) return
+        if (!attempt.isWanted || wasInherited && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)) {
+            // An inherited attempt over quota: the former leader saw its end and gave its quota to another attempt, but
+            // terminated before it stored the end.
+            cluster.removeAttempt(attempt)
+        } else if (isHeartbeat && attempt.isStartOverdue(now, timing.workerLeaseRawMs)) {
+            // The worker's heartbeats arrive, but the start doesn't reach it, so the task is placed elsewhere.
             log.info("start not acted on: machine={} attempt={}", machine.id, attempt.id)
             machine.unresponsiveUntil = now + timing.unresponsiveMs
-            cluster.remove(attempt)
+            cluster.removeAttempt(attempt)
         }
     }
 
-    /** An attempt that was removed, by a proof, must not turn up beside the attempt that was placed after it. */
-    private fun requireOnePlace(
+    /** Checks that no task runs on two machines: its earlier attempt was removed on a proof that it had ended. */
+    private fun checkSinglePlacement(
         machine: Machine,
         task: TaskStatus,
     ) {
         if (task.state != TaskState.RUNNING) return
         val attempt = cluster.jobs[task.attempt.task.job]?.attempts?.get(task.attempt.task.index) ?: return
         if (attempt.machine == machine.id || attempt.workerState != TaskState.RUNNING) return
-        val what = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
-        invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
+        val violation = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
+        invariants.violated(Invariant.ONE_PLACE_A_TASK, violation)
     }
 
     private fun applyTaskStatus(
@@ -148,6 +152,7 @@
         val job = attempt.job
         if (reported.state == TaskState.RUNNING && attempt.workerState != TaskState.RUNNING) {
             attempt.runningSince = now
+            // Moves the image to the end of the set, behind those that started earlier.
             machine.images.remove(job.spec.image)
             machine.images.add(job.spec.image)
         }
@@ -169,11 +174,11 @@
                 FailureBackoff.onRefused(machine, job, now, timing)
             }
         }
-        cluster.remove(attempt)
+        cluster.removeAttempt(attempt)
     }
 
-    /** A result of an attempt that was removed before: it counts if its task isn't placed again. */
-    private fun adoptUnknownResult(
+    /** The result of an attempt that was removed before counts, unless its task has a new attempt. */
+    private fun applyUntrackedResult(
         task: TaskStatus,
         now: Long,
     ) {
@@ -182,7 +187,7 @@
         val index = task.attempt.task.index
         if (job.phase != Phase.ACTIVE || index >= job.spec.tasks || job.done.get(index) || index in job.attempts) return
         job.markDone(index, now)
-        cluster.planWanted = true
+        cluster.needsReplan = true
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -9,7 +9,10 @@
 import oxbowlug.wire.MachineId
 import java.util.BitSet
 
-/** What the leader knows of a job: what the state service holds, and what is yet to be written there. */
+/**
+ * A job as the leader holds it: the record in the state service, and the changes that aren't written there yet.
+ * Properties whose names end in `Ms` are times of day in ms; all other times are ms of the leader's steady clock.
+ */
 internal class Job(
     record: JobRecord,
     version: Long,
@@ -17,6 +20,8 @@
 ) {
     val id: JobId = record.spec.id
     val spec = record.spec
+
+    /** The resources that each task takes. */
     val need = spec.resources()
     val submittedMs = record.submittedMs
     var phase = record.phase
@@ -28,63 +33,71 @@
 
     var version = version
         private set
-    private var stored: Map<Int, Placement> = record.placements
-    private var lastWrite = record.write
+    private var storedPlacements: Map<Int, Placement> = record.placements
+    private var lastWriteId = record.write
     private var pendingRecord: JobRecord? = null
 
-    /** As they are in the state service; null where only their number is known. */
+    /** The parts of the record in the state service; null for parts whose contents aren't known. */
     var storedParts: List<Map<String, Any?>?> = arrayOfNulls<Map<String, Any?>>(record.partCount).asList()
         private set
     private var pendingParts: List<Map<String, Any?>> = emptyList()
 
-    /** The state service refused a write of this job alone, for its size: the same is not sent again. */
+    /** No write before this time. It is set when the record alone is too large, so that the same isn't sent again. */
     var writeNotBefore = 0L
+
+    /** The next write goes in a transaction of its own, since one with other jobs was refused for its size. */
     var isWrittenAlone = false
 
-    /** The most urgent of its own priority and of those of the jobs that need it. */
+    /** The most urgent among this job's own priority and those of the jobs that depend on it. */
     var priority = spec.priority
 
-    /** When it has to be done for the jobs after it to keep their deadlines, by the time of day; null: no deadline. */
+    /** The latest end with which this job and those that depend on it meet their deadlines; null: no deadline. */
     var latestEndMs: Long? = null
 
-    /** When all its predecessors were known to be done, by the time of day. Nothing of it starts before. */
+    /** From when tasks may start: the submission, or when all predecessors were known to be done; null until then. */
     var readyMs: Long? = if (spec.dependsOn.isEmpty()) record.submittedMs else null
 
-    /** Differs from what is stored. */
+    /** Since when there are changes that are neither stored nor being written; null if there are none. */
     var dirtySince: Long? = null
         private set
 
-    /** Something waits for the write: a start, or a user for the end of the job. */
+    /** Whether the write can't be deferred: the start of an attempt, or the report of the job's end, depends on it. */
     var isUrgent = false
         private set
     val isWriting: Boolean get() = pendingRecord != null
+
+    /** From when the time allowed for ending cancelled tasks counts; null if the job isn't cancelled. */
     var cancelledAt: Long? = null
     private var cancelledMs = record.cancelledMs
 
-    /** Until then it goes before others, since room was found for it before it was stopped. */
+    /** Until then the job goes before others: room for its tasks that are being moved was found before their stop. */
     var movingUntil = 0L
 
-    /** Backing off after errors: no new starts before this. */
-    var holdUntil = 0L
+    /** No task of the job starts before this time, since tasks failed on several machines. */
+    var backoffUntil = 0L
     var failures = 0
+
+    /** Machines on which none of the job's tasks is placed, each until the given time. */
     val avoid = HashMap<MachineId, Long>()
+
+    /** Machines on which a task of the job exited with an error. */
     val failedOn = HashSet<MachineId>()
 
     val remaining: Int get() = spec.tasks - done.cardinality()
 
-    /** Replaces the attempts by those of a stored record, which this leader or an earlier one committed. */
+    /** Replaces the attempts with those of a stored record, which this leader or an earlier one committed. */
     fun restoreAttempts(record: JobRecord) {
         attempts.clear()
         for ((task, placement) in record.placements) {
             attempts[task] =
                 TaskAttempt(this, task, placement.machine, placement.attempt).apply {
-                    committed = true
+                    isCommitted = true
                     isInherited = true
                 }
         }
     }
 
-    /** A new attempt of [task], which is not to be started before its record is stored. */
+    /** Creates an attempt of [task]. Its start isn't sent before the job's record is stored. */
     fun place(
         task: Int,
         machine: MachineId,
@@ -96,12 +109,12 @@
         return attempt
     }
 
-    /** Tasks placed in one round share an attempt number, which keeps the record short. */
-    fun nextRound() {
+    /** Called after each scheduling round: tasks placed in one round share an attempt number, for a short record. */
+    fun advanceAttemptNumber() {
         nextAttempt++
     }
 
-    /** The task's result counts, whatever happens to its attempts. */
+    /** Records that [task] is done, which stays so whatever happens to its attempts. */
     fun markDone(
         task: Int,
         now: Long,
@@ -112,8 +125,8 @@
         markDirty(now, urgent = complete)
     }
 
-    /** Removes the attempt of [task]. Only [ClusterState.remove] may call it, for a proof. */
-    fun drop(
+    /** Removes the attempt of [task]. Only [ClusterState.removeAttempt] may call this, since it needs a proof. */
+    fun removeAttempt(
         task: Int,
         now: Long,
     ) {
@@ -131,7 +144,7 @@
         if (urgent) isUrgent = true
     }
 
-    /** The next waiting tasks, at most [limit], the lowest numbers first so that `done` stays one short range. */
+    /** At most [limit] tasks without an attempt, lowest numbers first, so that `done` stays one short range. */
     fun pendingTasks(limit: Int): IntArray {
         val result = IntArray(minOf(limit, remaining))
         var count = 0
@@ -143,21 +156,21 @@
         return if (count == result.size) result else result.copyOf(count)
     }
 
-    /** Whether the stored record, or the one that is being written, names [attempt]. */
-    fun isStored(attempt: AttemptId): Boolean =
-        holds(stored, attempt) ||
+    /** Whether [attempt] is in the stored record, or in the one that is being written and may be stored already. */
+    fun mayBeStored(attempt: AttemptId): Boolean =
+        containsAttempt(storedPlacements, attempt) ||
             pendingRecord?.let {
-                holds(it.placements, attempt)
+                containsAttempt(it.placements, attempt)
             } == true
 
-    private fun holds(
+    private fun containsAttempt(
         placements: Map<Int, Placement>,
         attempt: AttemptId,
     ): Boolean = placements[attempt.task.index]?.attempt == attempt.number
 
-    /** What is to be written now, under the name [write]; [isBrief] leaves out what nobody asks for any more. */
+    /** The record to write now, under the id [writeId]. [isBrief] shortens that of a cancelled job, see [briefDone]. */
     fun record(
-        write: String,
+        writeId: String,
         isBrief: Boolean = false,
     ) = JobRecord(
         spec,
@@ -166,17 +179,17 @@
         if (isBrief) briefDone() else done.clone() as BitSet,
         nextAttempt,
         attempts.mapValues { (_, attempt) -> Placement(attempt.machine, attempt.number) },
-        write,
+        writeId,
         cancelledMs,
     )
 
-    /** Of a cancelled job that is over nobody asks which tasks were done, only how many. */
+    /** Of a cancelled job without attempts only the number of done tasks is needed, so they become one range. */
     private fun briefDone(): BitSet {
         if (phase != Phase.CANCELLED || attempts.isNotEmpty()) return done.clone() as BitSet
         return BitSet().apply { set(0, done.cardinality()) }
     }
 
-    /** [record] is sent to the state service; [parts] are its parts if it is divided. */
+    /** Notes that [record] is being sent to the state service; [parts] are its parts if it is split. */
     fun beginWrite(
         record: JobRecord,
         parts: List<Map<String, Any?>>,
@@ -187,32 +200,36 @@
         isUrgent = false
     }
 
-    /** Whether [record] is the write on its way: the watch may have settled it, and another one have begun. */
+    /** Whether [record] is the write in flight. The watch may have confirmed it, and another write may have begun. */
     fun isWriting(record: JobRecord): Boolean = pendingRecord === record
 
-    /** [record] is stored at [revision]. An answer that comes after the watch has brought the same changes nothing. */
-    fun written(
+    /** Notes that [record] is stored at [revision]. No effect if the watch has confirmed the same write before. */
+    fun completeWrite(
         record: JobRecord,
         revision: Long,
     ) {
-        // Found with slow answers: mistaken for that to the next write, it had starts sent that no stored record named.
+        // A slow answer to an earlier write was once taken for the answer to the write in flight. Starts were then sent
+        // whose attempts were in no stored record.
         if (!isWriting(record)) return
         pendingRecord = null
         version = maxOf(version, revision)
-        stored = record.placements
+        storedPlacements = record.placements
         storedParts = pendingParts
         isWrittenAlone = false
-        lastWrite = record.write
+        lastWriteId = record.write
         for ((task, placement) in record.placements) {
             val attempt = attempts[task]
-            if (attempt != null && attempt.number == placement.attempt) attempt.committed = true
+            if (attempt != null && attempt.number == placement.attempt) attempt.isCommitted = true
         }
     }
 
-    /** Is written again though nothing changed: its record is larger than values may be soon. */
+    /** Schedules a write though nothing changed: the stored value is larger than the limit that applies soon. */
     fun rewrite(now: Long) = markDirty(now, urgent = false)
 
-    /** A job that it needs is cancelled, so it never had a task, and its own record only has to say so in the end. */
+    /**
+     * Cancels the job because a predecessor is cancelled. None of its tasks has ever started, so the write of its own
+     * record isn't urgent.
+     */
     fun cancelByPredecessor(
         now: Long,
         wallMs: Long,
@@ -224,21 +241,25 @@
         markDirty(now, urgent = false)
     }
 
-    /** [record] is surely not written, or it isn't known: written again, under the same condition on the version. */
-    fun notWritten(
+    /**
+     * Schedules another write after that of [record] failed, or its outcome isn't known. The next write is conditional
+     * on the same version, so at most one of the two applies.
+     */
+    fun requeueWrite(
         record: JobRecord,
         now: Long,
     ) {
-        // Mistaken for the answer to the next write, which may be stored, a third one would begin beside it.
+        // Taken for the answer to the next write, which may be stored, a late answer would begin a third one beside it.
         if (!isWriting(record)) return
         pendingRecord = null
         markDirty(now, urgent = true)
     }
 
     /**
-     * Another controller's write, which can only be a cancellation on top of the last committed record. If that
-     * record is not one we know to be ours, one of our unanswered writes was applied late: what is stored counts.
-     * Returns true if the attempts were replaced.
+     * Applies a newer stored record. Another controller can only have written a cancellation on top of the last
+     * committed record, and keeps its write id. If the id is neither that of the write in flight nor the last known
+     * one, an unanswered write of this leader was applied late, and the stored record replaces the local state. Returns
+     * true if the attempts were replaced.
      */
     fun applyForeignWrite(
         record: JobRecord,
@@ -246,15 +267,15 @@
         now: Long,
     ): Boolean {
         val pending = pendingRecord
-        if (pending != null && record.write == pending.write) written(pending, newVersion)
+        if (pending != null && record.write == pending.write) completeWrite(pending, newVersion)
         version = newVersion
-        stored = record.placements
+        storedPlacements = record.placements
         if (record.partCount != storedParts.size) {
             storedParts = arrayOfNulls<Map<String, Any?>>(record.partCount).asList()
         }
         var replaced = false
-        if (record.write != lastWrite) {
-            lastWrite = record.write
+        if (record.write != lastWriteId) {
+            lastWriteId = record.write
             pendingRecord = null
             storedParts = arrayOfNulls<Map<String, Any?>>(record.partCount).asList()
             done.clear()
@@ -262,7 +283,7 @@
             nextAttempt = maxOf(nextAttempt, record.nextAttempt)
             replaced = true
         }
-        // A final phase that is stored was or will be told; ours, if another, was not.
+        // Users see the stored final phase, now or later. A different one that only this leader had was never reported.
         if (record.phase == Phase.DONE) phase = Phase.DONE
         if (record.phase == Phase.CANCELLED && phase != Phase.CANCELLED) {
             phase = Phase.CANCELLED
--- a/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
@@ -9,14 +9,14 @@
 import oxbowlug.timing.Timing
 import oxbowlug.wire.JobId
 
-/** Reconciles the leader's jobs with what the state service holds: writes of other controllers, and predecessors. */
+/** Reconciles the leader's jobs with the state service: with stored records and with the phases of predecessors. */
 internal class JobReconciliation(
     private val cluster: ClusterState,
     private val clock: Clock,
     private val timing: Timing,
     private val dependencyState: (List<JobId>) -> DependencyState,
 ) {
-    /** Applies a stored job record: a new job, or a write of another controller. Older versions have no effect. */
+    /** Applies a stored job record if it is new, or newer than the leader's version of the job. */
     fun apply(
         id: JobId,
         stored: CachedJob,
@@ -36,15 +36,15 @@
     ) {
         val now = clock.steadyMs()
         val record = JobRecord.decode(value)
-        val job = Job(record, stored.version, cluster.dirty::add)
+        val job = Job(record, stored.version, cluster.dirtyJobs::add)
         if (record.phase == Phase.CANCELLED) job.cancelledAt = cancelledAt(record, now)
         cluster.jobs[id] = job
-        // Jobs that wait for others are known to come; they aren't guessed at.
+        // Jobs with predecessors are known in advance, so the forecast leaves them out.
         if (job.spec.dependsOn.isEmpty()) cluster.forecast.add(job.spec, job.submittedMs)
         job.restoreAttempts(record)
         attachAttempts(job)
         applyDependencyState(job, now)
-        cluster.planWanted = true
+        cluster.needsReplan = true
     }
 
     private fun updateJob(
@@ -53,19 +53,19 @@
         value: Map<String, Any?>,
     ) {
         val now = clock.steadyMs()
-        val old = job.attempts.values.toList()
+        val previousAttempts = job.attempts.values.toList()
         val wasActive = job.phase == Phase.ACTIVE
         val record = JobRecord.decode(value)
         if (job.applyForeignWrite(record, stored.version, now)) {
-            cluster.hasOrphans = true
-            for (attempt in old) cluster.machines[attempt.machine]?.attempts?.remove(attempt.id)
+            cluster.mayHaveOrphans = true
+            for (attempt in previousAttempts) cluster.machines[attempt.machine]?.attempts?.remove(attempt.id)
             attachAttempts(job)
         }
         if (job.phase == Phase.CANCELLED) {
             if (wasActive) onCancelled(job, record, now)
             stopCancelledAttempts(job)
         }
-        cluster.planWanted = true
+        cluster.needsReplan = true
     }
 
     private fun onCancelled(
@@ -85,10 +85,10 @@
         )
     }
 
-    /** A predecessor is done or cancelled. */
+    /** A predecessor of the job [id] is done or cancelled. */
     fun onDependencyChanged(id: JobId) {
         cluster.jobs[id]?.let { applyDependencyState(it, clock.steadyMs()) }
-        cluster.planWanted = true
+        cluster.needsReplan = true
     }
 
     private fun applyDependencyState(
@@ -103,7 +103,10 @@
         }
     }
 
-    /** Counted from when its user was told, not from when this leader learned of it: it may have been elected since. */
+    /**
+     * The time allowed counts from the confirmation to the job's user, not from when this leader learned of the
+     * cancellation: it may have been elected since.
+     */
     private fun cancelledAt(
         record: JobRecord,
         now: Long,
@@ -115,14 +118,14 @@
     private fun attachAttempts(job: Job) {
         for (attempt in job.attempts.values.toList()) {
             val machine = cluster.machine(attempt.machine)
-            if (machine == null) cluster.remove(attempt) else machine.attempts[attempt.id] = attempt
+            if (machine == null) cluster.removeAttempt(attempt) else machine.attempts[attempt.id] = attempt
         }
     }
 
     private fun stopCancelledAttempts(job: Job) {
         for (attempt in job.attempts.values.toList()) {
             val machine = cluster.machines[attempt.machine]
-            cluster.removeOrPush(machine, attempt)
+            cluster.stopOrRemove(machine, attempt)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.TypeName
 import oxbowlug.wire.Zone
 
-/** What the leader knows of one rented machine. */
+/** A rented machine as the leader holds it. Times are ms of the leader's steady clock. */
 internal class Machine(
     val id: MachineId,
     val firstSeenAt: Long,
@@ -24,31 +24,39 @@
     var zone: Zone? = null
     var spot = false
     var endpoint: Address? = null
+
+    /** The state in the newest machine list of the cloud; null: no list has had the machine. */
     var listed: MachineState? = null
     var listedAt = 0L
     var rentedAt = firstSeenAt
 
-    /** The newest message of the worker: a heartbeat or the answer to a direct command. */
+    /** The position of the worker's newest message, either a heartbeat or the answer to a direct command. */
     var position = HeartbeatPosition(0, 0)
-    var lastHeartbeat = HeartbeatPosition(0, 0)
+    var lastHeartbeatPosition = HeartbeatPosition(0, 0)
+
+    /** The fencing token in the worker's newest message, the highest that the worker had seen. */
     var token = FencingToken(0)
     var tasks: Map<AttemptId, TaskStatus> = emptyMap()
     var lastContactAt: Long? = null
 
     val lease = WorkerLease()
 
-    /** Its lease expired, and nothing was heard of it since. */
+    /** The lease of the worker's last incarnation expired, and no message of a later one has come since. */
     var isLeaseExpired = false
+
+    /** When the cloud takes the machine back, if it has given notice. */
     var noticeUntil: Long? = null
     var idleSince: Long? = null
     var isReleasing = false
     var isQuarantined = false
 
-    /** What was on it is being moved, so that it can be released. */
+    /** The machine's tasks are being moved to other machines, so that it can be released. */
     var isDraining = false
 
-    /** Unresponsive until then: it sends heartbeats, but our answers and commands don't reach it. */
+    /** Until then nothing is placed here: the worker sends heartbeats, but answers and commands don't reach it. */
     var unresponsiveUntil = 0L
+
+    /** Jobs with a task that exited with an error here, since a task was last done here. */
     val failedJobs = HashSet<String>()
 
     val attempts = LinkedHashMap<AttemptId, TaskAttempt>()
@@ -58,25 +66,29 @@
     var isDirectCommandInFlight = false
     var nextDirectCommandAt = 0L
 
-    /** Starts sent directly and not answered: they may be executed minutes later. */
+    /** Starts in direct commands that weren't answered. The worker may execute them minutes later. */
     val unresolvedStarts = HashSet<AttemptId>()
 
-    /** It has shown our token, so that its heartbeats name everything that is on it. */
-    fun isSettled(current: FencingToken): Boolean = lastContactAt != null && token == current && !isLeaseExpired
+    /**
+     * Whether the worker's newest message had the current leader's token. The worker then refuses commands of earlier
+     * leaders, so its heartbeats name every attempt that those have started.
+     */
+    fun hasAcknowledgedToken(currentToken: FencingToken): Boolean =
+        lastContactAt != null && token == currentToken && !isLeaseExpired
 
-    /** Whether [attempt] may be, or may yet appear, on this machine; [current] is the leader's token. */
-    fun mayBeThere(
+    /** Whether [attempt] may exist on this machine, or may still be started here by a command that was sent. */
+    fun mayHold(
         attempt: TaskAttempt,
-        current: FencingToken,
+        currentToken: FencingToken,
     ): Boolean {
         if (attempt.id in unresolvedStarts || attempt.id in directStartsInFlight) return true
-        if (attempt.isInherited && !isSettled(current)) return true
-        if (attempt.startAnsweredAt != null) return true
+        if (attempt.isInherited && !hasAcknowledgedToken(currentToken)) return true
+        if (attempt.startSentInAnswerTo != null) return true
         val reported = tasks[attempt.id]
         return reported != null && reported.state != TaskState.EXITED
     }
 
-    /** Free room: everything that is placed or still reported takes its part. */
+    /** The free resources: those of [type] without what attempts here use, and [unmanagedUsage] by other tasks. */
     fun free(
         type: MachineType,
         unmanagedUsage: Resources,
@@ -86,7 +98,7 @@
         return free
     }
 
-    /** Images that are on their way to it: not yet usable, but not to be fetched a second time either. */
+    /** Images that the machine fetches for placed attempts: not usable yet, but not to be fetched a second time. */
     fun fetching(): Set<ImageName> {
         val result = HashSet<ImageName>()
         for (attempt in attempts.values) {
--- a/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -6,10 +6,10 @@
 import oxbowlug.wire.TaskId
 import oxbowlug.wire.TaskState
 
-/** Why a task that may still run is stopped: for a more urgent one, or to leave its machine. */
+/** Why an attempt of an active job is stopped: for a more urgent task, or because its machine is drained. */
 internal enum class StopReason { PREEMPTED, DRAINED }
 
-/** One attempt that is, or may be, on a machine. It counts for every limit until it is proven gone. */
+/** An attempt of a task, which exists or may exist on [machine]. It counts for every limit until it is proven gone. */
 internal class TaskAttempt(
     val job: Job,
     val task: Int,
@@ -18,40 +18,45 @@
 ) {
     val id = AttemptId(TaskId(job.id, task), number)
 
-    /** Written to the state service: only then may it be started. */
-    var committed = false
+    /** Whether a stored record has the attempt. Only then may its start be sent. */
+    var isCommitted = false
 
-    /** Placed by an earlier leader, whose start may still be on its way until the worker shows our token. */
+    /**
+     * Taken over from a stored record, and not yet reported under the current token. Until the worker acknowledges that
+     * token, a start that an earlier leader sent may still arrive.
+     */
     var isInherited = false
 
-    /** The state in which the worker last reported it; null: its newest heartbeat lacks it, or there was none. */
+    /** The state in the worker's newest report; null if that lacks the attempt, or if there was none. */
     var workerState: TaskState? = null
     var runningSince = 0L
 
-    /** A start went out in the answer to this heartbeat; a newer one that lacks the attempt shows it was dropped. */
-    var startAnsweredAt: HeartbeatPosition? = null
-    private var firstSentAt: Long? = null
+    /** The heartbeat whose answer had a start; a newer heartbeat without the attempt shows that the start was lost. */
+    var startSentInAnswerTo: HeartbeatPosition? = null
+    private var startFirstSentAt: Long? = null
     var stopReason: StopReason? = null
 
-    /** Where it is to go on, if it was stopped only to be moved. */
-    var target: MachineId? = null
+    /** The machine on which its task is to continue, if it is stopped only to be moved. */
+    var moveTarget: MachineId? = null
+
+    /** Whether the attempt is to run. */
     val isWanted: Boolean get() = stopReason == null && job.phase == Phase.ACTIVE
 
-    fun sentInAnswer(
+    fun markStartSentInAnswer(
         position: HeartbeatPosition,
         now: Long,
     ) {
-        startAnsweredAt = position
-        sentDirectly(now)
+        startSentInAnswerTo = position
+        markStartSent(now)
     }
 
-    fun sentDirectly(now: Long) {
-        if (firstSentAt == null) firstSentAt = now
+    fun markStartSent(now: Long) {
+        if (startFirstSentAt == null) startFirstSentAt = now
     }
 
-    /** A start was first sent more than [patienceMs] ago. */
-    fun isOverdue(
+    /** Whether a start was first sent more than [timeoutMs] ago. */
+    fun isStartOverdue(
         now: Long,
-        patienceMs: Long,
-    ): Boolean = firstSentAt?.let { now - it > patienceMs } ?: false
+        timeoutMs: Long,
+    ): Boolean = startFirstSentAt?.let { now - it > timeoutMs } ?: false
 }
--- a/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TeamQuotas.kt
@@ -6,8 +6,8 @@
 import oxbowlug.wire.TeamName
 
 /**
- * Whether what a new leader inherits goes beyond a team's quota. The records of two jobs aren't written together: one
- * may hold a task whose end wasn't stored yet, the other a task that was given its quota.
+ * Detects that the attempts which a new leader inherited exceed a team's quota. The records of two jobs aren't written
+ * together: one may have an attempt whose end wasn't stored yet, the other an attempt that got the quota freed by it.
  */
 internal class TeamQuotas(
     private val teams: Map<TeamName, Team>,
@@ -16,14 +16,14 @@
     private val used = HashMap<TeamName, Resources>()
     private var countedAt = Long.MIN_VALUE
 
-    /** Whether the team's attempts, as counted at most a tick ago, exceed its quota. */
+    /** Whether the resources of the team's attempts, as summed up at most a tick ago, exceed its quota. */
     fun isOverQuota(
         name: TeamName,
         jobs: Collection<Job>,
         now: Long,
     ): Boolean {
         val team = teams[name] ?: return false
-        // Asked for each of hundreds of tasks just after a takeover, so it isn't counted afresh for each.
+        // Just after a takeover this is called for each of hundreds of tasks, so the sums are reused for a tick.
         if (countedAt == Long.MIN_VALUE || now - countedAt >= timing.tickMs) {
             countedAt = now
             used.clear()
@@ -38,11 +38,11 @@
             }
         }
         val sum = used[name] ?: return false
-        return sum.cores > team.maxCores + ROUNDING || sum.gpus > team.maxGpus + ROUNDING
+        return sum.cores > team.maxCores + ROUNDING_TOLERANCE || sum.gpus > team.maxGpus + ROUNDING_TOLERANCE
     }
 
-    /** An attempt of the team was removed. */
-    fun freed(
+    /** Subtracts the resources of a removed attempt of the team. */
+    fun subtract(
         name: TeamName,
         need: Resources,
     ) {
@@ -50,6 +50,6 @@
     }
 
     private companion object {
-        const val ROUNDING = 1e-6
+        const val ROUNDING_TOLERANCE = 1e-6
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -8,15 +8,15 @@
 import oxbowlug.wire.WorkerCommand
 
 /**
- * What a worker should be told, computed afresh from what is wanted and what it last reported. Changes neither jobs nor
- * machines.
+ * The commands that a worker should get, computed anew from the wanted attempts and the worker's newest report. Changes
+ * neither jobs nor machines.
  */
 internal class WorkerCommands(
     private val cluster: ClusterState,
     private val timing: Timing,
     private val quotas: TeamQuotas,
 ) {
-    /** All commands for [machine]. Starts only of attempts whose record is stored. */
+    /** All commands for the worker of [machine]. Attempts are started only after they were stored. */
     fun of(
         machine: Machine,
         now: Long,
@@ -25,11 +25,12 @@
         for (attempt in machine.attempts.values) {
             val reported = machine.tasks[attempt.id]
             when {
-                reported == null -> if (attempt.committed) addStart(machine, attempt, now, result)
+                reported == null -> if (attempt.isCommitted) addStart(machine, attempt, now, result)
                 reported.state == TaskState.EXITED -> Unit
-                !attempt.isWanted -> stopOf(attempt, reported)?.let(result::add)
+                !attempt.isWanted -> stopCommand(attempt, reported)?.let(result::add)
             }
         }
+        // Attempts that the worker reports, but the leader has removed or never had on this machine.
         for (task in machine.tasks.values) {
             if (task.attempt in machine.attempts) continue
             when {
@@ -40,8 +41,11 @@
         return result
     }
 
-    /** All that may be said without the right to decide: a cancelled job's tasks have to end, whoever leads. */
-    fun cancelledStops(machine: Machine): List<WorkerCommand> =
+    /**
+     * The stops of cancelled jobs' attempts. A controller may send them without the right to decide, since the tasks of
+     * a cancelled job have to end whichever controller leads.
+     */
+    fun stopsForCancelledJobs(machine: Machine): List<WorkerCommand> =
         machine.attempts.values
             .filter { it.job.phase == Phase.CANCELLED }
             .filter { it.workerState != null && it.workerState != TaskState.EXITED }
@@ -54,38 +58,44 @@
         result: ArrayList<WorkerCommand>,
     ) {
         if (attempt.isWanted) {
-            // Its next heartbeat will show our token, and then it is settled whether this one is still to run.
-            val waits = attempt.isInherited && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)
-            if (!waits) result.add(WorkerCommand.Start(attempt.id))
+            // Over quota, the attempt may have ended under the former leader. The worker's next heartbeat has the
+            // current token and so shows whether the attempt still exists; the start is deferred until then.
+            val isDeferred = attempt.isInherited && quotas.isOverQuota(attempt.job.spec.team, cluster.jobs.values, now)
+            if (!isDeferred) result.add(WorkerCommand.Start(attempt.id))
             return
         }
-        // A direct start may still be on its way, and a stop alone would be too early for it. Started and stopped
-        // at once, the attempt stays known as exited, and the late copy has no effect.
+        // A direct start may still be in flight, and a stop that arrives before it has no effect. Given a start and a
+        // stop together, the worker keeps the attempt as exited, so the late start has no effect. Both are sent only in
+        // the first half of the time after which the machine is released for holding cancelled work.
         val cancelledAt = attempt.job.cancelledAt
-        val inTime = cancelledAt == null || now < cancelledAt + timing.cancelPatienceMs / 2
-        if (attempt.id in machine.unresolvedStarts && inTime) {
+        val isEarlyEnough = cancelledAt == null || now < cancelledAt + timing.cancelPatienceMs / 2
+        if (attempt.id in machine.unresolvedStarts && isEarlyEnough) {
             result.add(WorkerCommand.Start(attempt.id))
             result.add(WorkerCommand.Stop(attempt.id, 0.0))
         }
     }
 
-    private fun stopOf(
+    private fun stopCommand(
         attempt: TaskAttempt,
         reported: TaskStatus,
     ): WorkerCommand? {
         val spec = attempt.job.spec
         if (attempt.job.phase != Phase.ACTIVE) return WorkerCommand.Stop(attempt.id, 0.0)
+        // The worker is stopping the attempt already.
         if (reported.state == TaskState.SAVING) return null
         return WorkerCommand.Stop(attempt.id, if (spec.savesWork) spec.saveS else 0.0)
     }
 
-    /** Forgetting makes a repeated start effective again, so no start of the attempt may be on its way. */
+    /**
+     * Whether the worker may forget an exited attempt. Afterwards another start would run the attempt again, so no
+     * start of it may be in flight, and no stored record may have it.
+     */
     private fun mayForget(
         machine: Machine,
         attempt: AttemptId,
     ): Boolean {
         if (attempt in machine.unresolvedStarts || attempt in machine.directStartsInFlight) return false
         val job = cluster.jobs[attempt.task.job] ?: return true
-        return !job.isStored(attempt)
+        return !job.mayBeStored(attempt)
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -21,12 +21,12 @@
     private val decisions: DecisionContext,
     private val checks: CommandChecks,
 ) {
-    /** Sends what [ClusterState.pendingPushes] asks for. */
+    /** Sends what [ClusterState.commandQueue] asks for. */
     fun flush(now: Long) {
-        if (cluster.pendingPushes.isEmpty()) return
-        for (id in cluster.pendingPushes.toList()) {
+        if (cluster.commandQueue.isEmpty()) return
+        for (id in cluster.commandQueue.toList()) {
             val machine = cluster.machines[id]
-            if (machine == null || commandDirectly(machine, now)) cluster.pendingPushes.remove(id)
+            if (machine == null || commandDirectly(machine, now)) cluster.commandQueue.remove(id)
         }
     }
 
@@ -37,7 +37,7 @@
     ): Boolean {
         val endpoint = machine.endpoint ?: return true
         val lastContactAt = machine.lastContactAt ?: return true
-        if (!machine.isSettled(cluster.token) ||
+        if (!machine.hasAcknowledgedToken(cluster.token) ||
             now - lastContactAt > timing.heartbeatLateMs ||
             now < machine.nextDirectCommandAt
         ) {
@@ -48,12 +48,12 @@
             if (decisions.mayLead) {
                 checks.storedOnly(machine, cluster.commands(machine, now))
             } else {
-                cluster.cancelledStops(machine)
+                cluster.stopsForCancelledJobs(machine)
             }
         if (commands.all { it is WorkerCommand.Forget }) return true
         machine.isDirectCommandInFlight = true
         machine.directStartsInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
-        for (attempt in machine.directStartsInFlight) machine.attempts[attempt]?.sentDirectly(now)
+        for (attempt in machine.directStartsInFlight) machine.attempts[attempt]?.markStartSent(now)
         workers.command(endpoint, cluster.token, machine.position.incarnation, commands) { outcome ->
             onOutcome(machine, outcome)
         }
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -135,12 +135,12 @@
         if (!decisions.mayLead) return emptyList()
         val position = HeartbeatPosition(heartbeat.incarnation, heartbeat.sequence)
         // The answer to a duplicate goes nowhere; it must not look as if the worker had been told.
-        if (position < machine.lastHeartbeat) return emptyList()
+        if (position < machine.lastHeartbeatPosition) return emptyList()
         val commands = checks.storedOnly(machine, cluster.commands(machine, clock.steadyMs()))
         if (position == machine.position) checks.requireStops(heartbeat, commands)
         for (command in commands) {
             if (command !is WorkerCommand.Start) continue
-            machine.attempts[command.attempt]?.sentInAnswer(position, clock.steadyMs())
+            machine.attempts[command.attempt]?.markStartSentInAnswer(position, clock.steadyMs())
         }
         return commands
     }
@@ -156,7 +156,7 @@
         scaler.tick(types)
         planning.tick(types, now)
         flush()
-        cluster.forgetFinished(cache)
+        cluster.removeFinishedJobs(cache)
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -124,7 +124,7 @@
     ) {
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
         val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
-        if (mayBeOver) cluster.expire(machine, now)
+        if (mayBeOver) cluster.expireLease(machine, now)
         val isPartitioned = liveness.isPartitioned(machine.zone)
         val patienceMs = if (isPartitioned) timing.partitionPatienceMs else timing.cancelPatienceMs
         for (attempt in machine.attempts.values) {
--- a/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
+++ b/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
@@ -43,14 +43,14 @@
         types: Map<TypeName, MachineType>,
         now: Long,
     ) {
-        if (types.isNotEmpty() && (now >= nextRoundAt || (cluster.planWanted && now >= nextPlanAt))) plan(types, now)
+        if (types.isNotEmpty() && (now >= nextRoundAt || (cluster.needsReplan && now >= nextPlanAt))) plan(types, now)
     }
 
     private fun plan(
         types: Map<TypeName, MachineType>,
         now: Long,
     ) {
-        cluster.planWanted = false
+        cluster.needsReplan = false
         val began = clock.nanoTime()
         val mayMove = now >= nextMoveAt
         val snapshot = round.snapshot(types, mayMove)
@@ -82,7 +82,7 @@
         waitingTasks = plan.unplaced
         // On a large fleet plans take long: they may take a part of the time only, or nobody else is answered.
         nextPlanAt = now + maxOf(timing.planGapMs, elapsedNs / NS_PER_MS * PLAN_RESTS)
-        val soon = plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.holdUntil }
+        val soon = plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.backoffUntil }
         nextRoundAt = now + if (soon) timing.replanSoonMs else (settings.policy.replanS * 1000).toLong()
     }
 
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -114,7 +114,7 @@
                     if (now > order.orderedAt + timing.orderPatienceMs) pendingOrders.remove(order)
                 }
             }
-            cluster.planWanted = true
+            cluster.needsReplan = true
         }
     }
 
@@ -162,7 +162,7 @@
             isListing = false
             nextListAt = clock.steadyMs() + if (machines == null) timing.retryMs() * 2 else timing.machineListIntervalMs
             if (machines != null) {
-                if (!hasInventory) cluster.planWanted = true
+                if (!hasInventory) cluster.needsReplan = true
                 hasInventory = true
                 applyList(machines, askedAt, types)
             }
@@ -179,7 +179,7 @@
         for (listed in machines) {
             present.add(listed.id)
             val machine = cluster.machine(listed.id) ?: continue
-            if (machine.listed == null) cluster.planWanted = true
+            if (machine.listed == null) cluster.needsReplan = true
             machine.listed = listed.state
             machine.listedAt = now
             if (machine.type == null) {
--- a/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
@@ -23,7 +23,7 @@
         zoneUses: ZoneUses,
         now: Long,
     ): PlanJob? {
-        if (job.phase != Phase.ACTIVE || now < job.holdUntil) return null
+        if (job.phase != Phase.ACTIVE || now < job.backoffUntil) return null
         val readyMs = job.readyMs ?: return null
         // A gang starts again only as a whole: what is left of it ends by itself when its mates are gone.
         if (job.spec.kind == JobKind.GANG && job.attempts.isNotEmpty()) return null
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -137,7 +137,7 @@
             cluster.place(job, start.task, machine)
             touched.add(job)
         }
-        for (job in touched) job.nextRound()
+        for (job in touched) job.advanceAttemptNumber()
         for (id in plan.stops) {
             val attempt = attemptOf(id) ?: continue
             cluster.stop(attempt, StopReason.PREEMPTED, plan.targets[id])
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -50,7 +50,7 @@
 import java.util.BitSet
 import kotlin.random.Random
 
-/** When an attempt is gone, and when it only seems so. */
+/** Covers which events prove that an attempt is gone, and which commands the leader sends in each state. */
 internal class ClusterStateTest {
     private val clock = ManualClock()
     private val settings = SettingsFile.parse(SampleSettings.valid, Policy())
@@ -64,7 +64,7 @@
 
     private fun record(
         phase: Phase = Phase.ACTIVE,
-        placed: Boolean = true,
+        hasPlacement: Boolean = true,
         write: String = "w",
     ) = JobRecord(
         spec,
@@ -72,11 +72,11 @@
         phase,
         BitSet(),
         2,
-        if (placed) mapOf(0 to Placement(machine, 1)) else emptyMap(),
+        if (hasPlacement) mapOf(0 to Placement(machine, 1)) else emptyMap(),
         write,
     )
 
-    private fun take(
+    private fun applyStored(
         record: JobRecord,
         version: Long,
     ) {
@@ -87,10 +87,10 @@
 
     private val job: Job get() = cluster.jobs.getValue(spec.id)
 
-    private fun report(
+    private fun heartbeat(
         sequence: Long,
         incarnation: Long = 1,
-        seen: FencingToken = token,
+        shownToken: FencingToken = token,
         tasks: List<TaskStatus> = emptyList(),
     ) = WorkerHeartbeat(
         machine,
@@ -100,14 +100,14 @@
         false,
         incarnation,
         sequence,
-        seen,
+        shownToken,
         null,
         tasks,
     )
 
-    private fun Job.begin(write: String): JobRecord = record(write).also { beginWrite(it, emptyList()) }
+    private fun Job.startWrite(writeId: String): JobRecord = record(writeId).also { beginWrite(it, emptyList()) }
 
-    private fun hello(report: WorkerHeartbeat) = cluster.applyHeartbeat(report, isHeartbeat = true)
+    private fun receive(heartbeat: WorkerHeartbeat) = cluster.applyHeartbeat(heartbeat, isHeartbeat = true)
 
     private fun task(
         state: TaskState,
@@ -116,12 +116,12 @@
 
     private fun commands() = cluster.commands(cluster.machines.getValue(machine), clock.now)
 
-    private val isHeld: Boolean get() = 0 in job.attempts
+    private val hasAttempt: Boolean get() = 0 in job.attempts
 
     @Test
-    fun `a job that waits for others is never placed`() {
+    fun `a job whose predecessors are not done is never placed`() {
         var state = DependencyState.WAITING
-        val waiting =
+        val dependencyCluster =
             ClusterState(
                 token,
                 clock,
@@ -132,37 +132,39 @@
                 },
                 invariants = failingInvariants,
             )
-        val needy = spec.copy(dependsOn = listOf(JobId("run-needed")))
-        val value = Cbor.decode(Cbor.encode(JobRecord(needy, 0, Phase.ACTIVE, BitSet(), 1, emptyMap(), "w").encode()))
-        waiting.applyJob(spec.id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 0, value), value)
-        val host = waiting.machine(machine) ?: error("it is there")
-        val needyJob = waiting.jobs.getValue(spec.id)
-        assertThrows(IllegalStateException::class.java) { waiting.place(needyJob, 0, host) }
+        val dependentSpec = spec.copy(dependsOn = listOf(JobId("run-needed")))
+        val value =
+            Cbor.decode(Cbor.encode(JobRecord(dependentSpec, 0, Phase.ACTIVE, BitSet(), 1, emptyMap(), "w").encode()))
+        dependencyCluster.applyJob(spec.id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 0, value), value)
+        val host = dependencyCluster.machine(machine) ?: error("the machine was removed")
+        val dependentJob = dependencyCluster.jobs.getValue(spec.id)
+        assertThrows(IllegalStateException::class.java) { dependencyCluster.place(dependentJob, 0, host) }
         state = DependencyState.READY
-        waiting.onDependencyChanged(spec.id)
-        waiting.place(needyJob, 0, host)
-        assertEquals(setOf(0), needyJob.attempts.keys)
+        dependencyCluster.onDependencyChanged(spec.id)
+        dependencyCluster.place(dependentJob, 0, host)
+        assertEquals(setOf(0), dependentJob.attempts.keys)
     }
 
     @Test
-    fun `an inherited attempt is believed in until the worker shows our token without it`() {
-        take(record(phase = Phase.CANCELLED), 7)
-        hello(report(1, seen = FencingToken(4)))
-        assertTrue(isHeld, "an earlier leader's start may still be on its way")
-        hello(report(2, seen = token))
-        assertFalse(isHeld)
+    fun `an inherited attempt is kept until a heartbeat with the current token lacks it`() {
+        applyStored(record(phase = Phase.CANCELLED), 7)
+        receive(heartbeat(1, shownToken = FencingToken(4)))
+        assertTrue(hasAttempt, "an earlier leader's start may still be in flight")
+        receive(heartbeat(2, shownToken = token))
+        assertFalse(hasAttempt)
     }
 
     @Test
-    fun `a task whose end the former leader didn't store isn't started again beyond its team's limit`() {
-        // Found by the simulation: it had given the room away, which was stored, and ended before it stored the end.
+    fun `an inherited attempt whose end the former leader didn't store isn't started again beyond the team's quota`() {
+        // The former leader saw the task end and gave its quota to another task. That placement was stored, but the
+        // leader terminated before it stored the end. Found by the simulation.
         class Case(
             val maxGpus: Double,
             val isStarted: Boolean,
         )
         for (case in listOf(Case(1.5, isStarted = false), Case(2.0, isStarted = true))) {
             val team = Team(spec.team, 0.0, 1e9, 0.0, spec.gpus * case.maxGpus)
-            val here =
+            val quotaState =
                 ClusterState(
                     token,
                     clock,
@@ -183,270 +185,282 @@
                         "w-$id",
                     )
                 val value = Cbor.decode(Cbor.encode(stored.encode()))
-                here.applyJob(id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 1, value), value)
+                quotaState.applyJob(id, CachedJob(Phase.ACTIVE, 1, spec.tasks, 0, 1, value), value)
             }
             val other = TaskStatus(AttemptId(TaskId(JobId("run-000999"), 0), 1), TaskState.RUNNING, null, false)
             val start = WorkerCommand.Start(attempt)
-            here.applyHeartbeat(report(1, seen = FencingToken(4), tasks = listOf(other)), isHeartbeat = true)
-            val host = here.machines.getValue(machine)
-            assertEquals(case.isStarted, start in here.commands(host, clock.now), "limit of ${case.maxGpus}, at once")
-            here.applyHeartbeat(report(2, tasks = listOf(other)), isHeartbeat = true)
-            assertEquals(case.isStarted, attempt in host.attempts, "limit of ${case.maxGpus}, settled")
+            quotaState.applyHeartbeat(
+                heartbeat(1, shownToken = FencingToken(4), tasks = listOf(other)),
+                isHeartbeat = true,
+            )
+            val host = quotaState.machines.getValue(machine)
+            assertEquals(
+                case.isStarted,
+                start in quotaState.commands(host, clock.now),
+                "quota of ${case.maxGpus} tasks, earlier token",
+            )
+            quotaState.applyHeartbeat(heartbeat(2, tasks = listOf(other)), isHeartbeat = true)
+            assertEquals(case.isStarted, attempt in host.attempts, "quota of ${case.maxGpus} tasks, current token")
             assertTrue(other.attempt in host.attempts)
         }
     }
 
     @Test
-    fun `silence, young lists and copies of old reports prove nothing`() {
-        take(record(), 7)
-        hello(report(10, tasks = listOf(task(TaskState.RUNNING))))
-        hello(report(9))
-        assertTrue(isHeld, "an older report lacks it")
+    fun `missing heartbeats and late copies of old heartbeats remove no attempt before the lease expires`() {
+        applyStored(record(), 7)
+        receive(heartbeat(10, tasks = listOf(task(TaskState.RUNNING))))
+        receive(heartbeat(9))
+        assertTrue(hasAttempt, "a heartbeat older than the newest one lacks the attempt")
         clock.now += timing.workerLeaseRawMs - 100
-        assertFalse(cluster.expire(cluster.machines.getValue(machine), clock.now))
-        hello(report(8))
+        assertFalse(cluster.expireLease(cluster.machines.getValue(machine), clock.now))
+        receive(heartbeat(8))
         clock.now += timing.workerExpiryMs - timing.workerLeaseRawMs + 100
-        assertTrue(cluster.expire(cluster.machines.getValue(machine), clock.now), "a copy renews nothing")
-        assertFalse(isHeld)
-        assertFalse(hello(report(11, tasks = listOf(task(TaskState.RUNNING)))) == null)
+        assertTrue(
+            cluster.expireLease(cluster.machines.getValue(machine), clock.now),
+            "a late copy of a heartbeat renews no lease",
+        )
+        assertFalse(hasAttempt)
+        assertFalse(receive(heartbeat(11, tasks = listOf(task(TaskState.RUNNING)))) == null)
         assertEquals(
             emptyMap<AttemptId, TaskStatus>(),
             cluster.machines.getValue(machine).tasks,
-            "that incarnation is over",
+            "the incarnation has ended, so its reports are ignored",
         )
     }
 
     @Test
-    fun `a incarnation that a direct answer shows has a lease of its own`() {
-        take(record(placed = false), 7)
-        hello(report(1))
+    fun `an incarnation first seen in the answer to a direct command has a lease of its own`() {
+        applyStored(record(hasPlacement = false), 7)
+        receive(heartbeat(1))
         val host = cluster.machines.getValue(machine)
         clock.now += timing.workerLeaseRawMs - 1_000
-        // It heard none of our last answers, so its incarnation ended, and the next one began without a report to us.
-        cluster.applyHeartbeat(report(2, incarnation = 2), isHeartbeat = false)
+        // No recent answer reached the worker, so its incarnation ended. The next one has sent no heartbeat here.
+        cluster.applyHeartbeat(heartbeat(2, incarnation = 2), isHeartbeat = false)
         cluster.place(job, 0, host)
-        job.written(job.begin("w2"), 8)
+        job.completeWrite(job.startWrite("w2"), 8)
         val started = AttemptId(TaskId(spec.id, 0), 2)
         val running = TaskStatus(started, TaskState.RUNNING, null, false)
-        cluster.applyHeartbeat(report(3, incarnation = 2, tasks = listOf(running)), isHeartbeat = false)
+        cluster.applyHeartbeat(heartbeat(3, incarnation = 2, tasks = listOf(running)), isHeartbeat = false)
         clock.now += 2_000
-        cluster.expire(host, clock.now)
-        assertTrue(isHeld, "the new incarnation's lease is not over, and the task runs")
+        cluster.expireLease(host, clock.now)
+        assertTrue(hasAttempt, "the new incarnation's lease hasn't expired, and the task runs")
         clock.now += timing.workerExpiryMs
-        assertTrue(cluster.expire(host, clock.now), "a lease after it was shown, it is")
-        assertFalse(isHeld)
+        assertTrue(cluster.expireLease(host, clock.now), "a lease's time after the incarnation was first seen")
+        assertFalse(hasAttempt)
     }
 
     @Test
-    fun `the end of a lease proves nothing while another token may have renewed it`() {
-        take(record(), 7)
-        hello(report(10, seen = FencingToken(4), tasks = listOf(task(TaskState.RUNNING))))
+    fun `an expired lease proves nothing while a controller with another token may have renewed it`() {
+        applyStored(record(), 7)
+        receive(heartbeat(10, shownToken = FencingToken(4), tasks = listOf(task(TaskState.RUNNING))))
         clock.now += timing.workerExpiryMs * 3
-        assertFalse(cluster.expire(cluster.machines.getValue(machine), clock.now))
-        assertTrue(isHeld)
+        assertFalse(cluster.expireLease(cluster.machines.getValue(machine), clock.now))
+        assertTrue(hasAttempt)
     }
 
     @Test
-    fun `a machine that the cloud took back takes its attempts along, and late reports of it don't count`() {
-        take(record(), 7)
-        hello(report(1, tasks = listOf(task(TaskState.RUNNING))))
+    fun `the attempts of a released machine are removed, and late heartbeats of its worker are ignored`() {
+        applyStored(record(), 7)
+        receive(heartbeat(1, tasks = listOf(task(TaskState.RUNNING))))
         cluster.removeMachine(machine, RemovalReason.RELEASED)
-        assertFalse(isHeld)
-        assertEquals(null, hello(report(2, tasks = listOf(task(TaskState.RUNNING)))))
+        assertFalse(hasAttempt)
+        assertEquals(null, receive(heartbeat(2, tasks = listOf(task(TaskState.RUNNING)))))
     }
 
     @Test
-    fun `a direct start that wasn't answered counts as possibly there until a new incarnation`() {
-        take(record(), 7)
-        hello(report(1))
+    fun `an unanswered direct start may be executed until the worker has a new incarnation`() {
+        applyStored(record(), 7)
+        receive(heartbeat(1))
         val host = cluster.machines.getValue(machine)
         host.unresolvedStarts.add(attempt)
-        take(record(phase = Phase.CANCELLED), 8)
-        hello(report(2))
-        assertTrue(isHeld)
+        applyStored(record(phase = Phase.CANCELLED), 8)
+        receive(heartbeat(2))
+        assertTrue(hasAttempt)
         assertEquals(
             listOf(WorkerCommand.Start(attempt), WorkerCommand.Stop(attempt, 0.0)),
             commands(),
-            "started and stopped at once, the attempt stays known and the late copy has no effect",
+            "with a start and a stop the worker keeps the attempt as exited, so a late start has no effect",
         )
-        hello(report(3, tasks = listOf(task(TaskState.EXITED, ExitCause.STOPPED))))
-        assertFalse(isHeld)
-        assertEquals(emptyList<WorkerCommand>(), commands(), "never forgotten while a start may be on its way")
-        hello(report(1, incarnation = 2))
+        receive(heartbeat(3, tasks = listOf(task(TaskState.EXITED, ExitCause.STOPPED))))
+        assertFalse(hasAttempt)
+        assertEquals(emptyList<WorkerCommand>(), commands(), "not forgotten while a start may be in flight")
+        receive(heartbeat(1, incarnation = 2))
         assertEquals(0, host.unresolvedStarts.size)
     }
 
     @Test
-    fun `a task is done once, and forgotten only after that is stored`() {
-        take(record(), 7)
-        hello(report(1, tasks = listOf(task(TaskState.EXITED, ExitCause.DONE))))
+    fun `a done task is recorded once, and its attempt is forgotten only after the record is stored`() {
+        applyStored(record(), 7)
+        receive(heartbeat(1, tasks = listOf(task(TaskState.EXITED, ExitCause.DONE))))
         assertEquals(1, job.done.cardinality())
-        assertEquals(emptyList<WorkerCommand>(), commands(), "its record still names it")
-        job.written(job.begin("w2"), 8)
+        assertEquals(emptyList<WorkerCommand>(), commands(), "the stored record still has the attempt")
+        job.completeWrite(job.startWrite("w2"), 8)
         assertEquals(listOf(WorkerCommand.Forget(attempt)), commands())
     }
 
     @Test
-    fun `a refused start is an exit of the attempt, not of the task`() {
+    fun `an exit without success ends the attempt, and the task stays pending`() {
         for (cause in listOf(ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN, ExitCause.ERROR, ExitCause.STOPPED)) {
             val fresh = ClusterStateTest()
-            fresh.take(fresh.record(), 7)
-            fresh.hello(fresh.report(1, tasks = listOf(fresh.task(TaskState.EXITED, cause))))
-            assertFalse(fresh.isHeld, cause.name)
+            fresh.applyStored(fresh.record(), 7)
+            fresh.receive(fresh.heartbeat(1, tasks = listOf(fresh.task(TaskState.EXITED, cause))))
+            assertFalse(fresh.hasAttempt, cause.name)
             assertEquals(0, fresh.job.done.cardinality(), cause.name)
             assertTrue(0 in fresh.job.pendingTasks(10), cause.name)
         }
     }
 
     @Test
-    fun `what isn't ours any more is stopped at once`() {
-        take(record(placed = false), 7)
-        hello(report(1, tasks = listOf(task(TaskState.RUNNING))))
+    fun `a reported attempt that the leader doesn't have is stopped at once`() {
+        applyStored(record(hasPlacement = false), 7)
+        receive(heartbeat(1, tasks = listOf(task(TaskState.RUNNING))))
         assertEquals(listOf(WorkerCommand.Stop(attempt, 0.0)), commands())
     }
 
     @Test
-    fun `a start waits for its commit`() {
-        take(record(placed = false), 7)
-        hello(report(1))
+    fun `a start isn't sent before its attempt is committed`() {
+        applyStored(record(hasPlacement = false), 7)
+        receive(heartbeat(1))
         cluster.place(job, 0, cluster.machines.getValue(machine))
         assertEquals(emptyList<WorkerCommand>(), commands())
-        job.written(job.begin("w2"), 8)
+        job.completeWrite(job.startWrite("w2"), 8)
         assertEquals(listOf(WorkerCommand.Start(AttemptId(TaskId(spec.id, 0), 2))), commands())
     }
 
     @Test
-    fun `our own final record seen by the watch is not a foreign cancellation`() {
-        // Found on the bench (went_back): the event of a job's last write came before the answer to it.
-        take(record(), 7)
-        hello(report(1, tasks = listOf(task(TaskState.EXITED, ExitCause.DONE))))
+    fun `the leader's own final record, seen by the watch before the write's answer, is not a cancellation`() {
+        // The event of a job's last write came before the answer to it. Found on the bench (went_back).
+        applyStored(record(), 7)
+        receive(heartbeat(1, tasks = listOf(task(TaskState.EXITED, ExitCause.DONE))))
         for (index in 1 until spec.tasks) job.markDone(index, clock.now)
-        val written = job.begin("w2")
-        take(written, 8)
+        val finalRecord = job.startWrite("w2")
+        applyStored(finalRecord, 8)
         assertEquals(Phase.DONE, job.phase)
-        job.written(written, 8)
+        job.completeWrite(finalRecord, 8)
         assertEquals(Phase.DONE, job.phase)
     }
 
     @Test
-    fun `a cancellation by another controller wins over our unwritten end`() {
-        take(record(), 7)
-        hello(report(1, tasks = listOf(task(TaskState.EXITED, ExitCause.DONE))))
+    fun `a cancellation by another controller wins over an end of the job that the leader hasn't written`() {
+        applyStored(record(), 7)
+        receive(heartbeat(1, tasks = listOf(task(TaskState.EXITED, ExitCause.DONE))))
         for (index in 1 until spec.tasks) job.markDone(index, clock.now)
-        take(record(phase = Phase.CANCELLED), 8)
+        applyStored(record(phase = Phase.CANCELLED), 8)
         assertEquals(Phase.CANCELLED, job.phase)
     }
 
     @Test
-    fun `a late write of ours that was applied after all counts over what we planned since`() {
-        take(record(placed = false), 7)
-        hello(report(1))
-        job.notWritten(job.begin("w2"), clock.now)
-        take(record(write = "late"), 8)
-        assertTrue(isHeld)
+    fun `the leader's own unanswered write that is applied late replaces what it placed since`() {
+        applyStored(record(hasPlacement = false), 7)
+        receive(heartbeat(1))
+        job.requeueWrite(job.startWrite("w2"), clock.now)
+        applyStored(record(write = "late"), 8)
+        assertTrue(hasAttempt)
         assertEquals(1, job.attempts.getValue(0).number)
         assertTrue(attempt in cluster.machines.getValue(machine).attempts)
     }
 
     @Test
-    fun `errors suspect the machine first, and the job when it fails on several`() {
-        val host = cluster.machine(machine) ?: error("new")
-        take(record(), 7)
+    fun `errors of several jobs quarantine a machine, and errors on several machines delay a job`() {
+        val host = cluster.machine(machine) ?: error("the machine was removed")
+        applyStored(record(), 7)
         FailureBackoff.onError(host, job, clock.now, timing)
         assertFalse(host.isQuarantined)
-        assertEquals(0, job.holdUntil)
+        assertEquals(0, job.backoffUntil)
         host.failedJobs.add("another")
         FailureBackoff.onError(host, job, clock.now, timing)
         assertTrue(host.isQuarantined)
-        val pauses =
+        val delays =
             (2..6).map { index ->
                 FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
-                maxOf(0, job.holdUntil - clock.now)
+                maxOf(0, job.backoffUntil - clock.now)
             }
-        assertEquals(0, pauses.first(), "two machines don't make it the job's fault")
-        assertEquals(pauses.sorted(), pauses, "the pause grows")
-        assertTrue(pauses.last() > pauses[1])
+        assertEquals(0, delays.first(), "errors on two machines don't delay the job")
+        assertEquals(delays.sorted(), delays, "the delay grows")
+        assertTrue(delays.last() > delays[1])
         for (index in 7..30) FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
-        val longest = maxOf(job.holdUntil - clock.now, timing.avoidMs)
-        assertTrue(longest <= 75_000, "after the trouble it would be left waiting for $longest ms beside free room")
+        val longest = maxOf(job.backoffUntil - clock.now, timing.avoidMs)
+        assertTrue(longest <= 75_000, "with the errors over, the job would wait $longest ms despite free resources")
     }
 
     @Test
-    fun `a silent machine that can't be had again is given up only where there is room`() {
+    fun `the tasks of a silent machine fit elsewhere only if responding machines have room for them`() {
+        // A silent machine of a kind that the cloud can't provide again is released only if its tasks fit elsewhere.
         val type = MachineType(TypeName("g8"), 64.0, spec.gpus, 256.0, 200.0, 2.0, 20.0, 8.0, 30.0, listOf(Zone("a")))
         val types = mapOf(type.name to type)
-        val names = RequestIds(Member("n0", "x"))
-        val rentals =
-            MachineScaler(names, settings, NoCloud, clock, timing, TokenBucket(1.0), cluster, permissiveContext)
-        val planning =
-            SchedulingRound(settings, clock, timing, cluster, rentals, clock.now) { WritableFormat.SINGLE_VALUE }
-        take(record(), 1)
+        val requestIds = RequestIds(Member("n0", "x"))
+        val scaler =
+            MachineScaler(requestIds, settings, NoCloud, clock, timing, TokenBucket(1.0), cluster, permissiveContext)
+        val round =
+            SchedulingRound(settings, clock, timing, cluster, scaler, clock.now) { WritableFormat.SINGLE_VALUE }
+        applyStored(record(), 1)
         cluster.applyHeartbeat(
-            report(1, tasks = listOf(TaskStatus(attempt, TaskState.RUNNING, null, false))),
+            heartbeat(1, tasks = listOf(TaskStatus(attempt, TaskState.RUNNING, null, false))),
             isHeartbeat = true,
         )
         val silent = cluster.machines.getValue(machine)
         clock.now += timing.suspectMs
-        assertFalse(planning.hasRoomFor(listOf(silent), types), "it is the only one")
+        assertFalse(round.hasRoomFor(listOf(silent), types), "there is no other machine")
         for (name in listOf("host-000002", "host-000003")) {
-            cluster.applyHeartbeat(report(1).copy(machine = MachineId(name)), isHeartbeat = true)
+            cluster.applyHeartbeat(heartbeat(1).copy(machine = MachineId(name)), isHeartbeat = true)
         }
-        assertTrue(planning.hasRoomFor(listOf(silent), types))
+        assertTrue(round.hasRoomFor(listOf(silent), types))
         clock.now += timing.heartbeatLateMs + 1
-        assertFalse(planning.hasRoomFor(listOf(silent), types), "the others are silent too")
+        assertFalse(round.hasRoomFor(listOf(silent), types), "the other machines are silent too")
     }
 
     @Test
-    fun `a cancellation counts from when its user was told, whoever leads since`() {
-        // Found on the bench: a leader elected during a cut counted the time allowed from its own start.
-        val told = record(Phase.CANCELLED)
-        val value = Cbor.decode(Cbor.encode(told.encode() + (JobRecord.CANCELLED_AT to clock.now - 12_000)))
-        cluster.applyJob(spec.id, CachedJob(told.phase, 1, spec.tasks, 0, 1, value), value)
+    fun `the time allowed for a cancellation counts from its confirmation, whichever controller leads since`() {
+        // A leader elected during a partition counted the time allowed from its own start. Found on the bench.
+        val cancelled = record(Phase.CANCELLED)
+        val value = Cbor.decode(Cbor.encode(cancelled.encode() + (JobRecord.CANCELLED_AT to clock.now - 12_000)))
+        cluster.applyJob(spec.id, CachedJob(cancelled.phase, 1, spec.tasks, 0, 1, value), value)
         assertEquals(clock.now - 12_000, job.cancelledAt)
-        assertEquals(clock.now - 12_000, job.begin("w2").cancelledMs)
+        assertEquals(clock.now - 12_000, job.startWrite("w2").cancelledMs)
     }
 
     @Test
-    fun `silence is a cut where it is a zone's, and a machine's own elsewhere`() {
+    fun `a zone is partitioned if many of its machines are silent, and a silent machine is suspect otherwise`() {
         class Case(
             val name: String,
-            val heardMs: List<Long?>,
-            val isCut: Boolean,
+            val msSinceContact: List<Long?>,
+            val isPartitioned: Boolean,
             val suspects: Int,
         )
 
         val silent = timing.suspectMs + 1
         val cases =
             listOf(
-                Case("all heard", listOf(0, 500, 900, 100, 0, 0), false, 0),
+                Case("all respond", listOf(0, 500, 900, 100, 0, 0), false, 0),
                 Case("a few hang", listOf(silent, silent, 0, 0, 0, 0), false, 2),
-                Case("the first of a cut", listOf(silent) + List(5) { timing.zonePartitionSilenceMs + 1 }, true, 1),
-                Case("behind a cut since before this leader", List(6) { null }, true, 0),
-                Case("one alone", listOf(silent), false, 1),
+                Case("a partition begins", listOf(silent) + List(5) { timing.zonePartitionSilenceMs + 1 }, true, 1),
+                Case("partitioned since before this leader's term", List(6) { null }, true, 0),
+                Case("a zone's only machine", listOf(silent), false, 1),
             )
         for (case in cases) {
             val hosts =
-                case.heardMs.mapIndexed { index, ago ->
+                case.msSinceContact.mapIndexed { index, ago ->
                     Machine(MachineId("host-$index"), 0).apply {
                         zone = Zone("a")
                         listed = MachineState.RUNNING
                         lastContactAt = ago?.let { clock.now - it }
                     }
                 }
-            val heartbeats = ZoneLiveness(hosts, timing, clock.now - silent, clock.now)
-            assertEquals(case.isCut, heartbeats.isPartitioned(Zone("a")), case.name)
-            assertEquals(case.suspects, heartbeats.suspects.size, case.name)
+            val liveness = ZoneLiveness(hosts, timing, clock.now - silent, clock.now)
+            assertEquals(case.isPartitioned, liveness.isPartitioned(Zone("a")), case.name)
+            assertEquals(case.suspects, liveness.suspects.size, case.name)
         }
     }
 
     @Test
-    fun `tasks on a machine of which nothing is known yet count in every zone`() {
-        // Found by the simulation: a new leader left them out, and more than half of a spread job came into one zone.
-        take(record(), 1)
+    fun `tasks on a machine whose zone is not known yet count in every zone`() {
+        // A new leader left such tasks out, and placed more than half of a spread job in one zone. Found by the
+        // simulation.
+        applyStored(record(), 1)
         val uses = ZoneUses(cluster, settings.zones)
         assertEquals(settings.zones.associateWith { 1 }, uses.of(job))
         assertFalse(uses.isKnown(job))
-        hello(report(1))
+        receive(heartbeat(1))
         val known = ZoneUses(cluster, settings.zones)
         assertEquals(mapOf(cluster.machines.getValue(machine).zone to 1), known.of(job))
         assertTrue(known.isKnown(job))
