--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -109,7 +109,7 @@
         return attempt
     }
 
-    /** Called after each scheduling round: tasks placed in one round share an attempt number, for a short record. */
+    /** Called after each scheduling round. Tasks placed in one round share a number, which keeps the record short. */
     fun advanceAttemptNumber() {
         nextAttempt++
     }
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -25,7 +25,7 @@
     var spot = false
     var endpoint: Address? = null
 
-    /** The state in the newest machine list of the cloud; null: no list has had the machine. */
+    /** The state in the newest of the cloud's lists that had the machine; null: none has had it. */
     var listed: MachineState? = null
     var listedAt = 0L
     var rentedAt = firstSeenAt
@@ -34,7 +34,7 @@
     var position = HeartbeatPosition(0, 0)
     var lastHeartbeatPosition = HeartbeatPosition(0, 0)
 
-    /** The fencing token in the worker's newest message, the highest that the worker had seen. */
+    /** The fencing token in the worker's newest message: the highest that the worker had seen by then. */
     var token = FencingToken(0)
     var tasks: Map<AttemptId, TaskStatus> = emptyMap()
     var lastContactAt: Long? = null
@@ -44,13 +44,13 @@
     /** The lease of the worker's last incarnation expired, and no message of a later one has come since. */
     var isLeaseExpired = false
 
-    /** When the cloud takes the machine back, if it has given notice. */
+    /** When the cloud takes the machine back; null if it has given no notice. */
     var noticeUntil: Long? = null
     var idleSince: Long? = null
     var isReleasing = false
     var isQuarantined = false
 
-    /** The machine's tasks are being moved to other machines, so that it can be released. */
+    /** The machine's tasks are being moved to other machines, so that this one can be released. */
     var isDraining = false
 
     /** Until then nothing is placed here: the worker sends heartbeats, but answers and commands don't reach it. */
@@ -60,6 +60,8 @@
     val failedJobs = HashSet<String>()
 
     val attempts = LinkedHashMap<AttemptId, TaskAttempt>()
+
+    /** Images that the machine is assumed to have. */
     val images = LinkedHashSet<ImageName>()
 
     var directStartsInFlight: List<AttemptId> = emptyList()
--- a/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -22,8 +22,8 @@
     var isCommitted = false
 
     /**
-     * Taken over from a stored record, and not yet reported under the current token. Until the worker acknowledges that
-     * token, a start that an earlier leader sent may still arrive.
+     * Whether the attempt was taken over from a stored record and its worker hasn't reported it yet. Until the worker
+     * acknowledges the current token, a start that an earlier leader sent may still reach it.
      */
     var isInherited = false
 
@@ -31,7 +31,7 @@
     var workerState: TaskState? = null
     var runningSince = 0L
 
-    /** The heartbeat whose answer had a start; a newer heartbeat without the attempt shows that the start was lost. */
+    /** The heartbeat whose answer had the start; a newer one without the attempt shows that the start was lost. */
     var startSentInAnswerTo: HeartbeatPosition? = null
     private var startFirstSentAt: Long? = null
     var stopReason: StopReason? = null
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -42,8 +42,8 @@
     }
 
     /**
-     * The stops of cancelled jobs' attempts. A controller may send them without the right to decide, since the tasks of
-     * a cancelled job have to end whichever controller leads.
+     * The stops of cancelled jobs' attempts. A controller without a valid leadership lease may send them too, since the
+     * tasks of a cancelled job have to end whichever controller leads.
      */
     fun stopsForCancelledJobs(machine: Machine): List<WorkerCommand> =
         machine.attempts.values
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Whether most of the zone's machines send heartbeats. If not, releasing its machines would make things worse. */
+    /** Whether most of the zone's machines send heartbeats. If not, releasing machines would make an outage worse. */
     fun isMajorityAlive(zone: Zone?): Boolean = zones[zone]?.let { it.responding * 2 > it.expected } ?: false
 
     /** Whether so many of the zone's machines are silent that a partition is more likely than their failure. */
