--- a/src/main/kotlin/oxbowlug/cache/ChangeReads.kt
+++ b/src/main/kotlin/oxbowlug/cache/ChangeReads.kt
@@ -70,7 +70,7 @@
         isWatching = true
         val sentAt = clock.steadyMs()
         val from = target.revision
-        state.changes(Keys.ROOT, from, timing.watchMs) { outcome ->
+        state.changes(Keys.ROOT, from, timing.watchTimeoutMs) { outcome ->
             isWatching = false
             val isCaughtUp = target.accept(outcome, from, sentAt)
             nextWatchAt = clock.steadyMs() + if (isCaughtUp) watchGapMs() else timing.retryMs()
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -7,7 +7,7 @@
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.record.Member
 import oxbowlug.timing.Timing
@@ -71,7 +71,7 @@
         for ((machine, attempts) in attemptsByMachine(due)) probe(machine, attempts, now)
         val toRelease =
             due
-                .filter { now - it.confirmedAt > timing.enforceByReleaseLatestMs + rank * callMs }
+                .filter { now - it.confirmedAt > timing.enforceByReleaseAfterMs + rank * callMs }
                 .flatMapTo(LinkedHashSet()) { pending ->
                     pending.attempts.filter { (machine, attempts) -> !areProvenAbsent(machine, attempts, now) }.keys
                 }
@@ -83,8 +83,8 @@
         now: Long,
         rank: Int,
     ): Boolean {
-        val fromMs = if (isHandledByLeader(pending)) timing.enforceByReleaseLatestMs * 3 / 4 else timing.enforceAfterMs
-        return now - pending.confirmedAt >= fromMs + rank * timing.enforceStepMs
+        val fromMs = if (isHandledByLeader(pending)) timing.enforceByReleaseAfterMs * 3 / 4 else timing.enforceAfterMs
+        return now - pending.confirmedAt >= fromMs + rank * timing.enforceStaggerMs
     }
 
     /** All at once: asked about one job after the other, a machine that holds many would be asked about the first. */
@@ -100,7 +100,7 @@
         machine: MachineId,
         attempts: Set<AttemptId>,
         now: Long,
-    ): Boolean = machine in released || probes[machine]?.areAbsent(attempts, now - timing.suspectMs) ?: false
+    ): Boolean = machine in released || probes[machine]?.areAbsent(attempts, now - timing.suspectAfterMs) ?: false
 
     private fun probe(
         machine: MachineId,
@@ -145,7 +145,7 @@
         workers.command(endpoint, heartbeat.token, heartbeat.incarnation, commands) { outcome ->
             probe.isInFlight = false
             probe.nextProbeAt = clock.steadyMs()
-            if (outcome is DirectOutcome.Answered && presentAttempts(outcome.heartbeat, attempts).isEmpty()) {
+            if (outcome is CommandOutcome.Answered && presentAttempts(outcome.heartbeat, attempts).isEmpty()) {
                 probe.recordAbsence(attempts, clock.steadyMs())
                 probe.nextProbeAt = clock.steadyMs() + timing.heartbeatLateMs
             }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -31,7 +31,7 @@
         var knownUpToMs = Long.MIN_VALUE / 2
         var lastContactAt = 0L
         var senderMs = Long.MIN_VALUE
-        var mayConfirm = true
+        var mayConfirmCancellations = true
     }
 
     private val confirmationsByPeer = HashMap<String, PeerConfirmations>()
@@ -47,7 +47,7 @@
         val now = clock.steadyMs()
         val label = heartbeat.sender.label
         val present = confirmationsByPeer[label]
-        if (present != null && present.incarnation == heartbeat.sender && heartbeat.atMs < present.senderMs) return
+        if (present != null && present.incarnation == heartbeat.sender && heartbeat.sendTimeMs < present.senderMs) return
         val confirmations =
             if (present?.incarnation ==
                 heartbeat.sender
@@ -58,16 +58,16 @@
             }
         if (present != null && confirmations !== present) onRestarted(label, present, now)
         confirmations.lastContactAt = now
-        confirmations.senderMs = heartbeat.atMs
-        confirmations.mayConfirm = heartbeat.mayConfirm
+        confirmations.senderMs = heartbeat.sendTimeMs
+        confirmations.mayConfirmCancellations = heartbeat.mayConfirmCancellations
         val echo = heartbeat.echo
         // It wrote this after it had received our heartbeat of that time, and had confirmed nothing by then that we
         // don't know.
-        if (!heartbeat.hasUnacknowledged &&
+        if (!heartbeat.hasUnacknowledgedCancellations &&
             echo != null &&
             echo.leader == self
         ) {
-            confirmations.knownUpToMs = maxOf(confirmations.knownUpToMs, echo.atMs)
+            confirmations.knownUpToMs = maxOf(confirmations.knownUpToMs, echo.sendTimeMs)
         }
     }
 
@@ -80,13 +80,13 @@
         former: PeerConfirmations,
         now: Long,
     ) {
-        val wasCutOff = now - former.lastContactAt > timing.workerLeaseRawMs
-        if (former.mayConfirm && wasCutOff) uncertainAtByLabel[label] = now
+        val wasCutOff = now - former.lastContactAt > timing.workerLeaseTtlMs
+        if (former.mayConfirmCancellations && wasCutOff) uncertainAtByLabel[label] = now
     }
 
     /** Whether leases may be renewed here although the state service is out of reach. */
     fun mayRenewLeases(): Boolean {
-        val requiredFreshnessMs = clock.steadyMs() - timing.blindRenewalMs
+        val requiredFreshnessMs = clock.steadyMs() - timing.maxRenewalStalenessMs
         val readUpToMs = cache.freshAsOfMs
         if (readUpToMs >= requiredFreshnessMs) return true
         uncertainAtByLabel.values.removeIf { it <= readUpToMs }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -5,7 +5,7 @@
 import oxbowlug.cache.StateCache
 import oxbowlug.config.Settings
 import oxbowlug.membership.PeerHealth
-import oxbowlug.port.Acknowledgement
+import oxbowlug.port.CancellationAcknowledgement
 import oxbowlug.port.Cancellation
 import oxbowlug.port.CancellationListener
 import oxbowlug.port.CancellationNotice
@@ -42,7 +42,7 @@
     val allPending: Collection<PendingCancellation> get() = pendingById.values
 
     /** Whether the leader doesn't yet know of one that was confirmed here. */
-    fun hasUnacknowledged(): Boolean {
+    fun hasUnacknowledgedCancellations(): Boolean {
         val leader = cache.leadership?.leader ?: return false
         return leader != self &&
             pendingById.values.any { it.isConfirmedHere && !it.isTerminationProven && leader !in it.acknowledged }
@@ -87,13 +87,13 @@
         if (record.placements.isEmpty()) return
         val now = clock.steadyMs()
         val ageMs = record.cancelledMs?.let { clock.wallMs() - it + settings.skewMs.toLong() } ?: 0
-        val pending = PendingCancellation(cancellation, isConfirmedHere, now, now - ageMs.coerceIn(0, timing.cancelMs))
+        val pending = PendingCancellation(cancellation, isConfirmedHere, now, now - ageMs.coerceIn(0, timing.cancelDeadlineMs))
         pendingById[cancellation.id] = pending
         if (isConfirmedHere) sendToAll(pending)
     }
 
     /** A user is about to be answered that it is cancelled from what was read here, which confirms it just as well. */
-    override fun onUserInformed(id: JobId) {
+    override fun onCancellationAnswered(id: JobId) {
         pendingById[id]?.let(::confirmHere)
     }
 
@@ -134,7 +134,7 @@
                     pending.isConfirmedHere -> true
                     // By the watch all learn of it in time; one that lost the state service, or was started since,
                     // doesn't.
-                    else -> now - pending.observedAt > timing.enforceAfterMs || peerHealth.isWithoutState(peer.label)
+                    else -> now - pending.observedAt > timing.enforceAfterMs || peerHealth.isCutOffFromState(peer.label)
                 }
             if (due) peers.send(peer.label, CancellationNotice.Cancelled(self, pending.cancellation))
         }
@@ -169,7 +169,7 @@
             cache.job(cancellation.id)?.placed == 0 || isTerminationProvenHere(cancellation.id) == true
         peers.send(
             notice.sender.label,
-            CancellationNotice.Acknowledged(self, listOf(Acknowledgement(cancellation.id, isTerminationProven))),
+            CancellationNotice.Acknowledged(self, listOf(CancellationAcknowledgement(cancellation.id, isTerminationProven))),
         )
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -157,7 +157,7 @@
     ): Boolean {
         if (machine.isLeaseExpired ||
             machine.token != token ||
-            !machine.lease.isExpired(now, timing.workerExpiryMs)
+            !machine.lease.isExpired(now, timing.workerLeaseExpiryMs)
         ) {
             return false
         }
@@ -165,11 +165,11 @@
             "lease expired: machine={} incarnation={} countedMs={} attempts={}",
             machine.id,
             machine.position.incarnation,
-            machine.lease.countsFromMs?.let { now - it },
+            machine.lease.ttlStartMs?.let { now - it },
             machine.attempts.size,
         )
         machine.isLeaseExpired = true
-        machine.lease.end()
+        machine.lease.endIncarnation()
         machine.unresolvedStarts.clear()
         machine.tasks = emptyMap()
         for (attempt in machine.attempts.values.toList()) {
--- a/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
@@ -20,12 +20,12 @@
     ) {
         job.failures++
         job.failedOn.add(machine.id)
-        job.avoid[machine.id] = now + timing.avoidMs
+        job.avoid[machine.id] = now + timing.failedMachineAvoidMs
         machine.failedJobs.add(job.id.value)
         if (machine.failedJobs.size >= JOBS_TO_SUSPECT_MACHINE) machine.isQuarantined = true
         if (job.failedOn.size >= MACHINES_TO_SUSPECT_JOB) {
             val doublings = (job.failedOn.size - MACHINES_TO_SUSPECT_JOB).coerceAtMost(MAX_DOUBLINGS)
-            job.backoffUntil = now + minOf(timing.errorPauseMs shl doublings, timing.errorPauseMaxMs)
+            job.backoffUntil = now + minOf(timing.errorBackoffMs shl doublings, timing.errorBackoffMaxMs)
         }
     }
 
@@ -36,6 +36,6 @@
         now: Long,
         timing: Timing,
     ) {
-        job.avoid[machine.id] = now + timing.refusedPauseMs
+        job.avoid[machine.id] = now + timing.refusedStartBackoffMs
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -43,7 +43,7 @@
             // A late duplicate of an older heartbeat renews no lease and proves nothing.
             if (position <= machine.lastHeartbeatPosition) return machine
             machine.lastHeartbeatPosition = position
-            machine.lease.renewed(now)
+            machine.lease.onRenewed(now)
         }
         // The answer to a direct command has already brought a newer report.
         if (position <= machine.position) return machine
@@ -123,7 +123,7 @@
             // An inherited attempt over quota: the former leader saw its end and gave its quota to another attempt, but
             // terminated before it stored the end.
             cluster.removeAttempt(attempt)
-        } else if (isHeartbeat && attempt.isStartOverdue(now, timing.workerLeaseRawMs)) {
+        } else if (isHeartbeat && attempt.isStartOverdue(now, timing.workerLeaseTtlMs)) {
             // The worker's heartbeats arrive, but the start doesn't reach it, so the task is placed elsewhere.
             log.info("start not acted on: machine={} attempt={}", machine.id, attempt.id)
             machine.unresponsiveUntil = now + timing.unresponsiveMs
@@ -140,7 +140,7 @@
         val attempt = cluster.jobs[task.attempt.task.job]?.attempts?.get(task.attempt.task.index) ?: return
         if (attempt.machine == machine.id || attempt.workerState != TaskState.RUNNING) return
         val violation = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
-        invariants.violated(Invariant.ONE_PLACE_A_TASK, violation)
+        invariants.recordViolation(Invariant.ONE_MACHINE_PER_TASK, violation)
     }
 
     private fun applyTaskStatus(
--- a/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
@@ -112,7 +112,7 @@
         now: Long,
     ): Long {
         val ageMs = record.cancelledMs?.let { clock.wallMs() - it } ?: 0
-        return now - ageMs.coerceIn(0, timing.cancelMs)
+        return now - ageMs.coerceIn(0, timing.cancelDeadlineMs)
     }
 
     private fun attachAttempts(job: Job) {
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -68,7 +68,7 @@
         // stop together, the worker keeps the attempt as exited, so the late start has no effect. Both are sent only in
         // the first half of the time after which the machine is released for holding cancelled work.
         val cancelledAt = attempt.job.cancelledAt
-        val isEarlyEnough = cancelledAt == null || now < cancelledAt + timing.cancelPatienceMs / 2
+        val isEarlyEnough = cancelledAt == null || now < cancelledAt + timing.cancelReleaseAfterMs / 2
         if (attempt.id in machine.unresolvedStarts && isEarlyEnough) {
             result.add(WorkerCommand.Start(attempt.id))
             result.add(WorkerCommand.Stop(attempt.id, 0.0))
--- a/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ZoneLiveness.kt
@@ -46,7 +46,7 @@
             // A leader that was elected during a partition has had no message from the machines behind it.
             val since = lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
             if (now - since > timing.zonePartitionSilenceMs) count.silent++
-            if (lastContactAt != null && now - lastContactAt > timing.suspectMs) suspects.add(machine)
+            if (lastContactAt != null && now - lastContactAt > timing.suspectAfterMs) suspects.add(machine)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -122,7 +122,7 @@
     ) {
         val withdrawnAttempts = cluster.withdrawUncommitted(job)
         log.error("job record too large: job={} withdrawnAttempts={}", job.id, withdrawnAttempts)
-        job.writeNotBefore = now + timing.workerLeaseRawMs
+        job.writeNotBefore = now + timing.workerLeaseTtlMs
     }
 
     private fun send(
@@ -178,7 +178,7 @@
                 requeue(batch, now)
                 nextWriteAt = now + timing.retryMs()
             }
-            CommitOutcome.Invalid, CommitOutcome.LeaseOver -> handleTooLarge(batch, now)
+            CommitOutcome.Invalid, CommitOutcome.LeaseExpired -> handleTooLarge(batch, now)
             // It may have been applied, or may be later: read, then write again with the same compare-and-swap
             // versions.
             CommitOutcome.Unanswered -> cache.catchUp { requeue(batch, clock.steadyMs()) }
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -128,19 +128,19 @@
         queue.drain(::handle)
         if (leaderChanged) {
             leaderChanged = false
-            heartbeats.answerWaiting()
+            heartbeats.retryDeferred()
         }
         terms.current()?.flush()
-        load.stepped(clock.nanoTime() - beganNs)
+        load.recordStep(clock.nanoTime() - beganNs)
     }
 
     /** Whether users and workers can be served here, or at least no worse than elsewhere. */
     fun isHealthy(): Boolean =
-        cache.isSynced && catalog.types.isNotEmpty() && (seesState() || !peerHealth.isStateVisibleToOthers())
+        cache.isSynced && catalog.types.isNotEmpty() && (reachesState() || !peerHealth.isStateReachableByOthers())
 
     private fun isElected(): Boolean = cache.leadership?.leader == self
 
-    private fun seesState() = clock.steadyMs() - cache.lastContactMs < timing.stateUnreachableMs * 2
+    private fun reachesState() = clock.steadyMs() - cache.lastContactMs < timing.stateUnreachableMs * 2
 
     /** What the other controllers are told of this one. */
     fun heartbeat(): PeerHeartbeat =
@@ -148,11 +148,11 @@
             self,
             cache.leadership?.epoch ?: 0,
             cache.leadership?.leader,
-            seesState(),
+            reachesState(),
             clock.steadyMs(),
             delegate.echo(),
-            hasUnacknowledged = cancellations.hasUnacknowledged(),
-            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmMs,
+            hasUnacknowledgedCancellations = cancellations.hasUnacknowledgedCancellations(),
+            mayConfirmCancellations = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
         )
 
     /**
@@ -171,7 +171,7 @@
             is ControllerEvent.Poll -> requests.poll(event.id, event.answer)
             is ControllerEvent.Cancel -> requests.cancel(event.id, event.answer)
             is ControllerEvent.Heartbeat -> {
-                load.reported()
+                load.heartbeatReceived()
                 heartbeats.accept(event)
             }
             is ControllerEvent.PeerHeartbeatReceived -> onPeerHeartbeat(event.heartbeat)
@@ -197,7 +197,7 @@
         val now = clock.steadyMs()
         load.ticked(now)
         logRoleChange()
-        heartbeats.answerWaiting()
+        heartbeats.retryDeferred()
         catalog.tick(now)
         cancellations.tick()
         formatUpgrade.tick(cache.leadership?.takeIf { isLeading })
@@ -216,7 +216,7 @@
     ) {
         term.tick(catalog.types)
         // Cut from the workers alone, a leader would redirect them all to itself until their leases expire.
-        if (term.hasLostItsWorkers(now) && cache.memberCount() > 1) {
+        if (term.hasLostAllWorkers(now) && cache.memberCount() > 1) {
             log.info("no worker reaches this leader: {}", decisions.describe())
             election.resign()
         }
@@ -246,7 +246,7 @@
             limits.cloudCalls,
             load,
             rememberedImages,
-            formerLeader::mayAnswer,
+            formerLeader::mayStillAnswerWorkers,
         )
 
     private inner class CacheListener : StateCacheListener {
@@ -256,7 +256,7 @@
             val (epoch, token, leader) = leadership
             log.info("leader changed: epoch={} token={} leader={}", epoch, token.value, leader.label)
             leaderChanged = true
-            peers.heartbeatChanged()
+            peers.broadcastHeartbeat()
         }
 
         override fun onJob(
@@ -277,7 +277,7 @@
             if (format != WritableFormat.HEAD_AND_PARTS) return
             // From here on everything is built for both limits, so that the moment at which they change doesn't matter.
             limits.lowerWrites(settings.state.lowest.writeRps)
-            terms.latest?.divideLargeRecords()
+            terms.latest?.splitLargeRecords()
         }
     }
 
--- a/src/main/kotlin/oxbowlug/controller/FormerLeader.kt
+++ b/src/main/kotlin/oxbowlug/controller/FormerLeader.kt
@@ -14,7 +14,7 @@
      * Whether it may still answer workers without having heard of its successor. One that has a later incarnation has
      * ended, and one that is alive hears of its successor as well.
      */
-    fun mayAnswer(): Boolean {
+    fun mayStillAnswerWorkers(): Boolean {
         val former = cache.formerLeader ?: return false
         val incarnation = peerHealth.incarnationOf(former.label)
         val hasRestarted = incarnation != null && incarnation != former
--- a/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/oxbowlug/controller/HeartbeatRouter.kt
@@ -40,7 +40,7 @@
         answerOrWait(WaitingHeartbeat(event, clock.steadyMs() + timing.heartbeatWaitMs))
 
     /** Tries again what waits; called on every tick, and as soon as another leader is known. */
-    fun answerWaiting() {
+    fun retryDeferred() {
         repeat(waiting.size) { waiting.removeFirstOrNull()?.let(::answerOrWait) }
     }
 
@@ -70,7 +70,7 @@
 
     /** Redirected to a leader that is out of reach, a worker would lose a third of its lease for nothing. */
     private fun mayBeDelegated(response: HeartbeatResponse) =
-        response is HeartbeatResponse.Redirect && delegate.isNearingIsolation()
+        response is HeartbeatResponse.Redirect && delegate.isNearingActivation()
 
     private fun respond(heartbeat: WorkerHeartbeat): HeartbeatResponse {
         val role = election.role()
--- a/src/main/kotlin/oxbowlug/controller/RateLimits.kt
+++ b/src/main/kotlin/oxbowlug/controller/RateLimits.kt
@@ -22,8 +22,8 @@
 
     /** From now on the state service takes no more than [writeRps] changes per second. */
     fun lowerWrites(writeRps: Double) {
-        leaderWrites.limit(writeRps * LEADER_SHARE)
-        userWrites.limit(writeRps * (1 - LEADER_SHARE))
+        leaderWrites.lowerRate(writeRps * LEADER_SHARE)
+        userWrites.lowerRate(writeRps * (1 - LEADER_SHARE))
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -5,7 +5,7 @@
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
@@ -108,13 +108,13 @@
     }
 
     private fun requestLease(now: Long) {
-        state.grant(timing.leadershipLeaseTtlMs) { granted ->
+        state.grantLease(timing.leadershipLeaseTtlMs) { granted ->
             isRenewing = false
             lease = granted
             isRegistered = false
             if (granted != null) {
-                leaseValidUntilMs = now + timing.leadershipLeaseMs
-                nextRenewalAt = now + timing.leadershipRenewMs
+                leaseValidUntilMs = now + timing.leadershipLeaseValidityMs
+                nextRenewalAt = now + timing.leadershipRenewIntervalMs
                 registerOrCampaign(clock.steadyMs())
             } else {
                 nextRenewalAt = clock.steadyMs() + timing.retryMs()
@@ -126,25 +126,25 @@
         heldLease: Long,
         now: Long,
     ) {
-        state.touch(heldLease) { outcome ->
+        state.keepLeaseAlive(heldLease) { outcome ->
             isRenewing = false
             // Released meanwhile: the answer is of a lease that isn't held any more.
-            if (lease != heldLease) return@touch
+            if (lease != heldLease) return@keepLeaseAlive
             when (outcome) {
-                TouchOutcome.RENEWED -> {
+                LeaseRenewalOutcome.RENEWED -> {
                     // Counted from when the renewal was sent: the service may have done it at once.
-                    leaseValidUntilMs = maxOf(leaseValidUntilMs, now + timing.leadershipLeaseMs)
-                    cache.contacted(now)
-                    nextRenewalAt = now + timing.leadershipRenewMs
+                    leaseValidUntilMs = maxOf(leaseValidUntilMs, now + timing.leadershipLeaseValidityMs)
+                    cache.recordContact(now)
+                    nextRenewalAt = now + timing.leadershipRenewIntervalMs
                 }
-                TouchOutcome.OVER -> {
+                LeaseRenewalOutcome.EXPIRED -> {
                     log.info("controller lease expired: lease={}", heldLease)
                     lease = null
                     isRegistered = false
                     leaseValidUntilMs = NEVER_MS
                     nextRenewalAt = clock.steadyMs()
                 }
-                TouchOutcome.FAILED -> nextRenewalAt = clock.steadyMs() + timing.retryMs()
+                LeaseRenewalOutcome.FAILED -> nextRenewalAt = clock.steadyMs() + timing.retryMs()
             }
         }
     }
@@ -159,7 +159,7 @@
                         isRegistered = true
                         registerOrCampaign(clock.steadyMs())
                     }
-                CommitOutcome.LeaseOver -> if (lease == heldLease) lease = null
+                CommitOutcome.LeaseExpired -> if (lease == heldLease) lease = null
                 // Refused for its size, it says nothing of the lease.
                 CommitOutcome.Invalid -> nextRegistrationAt = clock.steadyMs() + timing.leadershipLeaseTtlMs
                 is CommitOutcome.Conflict, CommitOutcome.Refused, CommitOutcome.Unanswered -> Unit
@@ -195,12 +195,12 @@
             if (outcome is CommitOutcome.Applied) {
                 if (registrationLease != null && lease == registrationLease) isRegistered = true
                 log.info("leader elected: epoch={}", next.epoch)
-                cache.adopt(next.copy(version = outcome.revision))
+                cache.applyLeadershipRecord(next.copy(version = outcome.revision))
             } else {
                 // Won or lost unseen: the watch reports it, and a leadership record that names us is adopted from
                 // there.
                 nextElectionAt = clock.steadyMs() + timing.retryMs()
-                if (outcome == CommitOutcome.LeaseOver && lease == registrationLease) lease = null
+                if (outcome == CommitOutcome.LeaseExpired && lease == registrationLease) lease = null
                 // Whoever lost is a member all the same.
                 lease?.let { if (!isRegistered && !isRegistering) register(it) }
             }
@@ -214,10 +214,10 @@
         lease = null
         isRegistered = false
         leaseValidUntilMs = NEVER_MS
-        val pause = timing.workerLeaseRawMs
+        val pause = timing.workerLeaseTtlMs
         nextRenewalAt = clock.steadyMs() + pause
         nextElectionAt = clock.steadyMs() + pause
-        state.release(heldLease)
+        state.revokeLease(heldLease)
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/invariant/Invariants.kt
+++ b/src/main/kotlin/oxbowlug/invariant/Invariants.kt
@@ -13,13 +13,13 @@
     private val meters: Meters,
 ) {
     /** Logs and counts it; [what] is the evidence, for the log. */
-    fun violated(
+    fun recordViolation(
         invariant: Invariant,
         what: String,
     ) {
         // The soak run finds violations by the beginning of this line, "invariant LABEL".
         log.error("invariant {} is violated: reason={} {}", invariant.label, what, decisions.describe())
-        meters.violated(invariant)
+        meters.recordViolation(invariant)
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -4,7 +4,7 @@
 import oxbowlug.cluster.Machine
 import oxbowlug.invariant.DecisionContext
 import oxbowlug.port.Clock
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.timing.Timing
 import oxbowlug.wire.WorkerCommand
@@ -46,7 +46,7 @@
         if (machine.isDirectCommandInFlight) return false
         val commands =
             if (decisions.mayLead) {
-                checks.storedOnly(machine, cluster.commands(machine, now))
+                checks.dropUnstoredStarts(machine, cluster.commands(machine, now))
             } else {
                 cluster.stopsForCancelledJobs(machine)
             }
@@ -62,18 +62,18 @@
 
     private fun onOutcome(
         machine: Machine,
-        outcome: DirectOutcome,
+        outcome: CommandOutcome,
     ) {
         val starts = machine.directStartsInFlight
         machine.isDirectCommandInFlight = false
         machine.directStartsInFlight = emptyList()
         when (outcome) {
-            is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
-            DirectOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.heartbeatLateMs
-            DirectOutcome.Unanswered -> {
+            is CommandOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
+            CommandOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.heartbeatLateMs
+            CommandOutcome.Unanswered -> {
                 // It may be executed minutes later; from here on the answers to heartbeats carry the commands.
                 machine.unresolvedStarts.addAll(starts)
-                machine.nextDirectCommandAt = clock.steadyMs() + timing.workerLeaseRawMs
+                machine.nextDirectCommandAt = clock.steadyMs() + timing.workerLeaseTtlMs
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -30,7 +30,7 @@
     private val settings: Settings,
     private val timing: Timing,
     private val decisions: DecisionContext,
-    private val startedAt: Long,
+    private val termStartedAt: Long,
 ) {
     /** [reserved] machines have a task coming: they aren't released as idle. */
     fun tick(
@@ -38,7 +38,7 @@
         reserved: Set<MachineId>,
         now: Long,
     ) {
-        val liveness = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
+        val liveness = ZoneLiveness(cluster.machines.values, timing, termStartedAt, now)
         val hasRoom by lazy(LazyThreadSafetyMode.NONE) { round.hasRoomFor(liveness.suspects, types) }
         for (machine in cluster.machines.values.toList()) {
             supervise(machine, now, types, reserved, liveness) { hasRoom }
@@ -47,7 +47,7 @@
 
     /** The part of [tick] that needs no right to decide. */
     fun endCancelledWork(now: Long) {
-        val liveness = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
+        val liveness = ZoneLiveness(cluster.machines.values, timing, termStartedAt, now)
         for (machine in cluster.machines.values.toList()) endCancelled(machine, now, liveness)
     }
 
@@ -64,8 +64,8 @@
         if (machine.isReleasing) return
         // Where no other can be had, a machine that may go on is worth more than the rent of its silence.
         val patience = if (scaler.isScarce(machine, now)) SCARCE_PATIENCE else 1
-        val silentMs = (settings.policy.silentLeases * timing.workerLeaseRawMs).toLong() * patience
-        val lastHeard = machine.lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
+        val silentMs = (settings.policy.silentLeases * timing.workerLeaseTtlMs).toLong() * patience
+        val lastHeard = machine.lastContactAt ?: maxOf(termStartedAt, machine.firstSeenAt)
         val expected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
         if (expected && now - lastHeard > silentMs && liveness.isMajorityAlive(machine.zone)) {
             scaler.scheduleRelease(machine, ReleaseReason.SILENT)
@@ -93,16 +93,16 @@
         types: Map<TypeName, MachineType>,
     ): Boolean {
         if (!isSuspect(machine, now) || machine.isLeaseExpired) return false
-        val countsFrom = machine.lease.countsFromMs ?: return false
+        val countsFrom = machine.lease.ttlStartMs ?: return false
         val type = types[machine.type] ?: return false
-        val leftS = (timing.workerExpiryMs - (now - countsFrom)) / 1000.0
-        return Pricing.isWorthGivingUp(round.replicaWeight(machine), leftS, type, machine.spot, types.values)
+        val leftS = (timing.workerLeaseExpiryMs - (now - countsFrom)) / 1000.0
+        return Pricing.isReplacementCheaper(round.replicaWeight(machine), leftS, type, machine.spot, types.values)
     }
 
     private fun isSuspect(
         machine: Machine,
         now: Long,
-    ): Boolean = machine.lastContactAt?.let { now - it > timing.suspectMs } ?: false
+    ): Boolean = machine.lastContactAt?.let { now - it > timing.suspectAfterMs } ?: false
 
     /** Tasks that can save are stopped just in time for it; others run on until the cloud takes the machine. */
     private fun drain(
@@ -123,10 +123,10 @@
         liveness: ZoneLiveness,
     ) {
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
-        val mayBeOver = decisions.mayLead && delegates.isSurelyExpired(machine.zone, machine.lease.countsFromMs ?: now)
+        val mayBeOver = decisions.mayLead && delegates.isProvenExpired(machine.zone, machine.lease.ttlStartMs ?: now)
         if (mayBeOver) cluster.expireLease(machine, now)
         val isPartitioned = liveness.isPartitioned(machine.zone)
-        val patienceMs = if (isPartitioned) timing.partitionPatienceMs else timing.cancelPatienceMs
+        val patienceMs = if (isPartitioned) timing.partitionedCancelReleaseAfterMs else timing.cancelReleaseAfterMs
         for (attempt in machine.attempts.values) {
             val cancelledAt = attempt.job.cancelledAt ?: continue
             // A cancelled task that we can't see ended in time is ended with its machine.
--- a/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
+++ b/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
@@ -25,11 +25,11 @@
     private val timing: Timing,
     private val load: ControllerLoad,
     private val decisions: DecisionContext,
-    startedAt: Long,
+    termStartedAt: Long,
 ) {
     private var nextPlanAt = 0L
     private var nextRoundAt = 0L
-    private var nextMoveAt = startedAt + (settings.policy.replanS * 1000).toLong()
+    private var nextMoveAt = termStartedAt + (settings.policy.replanS * 1000).toLong()
 
     /** Machines that the last plan keeps for tasks that can't start there yet: they aren't idle. */
     var reserved: Set<MachineId> = emptySet()
@@ -58,7 +58,7 @@
         if (log.isDebugEnabled) log.debug("{}", PlanSummary(plan, snapshot))
         round.apply(plan)
         val elapsedNs = clock.nanoTime() - began
-        load.planned(elapsedNs, plan.priced)
+        load.recordPlan(elapsedNs, plan.priced)
         if (plan.starts.isNotEmpty() || plan.stops.isNotEmpty()) {
             log.info(
                 "plan applied: starts={} stops={} elapsedMs={} {}",
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
@@ -14,7 +14,7 @@
 /**
  * What a controller that is assigned as delegate may do while its zone is cut off: renew the leases of the zone's
  * workers with the leader's token, and nothing else. It begins only after it has heard neither the leader nor the state
- * service for [Timing.delegateAfterMs], and ends this as soon as it hears one of them or learns of a newer epoch.
+ * service for [Timing.delegateActivationMs], and ends this as soon as it hears one of them or learns of a newer epoch.
  * Without it all work of a zone that is cut off for longer than a worker's lease would end, though controllers stand
  * beside it.
  */
@@ -41,12 +41,12 @@
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val latest = lastLeaderContact
         // Held packets come in order, but over several connections: an older heartbeat must not look like a new one.
-        if (latest != null && latest.leader == heartbeat.sender && heartbeat.atMs < latest.leaderClockMs) return
+        if (latest != null && latest.leader == heartbeat.sender && heartbeat.sendTimeMs < latest.leaderClockMs) return
         // One that was started in an outage has no leadership record yet, but its echo is needed as much
         // ([CancellationFreshness]).
         val leader = cache.leadership?.leader ?: heartbeat.leader
         if (heartbeat.sender == leader) {
-            lastLeaderContact = LeaderContact(heartbeat.sender, heartbeat.atMs, clock.steadyMs())
+            lastLeaderContact = LeaderContact(heartbeat.sender, heartbeat.sendTimeMs, clock.steadyMs())
         }
     }
 
@@ -69,13 +69,13 @@
         val delegates = cache.delegates ?: return null
         val isNear = regions.areTogether(heartbeat.zone, zone)
         val isInScope = delegates.token == leadership.token && isNear && heartbeat.token <= leadership.token
-        return if (isInScope && isolatedMs() >= timing.delegateAfterMs) delegates.byZone[heartbeat.zone] else null
+        return if (isInScope && isolatedMs() >= timing.delegateActivationMs) delegates.byZone[heartbeat.zone] else null
     }
 
     /** Neither the leader nor the state service was reached for a while: the zone may soon count as cut off. */
-    fun isNearingIsolation(): Boolean {
+    fun isNearingActivation(): Boolean {
         val delegates = cache.delegates
-        val isSoon = isolatedMs() in timing.delegateAfterMs / 2 until timing.delegateAfterMs
+        val isSoon = isolatedMs() in timing.delegateActivationMs / 2 until timing.delegateActivationMs
         return delegates != null && isSoon && delegates.byZone.keys.any { regions.areTogether(it, zone) }
     }
 
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -115,17 +115,17 @@
             idleFromMs = clock.steadyMs()
         }
         // It received that heartbeat of ours at that time or later, and doesn't begin until long after.
-        idleUntilMs = maxOf(idleUntilMs, echo.atMs + timing.delegateNotStartedMs)
+        idleUntilMs = maxOf(idleUntilMs, echo.sendTimeMs + timing.delegateIdleMs)
     }
 
     /** Whether a lease that we last renewed at [renewedAt] has expired, whatever the zone's delegate did. */
-    fun isSurelyExpired(
+    fun isProvenExpired(
         zone: Zone?,
         renewedAt: Long,
     ): Boolean {
         val delegate = delegateByZone[zone] ?: return true
         if (delegate.idleFromMs == Long.MAX_VALUE) return false
-        val expiresAt = maxOf(renewedAt, delegate.idleFromMs) + timing.workerExpiryMs
+        val expiresAt = maxOf(renewedAt, delegate.idleFromMs) + timing.workerLeaseExpiryMs
         return delegate.idleUntilMs >= expiresAt && clock.steadyMs() >= expiresAt
     }
 
--- a/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLease.kt
@@ -10,7 +10,7 @@
     private var endedIncarnation = 0L
 
     /** From when the present incarnation's lease counts at the latest; null: no message of the worker was received. */
-    var countsFromMs: Long? = null
+    var ttlStartMs: Long? = null
         private set
 
     /**
@@ -24,24 +24,24 @@
     ) {
         if (observed <= incarnation) return
         incarnation = observed
-        countsFromMs = now
+        ttlStartMs = now
     }
 
     /**
      * A heartbeat is being answered so that it renews the lease; the worker counts from when it sent that heartbeat.
      */
-    fun renewed(now: Long) {
-        countsFromMs = now
+    fun onRenewed(now: Long) {
+        ttlStartMs = now
     }
 
     /** Whether it has run out, as long as nobody else may have renewed it. */
     fun isExpired(
         now: Long,
         expiryMs: Long,
-    ): Boolean = countsFromMs?.let { now >= it + expiryMs } ?: false
+    ): Boolean = ttlStartMs?.let { now >= it + expiryMs } ?: false
 
     /** It has run out, and with it the incarnation that was observed last. */
-    fun end() {
+    fun endIncarnation() {
         endedIncarnation = incarnation
     }
 
--- a/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
@@ -2,7 +2,7 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.StateCache
-import oxbowlug.cache.cancelledWork
+import oxbowlug.cache.stopsForCancelledTasks
 import oxbowlug.invariant.DecisionContext
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.WorkerCommand
@@ -26,7 +26,7 @@
         token: FencingToken,
         commands: List<WorkerCommand> = emptyList(),
     ): HeartbeatResponse.Renewed {
-        val allCommands = commands + cache.cancelledWork(heartbeat).notAmong(commands)
+        val allCommands = commands + cache.stopsForCancelledTasks(heartbeat).missingFrom(commands)
         if (log.isDebugEnabled) {
             log.debug(
                 "lease renewed: machine={} incarnation={} sequence={} token={} commands={} {}",
@@ -47,7 +47,7 @@
 }
 
 /** The stops whose attempts none of [commands] stops. */
-internal fun List<WorkerCommand.Stop>.notAmong(commands: List<WorkerCommand>): List<WorkerCommand.Stop> {
+internal fun List<WorkerCommand.Stop>.missingFrom(commands: List<WorkerCommand>): List<WorkerCommand.Stop> {
     val stopped = commands.mapNotNull { (it as? WorkerCommand.Stop)?.attempt }
     return filter { it.attempt !in stopped }
 }
--- a/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
@@ -17,8 +17,8 @@
 ) {
     private class LastHeartbeat(
         val sender: Member,
-        val seesState: Boolean,
-        val mayConfirm: Boolean,
+        val reachesState: Boolean,
+        val mayConfirmCancellations: Boolean,
         val receivedAtMs: Long,
     )
 
@@ -28,7 +28,7 @@
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val sender = heartbeat.sender
         lastHeartbeats[sender.label] =
-            LastHeartbeat(sender, heartbeat.seesState, heartbeat.mayConfirm, clock.steadyMs())
+            LastHeartbeat(sender, heartbeat.reachesState, heartbeat.mayConfirmCancellations, clock.steadyMs())
     }
 
     /** The newest incarnation of a controller that a heartbeat came from. */
@@ -41,16 +41,16 @@
         clock.steadyMs() - heartbeat.receivedAtMs < timing.peerHeartbeatMs * ALIVE_HEARTBEATS
 
     /** Whether it said, in its last heartbeat, that the state service hasn't answered it lately. */
-    fun isWithoutState(label: String): Boolean = lastHeartbeats[label]?.mayConfirm == false
+    fun isCutOffFromState(label: String): Boolean = lastHeartbeats[label]?.mayConfirmCancellations == false
 
     /**
      * Whether another controller reaches the state service. Also true while no other one is heard: then it is this one
      * that is cut off.
      */
-    fun isStateVisibleToOthers(): Boolean {
+    fun isStateReachableByOthers(): Boolean {
         if (peerCount == 0) return false
         val recent = lastHeartbeats.values.filter(::isRecent)
-        return recent.isEmpty() || recent.any { it.seesState }
+        return recent.isEmpty() || recent.any { it.reachesState }
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/record/JobRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -57,9 +57,9 @@
     }
 
     companion object {
-        const val SPEC_BOUND = 2048
-        const val MACHINE_BOUND = 48
-        const val PLACEMENT_BOUND = 12
+        const val MAX_SPEC_BYTES = 2048
+        const val MAX_MACHINE_BYTES = 48
+        const val MAX_PLACEMENT_BYTES = 12
         const val CANCELLED_AT = "cancelled"
 
         fun decode(value: Map<String, Any?>): JobRecord {
--- a/src/main/kotlin/oxbowlug/request/AdaptiveConcurrencyLimit.kt
+++ b/src/main/kotlin/oxbowlug/request/AdaptiveConcurrencyLimit.kt
@@ -16,15 +16,15 @@
         private set
     val limit: Int get() = estimate.toInt().coerceIn(min, max)
 
-    /** Admits one submission, which has to [leave] when its commit is settled; false: the limit is reached. */
-    fun tryEnter(): Boolean {
+    /** Admits one submission, which has to [release] when its commit is settled; false: the limit is reached. */
+    fun tryAcquire(): Boolean {
         if (inProgress >= limit) return false
         inProgress++
         return true
     }
 
     /** The commit took [elapsedMs]; one that wasn't [applied] shrinks the limit whatever time it took. */
-    fun leave(
+    fun release(
         elapsedMs: Long,
         applied: Boolean,
     ) {
--- a/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
@@ -38,7 +38,7 @@
         // Final is final: that can be answered also while the state service is away.
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) {
-            answer(responder.current(id, stored))
+            answer(responder.currentResponse(id, stored))
         } else {
             cancel(id, MAX_ATTEMPTS, answer)
         }
@@ -56,7 +56,7 @@
             when {
                 !ok -> answer(responder.stateUnavailable())
                 stored == null -> answer(UserResponse.NotFound)
-                stored.phase.isFinal || stored.isUnreadable || value == null -> answer(responder.current(id, stored))
+                stored.phase.isFinal || stored.isUnreadable || value == null -> answer(responder.currentResponse(id, stored))
                 cache.writableFormat == WritableFormat.NONE ->
                     answer(responder.unavailable("the data is of a newer version"))
                 attemptsLeft == 0 -> answer(responder.unavailable("the job keeps changing"))
@@ -90,7 +90,7 @@
                     answer(UserResponse.Known(JobStatus(id, JobState.CANCELLED, stored.done, 0)))
                 }
                 is CommitOutcome.Conflict, CommitOutcome.Unanswered -> cancel(id, attemptsLeft - 1, answer)
-                CommitOutcome.Refused, CommitOutcome.Invalid, CommitOutcome.LeaseOver ->
+                CommitOutcome.Refused, CommitOutcome.Invalid, CommitOutcome.LeaseExpired ->
                     answer(responder.unavailable("the state service is busy"))
             }
         }
--- a/src/main/kotlin/oxbowlug/request/Submissions.kt
+++ b/src/main/kotlin/oxbowlug/request/Submissions.kt
@@ -48,7 +48,7 @@
         val now = clock.steadyMs()
         if (!cache.isSynced || !responder.isStateReachable(now)) return answer(responder.stateUnavailable())
         // A repeated submission is answered whatever has changed since: it was accepted.
-        if (cache.job(spec.id) != null) return responder.answerAccepted(spec.id, answer)
+        if (cache.job(spec.id) != null) return responder.answerExistingJob(spec.id, answer)
         if (cache.writableFormat == WritableFormat.NONE) {
             return answer(responder.unavailable("the data is of a newer version"))
         }
@@ -77,7 +77,7 @@
         problem: String,
         answer: (UserResponse) -> Unit,
     ) {
-        if (cache.job(id) != null) responder.answerAccepted(id, answer) else answer(UserResponse.Malformed(problem))
+        if (cache.job(id) != null) responder.answerExistingJob(id, answer) else answer(UserResponse.Malformed(problem))
     }
 
     /**
@@ -124,7 +124,7 @@
         now: Long,
         answer: (UserResponse) -> Unit,
     ) {
-        if (budget.available(now) < 1.0 || !concurrency.tryEnter()) {
+        if (budget.available(now) < 1.0 || !concurrency.tryAcquire()) {
             return answer(responder.overloaded(inProgress, limit))
         }
         accept(spec, now, answer)
@@ -145,16 +145,16 @@
         budget.take(transaction.changes.size.toDouble(), now)
         state.commit(transaction) { outcome ->
             val elapsedMs = clock.steadyMs() - now
-            concurrency.leave(elapsedMs, outcome is CommitOutcome.Applied)
-            meters.committed(elapsedMs)
+            concurrency.release(elapsedMs, outcome is CommitOutcome.Applied)
+            meters.recordCommit(elapsedMs)
             when (outcome) {
                 is CommitOutcome.Applied -> answerCommitted(spec.id, answer)
-                is CommitOutcome.Conflict -> responder.answerAccepted(spec.id, answer)
+                is CommitOutcome.Conflict -> responder.answerExistingJob(spec.id, answer)
                 CommitOutcome.Refused -> answer(responder.unavailable("the state service is busy"))
-                CommitOutcome.Invalid, CommitOutcome.LeaseOver ->
+                CommitOutcome.Invalid, CommitOutcome.LeaseExpired ->
                     answer(responder.unavailable("the state service did not take it"))
                 // Settled by reading, never guessed; if it isn't there it may still come, and the user asks again.
-                CommitOutcome.Unanswered -> responder.answerAccepted(spec.id, answer)
+                CommitOutcome.Unanswered -> responder.answerExistingJob(spec.id, answer)
             }
         }
     }
@@ -166,7 +166,7 @@
     ) {
         val stored = cache.job(id)
         if (stored != null && stored.phase.isFinal) {
-            answer(responder.current(id, stored))
+            answer(responder.currentResponse(id, stored))
         } else {
             answer(UserResponse.Accepted(JobStatus(id, JobState.QUEUED, 0, 0)))
         }
--- a/src/main/kotlin/oxbowlug/request/UserResponder.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponder.kt
@@ -26,7 +26,7 @@
     ) = answerOrElse(id, answer) { UserResponse.NotFound }
 
     /** The state of a job that was accepted for sure; if it cannot be read now, the user has to ask again. */
-    fun answerAccepted(
+    fun answerExistingJob(
         id: JobId,
         answer: (UserResponse) -> Unit,
     ) = answerOrElse(id, answer) { stateUnavailable() }
@@ -37,7 +37,7 @@
         ifAbsent: () -> UserResponse,
     ) {
         val stored = cache.job(id)
-        if (stored != null && stored.phase.isFinal) return answer(current(id, stored))
+        if (stored != null && stored.phase.isFinal) return answer(currentResponse(id, stored))
         afterCatchUp(id, answer) { answer(ifAbsent()) }
     }
 
@@ -53,21 +53,21 @@
         cache.catchUp { ok ->
             when {
                 !ok -> answer(stateUnavailable())
-                cache.job(id) != null -> answer(current(id))
+                cache.job(id) != null -> answer(currentResponse(id))
                 else -> ifAbsent()
             }
         }
     }
 
     /** The state of a job whose record is in the cache. */
-    fun current(id: JobId): UserResponse = current(id, cache.job(id) ?: error("$id was just there"))
+    fun currentResponse(id: JobId): UserResponse = currentResponse(id, cache.job(id) ?: error("$id was just there"))
 
-    fun current(
+    fun currentResponse(
         id: JobId,
         stored: CachedJob,
     ): UserResponse {
         if (stored.isUnreadable) return unavailable("the job's record can't be read")
-        if (stored.phase == Phase.CANCELLED) cancellations.onUserInformed(id)
+        if (stored.phase == Phase.CANCELLED) cancellations.onCancellationAnswered(id)
         return UserResponse.Known(stored.status(id))
     }
 
@@ -79,7 +79,7 @@
     /** [reason] is a metric's label too, so it must not contain ids. */
     fun unavailable(reason: String): UserResponse {
         log.debug("request unavailable: reason={}", reason)
-        meters.refused(reason)
+        meters.recordRefusal(reason)
         return UserResponse.Unavailable(RETRY_AFTER_S, reason)
     }
 
@@ -88,7 +88,7 @@
         limit: Int,
     ): UserResponse {
         log.debug("submission refused for overload: inProgress={} limit={}", inProgress, limit)
-        meters.refused("overload")
+        meters.recordRefusal("overload")
         return UserResponse.Overloaded(RETRY_AFTER_S)
     }
 
--- a/src/main/kotlin/oxbowlug/scaling/CapacityRefusals.kt
+++ b/src/main/kotlin/oxbowlug/scaling/CapacityRefusals.kt
@@ -31,7 +31,7 @@
         val state = refusals.getOrPut(kind) { RefusalState(0, 0, now) }
         state.count++
         state.lastAt = now
-        state.until = now + (timing.refusalBaseMs shl minOf(state.count - 1, MAX_DOUBLINGS))
+        state.until = now + (timing.refusalBackoffBaseMs shl minOf(state.count - 1, MAX_DOUBLINGS))
         log.info("capacity refused: kind={} retryAfterMs={}", kind, state.until - now)
     }
 
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -21,69 +21,69 @@
 
     /** A controller's own lease: short beside the workers', so that a successor answers before theirs run out. */
     val leadershipLeaseTtlMs: Long = (workerLeaseMs * 0.3).toLong()
-    val leadershipRenewMs: Long = leadershipLeaseTtlMs / 4
+    val leadershipRenewIntervalMs: Long = leadershipLeaseTtlMs / 4
 
     /** How long after a renewal was sent its holder may still believe in it. */
-    val leadershipLeaseMs: Long = (leadershipLeaseTtlMs * (1.0 - drift)).toLong() - CLOCK_STEP_MS
+    val leadershipLeaseValidityMs: Long = (leadershipLeaseTtlMs * (1.0 - drift)).toLong() - CLOCK_STEP_MS
 
     /** Once this long has passed since our last answer, a worker's lease is surely over. */
-    val workerExpiryMs: Long = (workerLeaseMs * (1.0 + drift)).toLong() + 2 * CLOCK_STEP_MS
-    val workerLeaseRawMs: Long = workerLeaseMs.toLong()
+    val workerLeaseExpiryMs: Long = (workerLeaseMs * (1.0 + drift)).toLong() + 2 * CLOCK_STEP_MS
+    val workerLeaseTtlMs: Long = workerLeaseMs.toLong()
 
     /** A machine whose heartbeats are missing for this long is not given new work. */
     val heartbeatLateMs: Long = (heartbeatMs * 2.5).toLong()
 
     /** A machine whose heartbeats are missing for this long is likely to hang or to be dead. */
-    val suspectMs: Long = (workerLeaseMs * 0.4).toLong()
+    val suspectAfterMs: Long = (workerLeaseMs * 0.4).toLong()
 
     /**
      * When the first machine of a partitioned zone becomes suspect, all others have been silent for this long: a
      * heartbeat comes after up to 1.25 times the interval. Counted any later, a part of the zone would be given up
      * first.
      */
-    val zonePartitionSilenceMs: Long = suspectMs - (heartbeatMs * 1.25).toLong()
+    val zonePartitionSilenceMs: Long = suspectAfterMs - (heartbeatMs * 1.25).toLong()
 
     /** How long a heartbeat waits for a leader to be known: as long as its worker would before it tries elsewhere. */
     val heartbeatWaitMs: Long = minOf(heartbeatMs, workerLeaseMs * 0.1).toLong()
 
     /** Early enough for a successor to answer before the workers' leases are over. */
-    val workersLostMs: Long = (workerLeaseMs * 0.35).toLong()
+    val resignAfterSilenceMs: Long = (workerLeaseMs * 0.35).toLong()
 
     /** Alone for this long, a delegate begins: workers that lost the leader need as long to come to it. */
-    val delegateAfterMs: Long = (workerLeaseMs * 0.35).toLong()
+    val delegateActivationMs: Long = (workerLeaseMs * 0.35).toLong()
 
     /** For this long after it heard from the leader, its delegate has surely not begun. */
-    val delegateNotStartedMs: Long = (delegateAfterMs * (1.0 - drift)).toLong() - 2 * CLOCK_STEP_MS
+    val delegateIdleMs: Long = (delegateActivationMs * (1.0 - drift)).toLong() - 2 * CLOCK_STEP_MS
 
-    val cancelMs: Long = (settings.workers.cancelS * 1000.0).toLong()
+    val cancelDeadlineMs: Long = (settings.workers.cancelS * 1000.0).toLong()
 
     /** Half of the time allowed for a cancellation: then a machine that can't be reached is released. */
-    val cancelPatienceMs: Long = (settings.workers.cancelS * 500.0).toLong()
+    val cancelReleaseAfterMs: Long = (settings.workers.cancelS * 500.0).toLong()
 
     /** A partitioned zone may come back in time, and its machines hold much other work. */
-    val partitionPatienceMs: Long = (settings.workers.cancelS * 850.0).toLong()
+    val partitionedCancelReleaseAfterMs: Long = (settings.workers.cancelS * 850.0).toLong()
 
     /** Whoever leads has had this long to take a cancellation over. */
     val enforceAfterMs: Long = (settings.workers.cancelS * 200.0).toLong()
 
     /** Those that don't lead act on it themselves one after the other, so that calls aren't spent several times. */
-    val enforceStepMs: Long = (settings.workers.cancelS * 50.0).toLong()
+    val enforceStaggerMs: Long = (settings.workers.cancelS * 50.0).toLong()
 
     /** The last moment at which those that don't lead release a machine for it, with a cloud call's time left. */
-    val enforceByReleaseLatestMs: Long = (settings.workers.cancelS * 850.0).toLong()
+    val enforceByReleaseAfterMs: Long = (settings.workers.cancelS * 850.0).toLong()
 
     /**
      * For how long after it last surely knew all confirmed cancellations a controller may renew leases: the last of
      * them is over before a cancellation that it doesn't know has to be.
      */
-    val blindRenewalMs: Long =
-        (cancelMs - (workerLeaseMs * (1.0 + 2 * drift)).toLong() - heartbeatMs.toLong() - 2 * CLOCK_STEP_MS)
-            .coerceAtLeast(workerLeaseRawMs / 5)
+    val maxRenewalStalenessMs: Long =
+        (cancelDeadlineMs - (workerLeaseMs * (1.0 + 2 * drift)).toLong() - heartbeatMs.toLong() - 2 * CLOCK_STEP_MS)
+            .coerceAtLeast(workerLeaseTtlMs / 5)
 
     /** Renewals of its own lease keep a controller in touch with the state service more often than this. */
-    val cancellationConfirmMs: Long = leadershipRenewMs * 3
+    val cancellationConfirmWindowMs: Long = leadershipRenewIntervalMs * 3
     val directTimeoutMs: Long = workerLeaseMs.toLong() / 5
-    val watchMs: Long = workerLeaseMs.toLong()
+    val watchTimeoutMs: Long = workerLeaseMs.toLong()
 
     /**
      * Reads of changes are paced to a tenth of the state service's rate a node for each of the two kinds, and further
@@ -95,7 +95,7 @@
     val watchGapMs: Long = (1000.0 / (settings.state.rps * 0.2)).toLong().coerceAtLeast(5)
 
     /** A list is surely newer than an event if it was asked for this much later. */
-    val machineListAgeMs: Long = (settings.cloud.listLagS * 2000.0 * 1.1).toLong() + 1000
+    val machineListLagMs: Long = (settings.cloud.listLagS * 2000.0 * 1.1).toLong() + 1000
     val machineListIntervalMs: Long =
         maxOf((settings.cloud.listLagS * 500.0).toLong(), (4000.0 / settings.cloud.rps).toLong())
 
@@ -103,24 +103,24 @@
      * A machine on which a job failed is avoided by it this long; a job that fails everywhere pauses, doubling. Both
      * end well before somebody would call the job left waiting beside a machine with room.
      */
-    val avoidMs: Long = workerLeaseRawMs * 4
-    val errorPauseMs: Long = workerLeaseRawMs / 2
-    val errorPauseMaxMs: Long = workerLeaseRawMs * 3
+    val failedMachineAvoidMs: Long = workerLeaseTtlMs * 4
+    val errorBackoffMs: Long = workerLeaseTtlMs / 2
+    val errorBackoffMaxMs: Long = workerLeaseTtlMs * 3
 
     /** A machine that didn't accept a command isn't given more for as long as that needed to show. */
-    val unresponsiveMs: Long = workerLeaseRawMs * 2
-    val refusedPauseMs: Long = heartbeatMs.toLong() * 3
+    val unresponsiveMs: Long = workerLeaseTtlMs * 2
+    val refusedStartBackoffMs: Long = heartbeatMs.toLong() * 3
 
     /** Ends of tasks are deferred this long for others of the same job, so that they share a write. */
     val deferredWriteMs: Long = heartbeatMs.toLong()
 
     /** While few writes are allowed, they are deferred no longer than this. */
-    val deferredWriteMaxMs: Long = workerLeaseRawMs
+    val deferredWriteMaxMs: Long = workerLeaseTtlMs
 
     /** A kind that had no capacity is asked again after this, doubling; its price decays in the same measure. */
-    val refusalBaseMs: Long = workerLeaseRawMs / 2
-    val refusalHalfLifeMs: Long = workerLeaseRawMs * 3
-    val orderPatienceMs: Long = workerLeaseRawMs * 6
+    val refusalBackoffBaseMs: Long = workerLeaseTtlMs / 2
+    val refusalHalfLifeMs: Long = workerLeaseTtlMs * 3
+    val orderTimeoutMs: Long = workerLeaseTtlMs * 6
 
     /** The controller looks after what is due this often. */
     val tickMs: Long = (heartbeatMs / 20).toLong().coerceAtLeast(10)
@@ -129,7 +129,7 @@
     val planGapMs: Long = heartbeatMs.toLong() / 20
 
     /** Between two stages of a pipeline: a last exit is reported, committed and planned for, and a start committed. */
-    val pipelineStageMs: Long = heartbeatMs.toLong() * 2
+    val pipelineStageOverheadMs: Long = heartbeatMs.toLong() * 2
     val replanSoonMs: Long = heartbeatMs.toLong() * 2
 
     /** The protocol counts a start that was not stopped by command within 30 s; a lease more is on the safe side. */
@@ -144,11 +144,11 @@
     val propagateTokenAfterMs: Long = (workerLeaseMs * 0.5).toLong()
 
     /** How often controllers tell one another how they are. */
-    val peerHeartbeatMs: Long = workerLeaseRawMs / 20
+    val peerHeartbeatMs: Long = workerLeaseTtlMs / 20
 
     /** Without an answer of the state service for this long, submissions are refused at once. */
     val stateUnreachableMs: Long = leadershipLeaseTtlMs
-    val machineTypesIntervalMs: Long = workerLeaseRawMs
+    val machineTypesIntervalMs: Long = workerLeaseTtlMs
     val retryBaseMs: Long = heartbeatMs.toLong() / 4
 
     /** A failed call is repeated after a jittered pause, so that controllers don't come in step. */
--- a/src/main/kotlin/oxbowlug/timing/TokenBucket.kt
+++ b/src/main/kotlin/oxbowlug/timing/TokenBucket.kt
@@ -21,7 +21,7 @@
     fun spare(now: Long): Double = available(now) - burst * RESERVED_SHARE
 
     /** Lowers the rate to [next] per second; it is never raised. */
-    fun limit(next: Double) {
+    fun lowerRate(next: Double) {
         perSecond = minOf(perSecond, next)
         tokens = minOf(tokens, perSecond)
     }
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.CloudPort
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.WorkerPort
@@ -22,7 +22,7 @@
 import oxbowlug.record.Placement
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
@@ -94,11 +94,11 @@
                 token: FencingToken,
                 incarnation: Long,
                 commands: List<WorkerCommand>,
-                done: (DirectOutcome) -> Unit,
+                done: (CommandOutcome) -> Unit,
             ) {
-                if (!obeys) return done(DirectOutcome.Unanswered)
+                if (!obeys) return done(CommandOutcome.Unanswered)
                 running.removeAll(commands.filterIsInstance<WorkerCommand.Stop>().map { it.attempt }.toSet())
-                done(DirectOutcome.Answered(account(), executed = true))
+                done(CommandOutcome.Answered(account(), executed = true))
             }
         }
 
@@ -132,10 +132,10 @@
                 notice: CancellationNotice,
             ) = Unit
 
-            override fun heartbeatChanged() = Unit
+            override fun broadcastHeartbeat() = Unit
         }
 
-    private inner class Listener : StateCacheListener by IgnoringListener {
+    private inner class Listener : StateCacheListener by NoOpStateCacheListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
@@ -182,7 +182,7 @@
     /** The jobs are cancelled one after the other, and [there] still run. */
     private fun play(
         there: List<JobId>,
-        forMs: Long = timing.cancelMs,
+        forMs: Long = timing.cancelDeadlineMs,
     ) {
         running.addAll(there.map(::attempt))
         cancelled(first)
@@ -203,13 +203,13 @@
 
     @Test
     fun `each cancelled job's attempts on a shared machine are stopped`() {
-        play(listOf(first, second), forMs = timing.cancelPatienceMs)
+        play(listOf(first, second), forMs = timing.cancelReleaseAfterMs)
         assertEquals(emptySet<AttemptId>(), running)
     }
 
     @Test
     fun `that one job's attempts are gone isn't taken for the other's`() {
-        play(listOf(second), forMs = timing.cancelPatienceMs)
+        play(listOf(second), forMs = timing.cancelReleaseAfterMs)
         assertEquals(emptySet<AttemptId>(), running)
     }
 
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -21,7 +21,7 @@
 import oxbowlug.record.WritableFormat
 import oxbowlug.scaling.MachineScaler
 import oxbowlug.scheduling.SchedulingRound
-import oxbowlug.scheduling.ZoneUses
+import oxbowlug.scheduling.ZoneTaskCounts
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.failingInvariants
@@ -211,10 +211,10 @@
         receive(heartbeat(10, tasks = listOf(task(TaskState.RUNNING))))
         receive(heartbeat(9))
         assertTrue(hasAttempt, "a heartbeat older than the newest one lacks the attempt")
-        clock.now += timing.workerLeaseRawMs - 100
+        clock.now += timing.workerLeaseTtlMs - 100
         assertFalse(cluster.expireLease(cluster.machines.getValue(machine), clock.now))
         receive(heartbeat(8))
-        clock.now += timing.workerExpiryMs - timing.workerLeaseRawMs + 100
+        clock.now += timing.workerLeaseExpiryMs - timing.workerLeaseTtlMs + 100
         assertTrue(
             cluster.expireLease(cluster.machines.getValue(machine), clock.now),
             "a late copy of a heartbeat renews no lease",
@@ -233,7 +233,7 @@
         applyStored(record(hasPlacement = false), 7)
         receive(heartbeat(1))
         val host = cluster.machines.getValue(machine)
-        clock.now += timing.workerLeaseRawMs - 1_000
+        clock.now += timing.workerLeaseTtlMs - 1_000
         // No recent answer reached the worker, so its incarnation ended. The next one has sent no heartbeat here.
         cluster.applyHeartbeat(heartbeat(2, incarnation = 2), isHeartbeat = false)
         cluster.place(job, 0, host)
@@ -244,7 +244,7 @@
         clock.now += 2_000
         cluster.expireLease(host, clock.now)
         assertTrue(hasAttempt, "the new incarnation's lease hasn't expired, and the task runs")
-        clock.now += timing.workerExpiryMs
+        clock.now += timing.workerLeaseExpiryMs
         assertTrue(cluster.expireLease(host, clock.now), "a lease's time after the incarnation was first seen")
         assertFalse(hasAttempt)
     }
@@ -253,7 +253,7 @@
     fun `an expired lease proves nothing while a controller with another token may have renewed it`() {
         applyStored(record(), 7)
         receive(heartbeat(10, shownToken = FencingToken(4), tasks = listOf(task(TaskState.RUNNING))))
-        clock.now += timing.workerExpiryMs * 3
+        clock.now += timing.workerLeaseExpiryMs * 3
         assertFalse(cluster.expireLease(cluster.machines.getValue(machine), clock.now))
         assertTrue(hasAttempt)
     }
@@ -379,7 +379,7 @@
         assertEquals(delays.sorted(), delays, "the delay grows")
         assertTrue(delays.last() > delays[1])
         for (index in 7..30) FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
-        val longest = maxOf(job.backoffUntil - clock.now, timing.avoidMs)
+        val longest = maxOf(job.backoffUntil - clock.now, timing.failedMachineAvoidMs)
         assertTrue(longest <= 75_000, "with the errors over, the job would wait $longest ms despite free resources")
     }
 
@@ -399,7 +399,7 @@
             isHeartbeat = true,
         )
         val silent = cluster.machines.getValue(machine)
-        clock.now += timing.suspectMs
+        clock.now += timing.suspectAfterMs
         assertFalse(round.hasRoomFor(listOf(silent), types), "there is no other machine")
         for (name in listOf("host-000002", "host-000003")) {
             cluster.applyHeartbeat(heartbeat(1).copy(machine = MachineId(name)), isHeartbeat = true)
@@ -428,7 +428,7 @@
             val suspects: Int,
         )
 
-        val silent = timing.suspectMs + 1
+        val silent = timing.suspectAfterMs + 1
         val cases =
             listOf(
                 Case("all respond", listOf(0, 500, 900, 100, 0, 0), false, 0),
@@ -457,13 +457,13 @@
         // A new leader left such tasks out, and placed more than half of a spread job in one zone. Found by the
         // simulation.
         applyStored(record(), 1)
-        val uses = ZoneUses(cluster, settings.zones)
+        val uses = ZoneTaskCounts(cluster, settings.zones)
         assertEquals(settings.zones.associateWith { 1 }, uses.of(job))
-        assertFalse(uses.isKnown(job))
+        assertFalse(uses.areAllZonesKnown(job))
         receive(heartbeat(1))
-        val known = ZoneUses(cluster, settings.zones)
+        val known = ZoneTaskCounts(cluster, settings.zones)
         assertEquals(mapOf(cluster.machines.getValue(machine).zone to 1), known.of(job))
-        assertTrue(known.isKnown(job))
+        assertTrue(known.areAllZonesKnown(job))
     }
 
     private object NoCloud : CloudPort {
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -22,7 +22,7 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.failingInvariants
@@ -88,9 +88,9 @@
     ) {
         val leadership = LeadershipRecord(1, FencingToken(1), Member("n0", "x"), 0)
         put(Keys.LEADERSHIP, leadership.encode())
-        if (isSwitchedOn) put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST))
+        if (isSwitchedOn) put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST))
         for (record in records) put(Keys.job(record.spec.id.value), record.encode())
-        val cache = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val version = store.entry(Keys.LEADERSHIP)?.version ?: error("it was just written")
         cache.forEachActive { id, stored -> stored.value?.let { cluster.applyJob(id, stored, it) } }
         commits =
@@ -227,8 +227,8 @@
             }
         assertEquals(tooLarge.distinct().size, tooLarge.size, "nothing is sent twice unchanged")
         place("big", 0..9)
-        world.after(timing.workerLeaseRawMs) {}
-        world.runUntil(world.nowMs + timing.workerLeaseRawMs)
+        world.after(timing.workerLeaseTtlMs) {}
+        world.runUntil(world.nowMs + timing.workerLeaseTtlMs)
         flush(2)
         assertEquals(10, stored("big").placements.size, "with fewer placements it fits")
     }
--- a/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
@@ -10,7 +10,7 @@
 import oxbowlug.record.Member
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
@@ -28,13 +28,13 @@
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
 
     private inner class Port : ImmediateStatePort(store) {
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
-        ) = done(store.grant(lifeMs))
+        ) = done(store.grantLease(ttlMs))
     }
 
-    private val cache = StateCache(Port(), clock, timing, IgnoringListener)
+    private val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener)
     private val election = LeaderElection(self, Port(), clock, timing, cache, changesPerTransaction = 1)
     private val decisions = LeadershipDecisionContext(clock, election, cache)
 
@@ -53,7 +53,7 @@
         election.tick()
         cache.catchUp {}
         clock.now += 250
-        val leftMs = timing.leadershipLeaseMs - 250
+        val leftMs = timing.leadershipLeaseValidityMs - 250
         val copy = "revision=${cache.revision} stalenessMs=250"
         assertEquals("role=leader epoch=7 token=5 leaseRemainingMs=$leftMs $copy", decisions.describe())
         clock.now += timing.leadershipLeaseTtlMs
--- a/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.port.HeartbeatEcho
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.DelegateAssignments
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
@@ -19,7 +19,7 @@
 import oxbowlug.region.Regions
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
@@ -67,17 +67,17 @@
             if (waitMs == 0L) done(if (isAway) ChangesOutcome.Failed else store.changes(prefix, from))
         }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
         ) = Unit
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
+            done: (LeaseRenewalOutcome) -> Unit,
         ) = Unit
 
-        override fun release(lease: Long) = Unit
+        override fun revokeLease(lease: Long) = Unit
     }
 
     private fun put(
@@ -91,7 +91,7 @@
         put(Keys.member(leader), emptyMap())
         put(Keys.member(delegate), emptyMap())
         put(Keys.LEADERSHIP, LeadershipRecord(3, FencingToken(3), leader, 0).encode())
-        return StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        return StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
     }
 
     private fun named(): LeaseRenewalDelegates {
@@ -108,8 +108,8 @@
         delegate,
         3,
         leader,
-        seesState = true,
-        atMs = 0,
+        reachesState = true,
+        sendTimeMs = 0,
         echo = HeartbeatEcho(leader, lastContactAt, renewals),
     )
 
@@ -121,7 +121,7 @@
             val overAfterMs: Long?,
             val said: (sinceMs: Long, nowMs: Long) -> PeerHeartbeat?,
         )
-        val expiry = timing.workerExpiryMs
+        val expiry = timing.workerLeaseExpiryMs
         val cases =
             listOf(
                 Case("no deputy there", Zone("a"), 0) { _, _ -> null },
@@ -144,7 +144,7 @@
             var overAt: Long? = null
             while (overAt == null && clock.now < answeredAt + expiry * 3) {
                 case.said(clock.now - answeredAt, clock.now)?.let(delegates::onHeartbeat)
-                if (delegates.isSurelyExpired(case.zone, answeredAt)) overAt = clock.now - answeredAt
+                if (delegates.isProvenExpired(case.zone, answeredAt)) overAt = clock.now - answeredAt
                 clock.now += 100
             }
             assertEquals(case.overAfterMs?.let { (it + 99) / 100 * 100 }, overAt, case.name)
@@ -166,7 +166,7 @@
         }
         val assigned = DelegateAssignments.decode(store.entry(Keys.DELEGATES)?.value.orEmpty(), 1)
         assertEquals(Member("n1", "z"), assigned.byZone[zone])
-        assertFalse(delegates.isSurelyExpired(zone, 0), "the former may have renewed something to its end")
+        assertFalse(delegates.isProvenExpired(zone, 0), "the former may have renewed something to its end")
     }
 
     @Test
@@ -176,16 +176,16 @@
         val here = LeaseRenewalDelegate(delegate, zone, Regions(), clock, timing, cache)
         val report = report(zone, 3)
         isAway = true
-        here.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
+        here.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sendTimeMs = 7))
         assertNull(here.renew(report), "just heard")
-        clock.now += timing.delegateAfterMs
+        clock.now += timing.delegateActivationMs
         assertEquals(FencingToken(3), here.renew(report))
         assertNull(here.renew(report(Zone("a"), 3)), "of another zone")
         assertNull(here.renew(report(zone, 4)), "it knows a newer token")
         assertEquals(HeartbeatEcho(leader, 7, 1), here.echo())
-        here.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 8))
+        here.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sendTimeMs = 8))
         assertNull(here.renew(report), "the leader is heard again")
-        clock.now += timing.delegateAfterMs
+        clock.now += timing.delegateActivationMs
         isAway = false
         cache.catchUp {}
         assertNull(here.renew(report), "the state service answers")
@@ -199,8 +199,8 @@
         put(Keys.DELEGATES, DelegateAssignments(FencingToken(3), byZone, 0).encode())
         val here = LeaseRenewalDelegate(delegate, zone, regional, clock, timing, cache())
         isAway = true
-        here.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
-        clock.now += timing.delegateAfterMs
+        here.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sendTimeMs = 7))
+        clock.now += timing.delegateActivationMs
         assertEquals(FencingToken(3), here.renew(report(Zone("c"), 3)))
         assertNull(here.renew(report(Zone("d"), 3)), "another one is named")
         assertEquals(leader, here.delegateFor(report(Zone("d"), 3)), "and the worker is sent there")
@@ -223,20 +223,20 @@
         assertEquals(mapOf(zone to delegate, Zone("c") to delegate), assigned)
         val answeredAt = clock.now
         val renewedAt = answeredAt + 3_000
-        val until = answeredAt + timing.workerExpiryMs + 200
+        val until = answeredAt + timing.workerLeaseExpiryMs + 200
         while (clock.now < until) {
             delegates.onHeartbeat(word(clock.now - 5, renewals = if (clock.now < renewedAt) 0 else 1))
             clock.now += 100
         }
         assertFalse(
-            delegates.isSurelyExpired(Zone("c"), answeredAt),
+            delegates.isProvenExpired(Zone("c"), answeredAt),
             "it renewed something, nobody knows in which zone",
         )
-        while (clock.now < renewedAt + timing.workerExpiryMs + 200) {
+        while (clock.now < renewedAt + timing.workerLeaseExpiryMs + 200) {
             clock.now += 100
             delegates.onHeartbeat(word(clock.now - 5, renewals = 1))
         }
-        assertEquals(true, delegates.isSurelyExpired(Zone("c"), answeredAt), "nothing since")
+        assertEquals(true, delegates.isProvenExpired(Zone("c"), answeredAt), "nothing since")
     }
 
     private fun report(
--- a/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
+++ b/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
@@ -34,7 +34,7 @@
             val peerHealth = PeerHealth(case.peers, clock, timing)
             for ((label, sees) in case.heard) peerHealth.onHeartbeat(PeerHeartbeat(Member(label, "x"), 1, null, sees))
             clock.now += case.later
-            assertEquals(case.other, peerHealth.isStateVisibleToOthers(), case.name)
+            assertEquals(case.other, peerHealth.isStateReachableByOthers(), case.name)
         }
     }
 }
--- a/src/test/kotlin/oxbowlug/request/AdaptiveConcurrencyLimitTest.kt
+++ b/src/test/kotlin/oxbowlug/request/AdaptiveConcurrencyLimitTest.kt
@@ -11,17 +11,17 @@
         tookMs: Long,
     ) = repeat(count) {
         var entered = 0
-        while (tryEnter()) entered++
-        repeat(entered) { leave(tookMs, applied = true) }
+        while (tryAcquire()) entered++
+        repeat(entered) { release(tookMs, applied = true) }
     }
 
     @Test
     fun `over the limit nobody enters, and whoever leaves makes room`() {
         val limit = AdaptiveConcurrencyLimit()
-        repeat(limit.limit) { assertTrue(limit.tryEnter()) }
-        assertFalse(limit.tryEnter())
-        limit.leave(5, applied = true)
-        assertTrue(limit.tryEnter())
+        repeat(limit.limit) { assertTrue(limit.tryAcquire()) }
+        assertFalse(limit.tryAcquire())
+        limit.release(5, applied = true)
+        assertTrue(limit.tryAcquire())
     }
 
     @Test
@@ -41,8 +41,8 @@
     fun `refused commits shrink it, though never to nothing`() {
         val limit = AdaptiveConcurrencyLimit()
         repeat(500) {
-            assertTrue(limit.tryEnter())
-            limit.leave(1, applied = false)
+            assertTrue(limit.tryAcquire())
+            limit.release(1, applied = false)
         }
         assertEquals(4, limit.limit)
     }
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -19,7 +19,7 @@
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
 import oxbowlug.testing.FailingMeters
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.permissiveContext
@@ -74,7 +74,7 @@
     }
 
     private val timing = Timing(settings, Random(1))
-    private val cache = StateCache(Port(), clock, timing, IgnoringListener)
+    private val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener)
     private val told = ArrayList<String>()
 
     private inner class RecordingListener(
@@ -88,7 +88,7 @@
             told.add("confirmed $id of ${machines(record)} machines")
         }
 
-        override fun onUserInformed(id: JobId) {
+        override fun onCancellationAnswered(id: JobId) {
             if (recordsAnswers) told.add("told $id")
         }
     }
@@ -153,7 +153,7 @@
             write(Phase.ACTIVE, listOf("host-1"))
             // A new copy for each, since final states are remembered for good.
             val answers = ArrayList<UserResponse>()
-            val fresh = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+            val fresh = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
             meanwhile = case.meanwhile
             jobRequests(fresh).cancel(spec.id) { answers.add(it) }
             world.runUntil(world.nowMs + 1_000)
@@ -185,7 +185,7 @@
     }
 
     private fun switchFormatOn() {
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))))
+        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST)))))
     }
 
     private fun answerTo(
@@ -227,7 +227,7 @@
             val torn = mapOf<String, Any?>("phase" to "unheard of")
             store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job("run-torn"), torn))))
             store.commit(Transaction(emptyList(), listOf(Change.Delete(key))))
-            val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+            val copy = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
             case.meanwhile()
             val answer = answerTo(copy, spec.copy(dependsOn = listOf(JobId(case.dependsOn))))
             assertEquals(case.expected, answer::class.simpleName, case.name)
@@ -237,7 +237,7 @@
     @Test
     fun `while a controller may be of the version before, jobs that wait for others are sent away for a while`() {
         accept("run-a")
-        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val copy = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val answer = answerTo(copy, spec.copy(dependsOn = listOf(JobId("run-a"))))
         assertEquals(true, answer is UserResponse.Unavailable && answer.retryAfterS > 0)
         assertEquals(true, answerTo(copy, spec) is UserResponse.Accepted, "others are taken")
@@ -245,9 +245,9 @@
 
     @Test
     fun `nothing is written under a newer version's marker`() {
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(99)))))
+        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(99)))))
         accept("run-a")
-        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val copy = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val before = store.revision
         assertEquals(true, answerTo(copy, spec) is UserResponse.Unavailable)
         jobRequests(copy).cancel(JobId("run-a")) { assertEquals(true, it is UserResponse.Unavailable) }
@@ -257,7 +257,7 @@
     @Test
     fun `a repeated submission gets the job's present state, whatever its list says`() {
         accept("run-a")
-        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val copy = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val never = spec.copy(id = JobId("run-a"), dependsOn = listOf(JobId("run-never")))
         assertEquals(true, answerTo(copy, never) is UserResponse.Known)
         for ((id, expected) in listOf("run-a" to "Known", "run-b" to "Malformed")) {
@@ -275,7 +275,7 @@
         val names = List(120) { "a".repeat(90) + it }
         names.forEach { accept(it) }
         val small = settings.state.copy(next = WriteLimits(15.0, 2.0, 4))
-        val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val copy = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val jobRequests =
             UserRequestHandler(
                 RequestIds(Member("n0", "x")),
@@ -309,7 +309,7 @@
             store.limits = null
             switchFormatOn()
             store.commit(Transaction(emptyList(), changes))
-            val copy = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+            val copy = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
             store.limits = limits
             world.runUntil(world.nowMs + 2_000)
             told.clear()
@@ -331,7 +331,7 @@
             world.runUntil(world.nowMs + 1_000)
             assertEquals(JobState.CANCELLED, (answers.single() as UserResponse.Known).status.state)
             assertEquals(listOf("confirmed ${spec.id} of 240 machines"), told)
-            val read = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }.job(spec.id)
+            val read = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }.job(spec.id)
             assertEquals(240, read?.placed, "whoever reads it knows every machine")
             store.limits = null
         }
