--- a/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
@@ -23,7 +23,7 @@
         zoneTaskCounts: ZoneTaskCounts,
         now: Long,
     ): PlanJob? {
-        if (job.phase != Phase.ACTIVE || now < job.holdUntil) return null
+        if (job.phase != Phase.ACTIVE || now < job.backoffUntil) return null
         val readyMs = job.readyMs ?: return null
         // A gang restarts only as a whole: its remaining tasks exit by themselves once their peers are gone.
         if (job.spec.kind == JobKind.GANG && job.attempts.isNotEmpty()) return null
