--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -29,15 +29,15 @@
 import kotlin.math.ceil
 import kotlin.random.Random
 
-/** Wires the core to its adapters, all on one event loop. */
+/** Runs a controller: connects the core to its adapters and runs all of them on one event loop. */
 internal class Service(
     private val settings: Settings,
 ) {
     private lateinit var controller: Controller
-    private var draining = false
+    private var isDrainScheduled = false
 
     fun start() {
-        tune()
+        setLibraryProperties()
         val vertx =
             Vertx.vertx(
                 VertxOptions()
@@ -66,7 +66,7 @@
             )
         val settle: (
             () -> Unit,
-        ) -> Unit = { action -> if (!controller.offer(ControllerEvent.CallCompleted(action))) overflow() }
+        ) -> Unit = { action -> if (!controller.offer(ControllerEvent.CallCompleted(action))) haltOnFullQueue() }
         val leaseMs = (settings.workers.leaseS * 1000).toLong()
         val stateCalls = HttpCaller(vertx, STATE_CONNECTIONS, waiting = settings.limits.maxSockets)
         val state = StateClient(settings.stateAddress, stateCalls, scope, leaseMs / 5, settle)
@@ -78,9 +78,9 @@
                 leaseMs / 2,
                 settle,
             )
-        // Each machine already holds a connection for its reports. Those for commands are closed after some reports'
-        // time, or twice as many sockets as machines would be open at once.
-        val commandIdleS = ceil(settings.workers.heartbeatS * 2).toInt()
+        // Each worker already keeps a connection open for its heartbeats. Idle connections for commands are closed
+        // after two heartbeat intervals; otherwise there would be up to two open sockets per machine.
+        val commandIdleS = ceil(settings.workers.heartbeatIntervalS * 2).toInt()
         val workers = WorkerClient(HttpCaller(vertx, 1, commandIdleS), scope, leaseMs / 5, settle)
         val random = Random(seed())
         val self = Member(settings.label, random.nextLong().toULong().toString(36))
@@ -105,7 +105,7 @@
             }
         controller =
             Controller(settings, self, state, cloud, workers, SystemClock, metrics, random, peers) {
-                wake(context)
+                scheduleDrain(context)
             }
         metrics.watch(controller.status)
         peers.start()
@@ -120,40 +120,40 @@
         controller.offer(ControllerEvent.Tick)
     }
 
-    /** Straight from the system: looking for a provider of secure numbers takes a part of the start, for one number. */
+    /** Reads the seed from the system directly. Looking up a SecureRandom provider would slow the start. */
     private fun seed(): Long =
         File("/dev/urandom").inputStream().use { ByteBuffer.wrap(it.readNBytes(Long.SIZE_BYTES)).long }
 
-    /** One drain is scheduled for however many commands come until it runs. */
-    private fun wake(context: Context) {
-        if (draining) return
-        draining = true
+    /** Schedules a drain of the event queue, unless one is scheduled already. */
+    private fun scheduleDrain(context: Context) {
+        if (isDrainScheduled) return
+        isDrainScheduled = true
         context.runOnContext {
-            draining = false
+            isDrainScheduled = false
             controller.drain()
         }
     }
 
-    private fun overflow() {
-        // An outcome must not be lost: the model would wait for it for ever.
-        log.error("the command queue overflows")
+    private fun haltOnFullQueue() {
+        // The outcome of a call must not be dropped: the controller would keep that call pending forever.
+        log.error("the event queue is full")
         Runtime.getRuntime().halt(1)
     }
 
-    private fun tune() {
-        // Names are never looked up, and the buffers are few: the defaults are meant for much larger machines.
+    private fun setLibraryProperties() {
+        // Host names are not resolved, and few buffers are in use: the defaults suit much larger machines.
         System.setProperty("vertx.disableDnsResolver", "true")
         System.setProperty("vertx.disableMetrics", "true")
         System.setProperty("vertx.disableWebsockets", "true")
-        // Not used, since files aren't cached; made up by default, the name takes milliseconds of a start.
+        // Unused, because file caching is off. Generating the default name would take milliseconds at the start.
         System.setProperty("vertx.cacheDirBase", System.getProperty("java.io.tmpdir"))
         System.setProperty("io.netty.allocator.type", "unpooled")
         System.setProperty("io.netty.recycler.maxCapacityPerThread", "0")
         System.setProperty("io.netty.noUnsafe", "false")
-        // The first buffer would start the JVM's flight recorder, nearly a fifth of a whole start, for events that
-        // nobody records.
+        // Otherwise the first buffer would initialize the JVM's flight recorder, which takes nearly a fifth of a whole
+        // start, though nothing records the events.
         System.setProperty("io.netty.jfr.enabled", "false")
-        // What is named here isn't searched for when the process starts.
+        // Setting these avoids a search for their values when the process starts.
         System.setProperty("vertx.logger-delegate-factory-class-name", SLF4JLogDelegateFactory::class.java.name)
         System.setProperty("io.netty.processId", "1")
         System.setProperty("io.netty.machineId", "02:00:00:00:00:00")
@@ -171,7 +171,7 @@
         const val STATE_CONNECTIONS = 12
         const val CLOUD_CONNECTIONS = 3
 
-        /** Percentiles cover the last one to two windows, each so many times the replanning interval. */
+        /** The metrics window in replanning intervals. Percentiles cover the last one to two windows. */
         const val METRICS_WINDOW_REPLANS = 2
         val log = LoggerFactory.getLogger("cli")
     }
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -71,7 +71,7 @@
         machine.zone = heartbeat.zone
         machine.spot = heartbeat.spot
         machine.endpoint = Address.parse(heartbeat.endpoint)
-        machine.noticeUntil = heartbeat.noticeS?.let { now + (it * 1000).toLong() }
+        machine.noticeUntil = heartbeat.interruptionNoticeS?.let { now + (it * 1000).toLong() }
         machine.tasks = heartbeat.tasks.associateBy { it.attempt }
     }
 
--- a/src/main/kotlin/oxbowlug/config/Policy.kt
+++ b/src/main/kotlin/oxbowlug/config/Policy.kt
@@ -4,24 +4,24 @@
 import oxbowlug.wire.ClassName
 
 /**
- * The operators' own settings. Everything has a default, and durations are ratios to figures of the platform's
- * file, so that the same policy means the same on every deployment.
+ * The operators' own settings. Each has a default. Most durations are multiples of times that the platform defines, so
+ * that one policy suits every deployment.
  */
 data class Policy(
-    /** H: seconds between plans when nothing happens. */
+    /** The replanning interval in seconds while nothing else triggers a plan; H in the paper. */
     val replanS: Double = 30.0,
-    /** How much heavier a postponed job's tardiness weighs than a running one's. */
+    /** The factor by which a postponed job's tardiness weighs more than that of a running job. */
     val postponeFactor: Double = 100.0,
-    /** The price of an idle slot in the choice of a machine type (the paper's mu). */
+    /** The penalty for idle slots when a machine type is chosen; mu in the paper. */
     val idleSlotPenalty: Double = 1.0,
-    /** An idle machine is returned after this many of its type's boot times. */
+    /** An idle machine is released after this many boot times of its type. */
     val idleBoots: Double = 2.0,
-    /** A silent machine is returned after this many worker leases. */
+    /** A machine whose worker sends nothing is released after this many worker lease durations. */
     val silentLeases: Double = 3.0,
-    /** A machine still booting after this many of its type's boot times is returned. */
+    /** A machine that is still booting after this many boot times of its type is released. */
     val bootPatience: Double = 3.0,
-    /** Tardiness weights of classes, beside those drawn from the objectives. */
+    /** The tardiness weights of classes. They override the weights derived from the objectives. */
     val classWeights: Map<ClassName, Double> = emptyMap(),
-    /** Which zones form a region; none: each zone is one. */
+    /** The zones of each region. By default, each zone is a region of its own. */
     val regions: Regions = Regions(),
 )
--- a/src/main/kotlin/oxbowlug/config/PolicyFile.kt
+++ b/src/main/kotlin/oxbowlug/config/PolicyFile.kt
@@ -18,14 +18,14 @@
 import oxbowlug.wire.Zone
 
 /**
- * Runs an operators' Lua policy and checks what it returns: one table of the keys of [Policy] in snake case.
- * The script gets the pure libraries only (no files, processes or clocks) and a bounded number of instructions,
- * so that a mistake in it ends the start with a message instead of hanging a controller.
+ * Runs the operators' Lua policy script and validates its result: one table whose keys are those of [Policy] in snake
+ * case. The script has access only to libraries without side effects (no files, processes or clocks), and may execute
+ * a limited number of instructions, so that a faulty script fails the start with a message instead of blocking it.
  */
 object PolicyFile {
     private const val MAX_INSTRUCTIONS = 1_000_000
 
-    /** Runs [script] and reads the table that it returns. Throws [InvalidSettings] with the key that is wrong. */
+    /** Runs [script] and reads the table that it returns. Throws [InvalidSettings] with the invalid key. */
     fun parse(script: String): Policy {
         val result =
             try {
@@ -114,6 +114,7 @@
         globals.load(StringLib())
         globals.load(MathLib())
         globals.load(InstructionLimit(MAX_INSTRUCTIONS))
+        // Removes the functions that read files, load code or control the interpreter.
         for (name in listOf("debug", "dofile", "loadfile", "load", "require", "package", "collectgarbage")) {
             globals.set(name, LuaValue.NIL)
         }
@@ -122,16 +123,16 @@
         return globals
     }
 
-    /** Guards against a policy that never returns. */
+    /** Aborts a script that executes more than [remaining] instructions, such as an endless loop. */
     private class InstructionLimit(
-        private var left: Int,
+        private var remaining: Int,
     ) : DebugLib() {
         override fun onInstruction(
             pc: Int,
             v: Varargs,
             top: Int,
         ) {
-            if (left-- <= 0) throw LuaError("takes more than $MAX_INSTRUCTIONS instructions")
+            if (remaining-- <= 0) throw LuaError("takes more than $MAX_INSTRUCTIONS instructions")
             super.onInstruction(pc, v, top)
         }
     }
--- a/src/main/kotlin/oxbowlug/config/Settings.kt
+++ b/src/main/kotlin/oxbowlug/config/Settings.kt
@@ -4,21 +4,21 @@
 import oxbowlug.wire.TeamName
 import oxbowlug.wire.Zone
 
-/** A setting that can't be used; the message names its field. */
+/** Thrown for a setting that is missing or invalid; the message names its field. */
 class InvalidSettings(
     message: String,
 ) : Exception(message)
 
-/** An IPv4 address and port: names are never looked up. */
+/** An IPv4 address and port. Host names are not resolved. */
 data class Address(
     val host: String,
     val port: Int,
 ) {
     override fun toString(): String = "$host:$port"
 
-    /** Reads addresses from settings and from messages. */
+    /** Parses addresses in settings and in messages. */
     companion object {
-        /** The address of `HOST:PORT`, or null if [text] is none. */
+        /** Parses `HOST:PORT`. Returns null if [text] is not of this form. */
         fun parse(text: String): Address? {
             val colon = text.lastIndexOf(':')
             if (colon <= 0) return null
@@ -28,14 +28,14 @@
     }
 }
 
-/** Another controller of the deployment, with the address of its peer link. */
+/** Another controller of the deployment; [address] is where it listens for its peers. */
 data class Peer(
     val label: String,
     val zone: Zone,
     val address: Address,
 )
 
-/** A team's guarantee and limit. An infinite limit stands for the setting's 0: no limit. */
+/** A team's guaranteed and maximum resources. A maximum of 0 in the settings means no limit and is infinite here. */
 data class Team(
     val name: TeamName,
     val guaranteedCores: Double,
@@ -44,22 +44,22 @@
     val maxGpus: Double,
 )
 
-/** What the platform expects of a class's starts and ends. */
+/** A service level objective of the platform. */
 sealed interface Objective {
-    /** The [share] of a class's tasks that is to start within [withinS] seconds. */
+    /** At least [share] of the class's tasks start within [withinS] seconds. */
     data class Wait(
         val className: ClassName,
         val withinS: Double,
         val share: Double,
     ) : Objective
 
-    /** The [share] of a class's jobs that is to end by its deadline. */
+    /** At least [share] of the class's jobs end by their deadlines. */
     data class Deadline(
         val className: ClassName,
         val share: Double,
     ) : Objective
 
-    /** The [share] of the work within its team's guarantee that is to start within [withinS] seconds. */
+    /** At least [share] of the tasks within their team's guarantee start within [withinS] seconds. */
     data class Guarantee(
         val withinS: Double,
         val share: Double,
@@ -67,21 +67,22 @@
 }
 
 /**
- * How often workers send heartbeats, how long their leases last, and how soon cancelled work has to end; in seconds.
+ * The interval at which workers send heartbeats, the duration of their leases, and the time within which cancelled work
+ * must end; in seconds.
  */
 data class WorkerSettings(
-    val heartbeatS: Double,
+    val heartbeatIntervalS: Double,
     val leaseS: Double,
-    val cancelS: Double,
+    val cancelDeadlineS: Double,
 )
 
-/** What the state service takes: puts and deletes a second, the size of a value, and changes in one transaction. */
+/** The state service's limits: puts and deletes per second, a value's size in KB, and changes per transaction. */
 data class WriteLimits(
     val writeRps: Double,
     val valueKb: Double,
     val txnOps: Int,
 ) {
-    /** What is within both. */
+    /** The limits that satisfy both this and [other]. */
     fun lowest(other: WriteLimits) =
         WriteLimits(
             minOf(writeRps, other.writeRps),
@@ -90,7 +91,10 @@
         )
 }
 
-/** [next] are limits that the state service will have from some moment on that nobody announces. */
+/**
+ * The state service's limits: [rps] requests per second, and the [present] write limits. [next] are write limits to
+ * which the state service will switch at a time that is not announced.
+ */
 data class StateSettings(
     val rps: Double,
     val present: WriteLimits,
@@ -100,23 +104,27 @@
     val valueKb: Double get() = present.valueKb
     val txnOps: Int get() = present.txnOps
 
-    /** Taken whether or not the limits have changed yet. */
+    /** Write limits that hold both before and after the switch to [next]. */
     val lowest: WriteLimits get() = next?.lowest(present) ?: present
 }
 
-/** Requests per second that the cloud takes, and by how many seconds its list of machines may lag. */
+/** The cloud's limit of requests per second, and by how many seconds its list of machines may be out of date. */
 data class CloudSettings(
     val rps: Double,
     val listLagS: Double,
 )
 
-/** Memory in MB and open sockets that a controller may use. */
+/** The memory in MB and the number of open sockets that a controller may use. */
 data class LimitSettings(
     val memoryMb: Double,
     val maxSockets: Int,
 )
 
-/** Everything a controller is told at its start, checked. See the platform's settings file for each field. */
+/**
+ * The validated configuration of a controller: the platform's settings file, and the operators' [policy]. [label] and
+ * [zone] are this controller's own, [zones] are all zones of the platform. The wall clocks of any two controllers
+ * differ by at most [maxClockSkewMs].
+ */
 data class Settings(
     val label: String,
     val zone: Zone,
@@ -126,7 +134,7 @@
     val cloudAddress: Address,
     val stateAddress: Address,
     val zones: List<Zone>,
-    val skewMs: Double,
+    val maxClockSkewMs: Double,
     val teams: Map<TeamName, Team>,
     val objectives: List<Objective>,
     val workers: WorkerSettings,
@@ -135,5 +143,6 @@
     val limits: LimitSettings,
     val policy: Policy,
 ) {
-    val nodes: Int get() = peers.size + 1
+    /** The number of controllers in the deployment, including this one. */
+    val controllerCount: Int get() = peers.size + 1
 }
--- a/src/main/kotlin/oxbowlug/config/SettingsFile.kt
+++ b/src/main/kotlin/oxbowlug/config/SettingsFile.kt
@@ -7,9 +7,12 @@
 import oxbowlug.wire.TeamName
 import oxbowlug.wire.Zone
 
-/** Reads the platform's TOML file into checked [Settings]. Unknown fields are ignored. */
+/** Parses the platform's TOML settings file into validated [Settings]. Unknown fields are ignored. */
 object SettingsFile {
-    /** The settings of [text] under [policy]. Throws [InvalidSettings] with the path of the field that is wrong. */
+    /**
+     * Parses the file's contents, [text], and checks the regions of [policy] against its zones. Throws
+     * [InvalidSettings] with the path of the invalid field.
+     */
     fun parse(
         text: String,
         policy: Policy = Policy(),
@@ -28,7 +31,7 @@
         val cloud = shared.table("cloud")
         val limits = shared.tableOrEmpty("limits")
         val zones = zones(shared)
-        policy.regions.problem(zones)?.let { (region, problem) ->
+        policy.regions.findProblem(zones)?.let { (region, problem) ->
             throw InvalidSettings("policy.regions.$region: $problem")
         }
         return Settings(
@@ -43,7 +46,7 @@
             cloudAddress = outside.address("cloud"),
             stateAddress = outside.address("state"),
             zones = zones,
-            skewMs = shared.number("skew_ms", min = 0.0, default = 0.0),
+            maxClockSkewMs = shared.number("skew_ms", min = 0.0, default = 0.0),
             teams = shared.tables("teams").map(::team).associateBy { it.name },
             objectives = shared.tables("objectives").mapNotNull(::objective),
             workers = workers(workers),
@@ -87,12 +90,12 @@
     private fun workers(table: Table): WorkerSettings {
         val workers =
             WorkerSettings(
-                heartbeatS = table.positive("report_s"),
+                heartbeatIntervalS = table.positive("report_s"),
                 leaseS = table.positive("lease_s"),
-                cancelS = table.positive("cancel_s"),
+                cancelDeadlineS = table.positive("cancel_s"),
             )
-        // Every worker would lose its tasks between two reports.
-        if (workers.leaseS <= workers.heartbeatS) table.fail("lease_s", "must be more than report_s")
+        // Otherwise every worker's lease would expire between two heartbeats, and its tasks would end.
+        if (workers.leaseS <= workers.heartbeatIntervalS) table.fail("lease_s", "must be more than report_s")
         return workers
     }
 
@@ -110,7 +113,7 @@
         )
     }
 
-    /** Kinds that a later platform may add are passed over. */
+    /** Returns null for an unknown kind: a later version of the platform may add some. */
     private fun objective(table: Table): Objective? =
         when (table.text("kind")) {
             "wait" -> Objective.Wait(ClassName(table.text("class")), table.positive("within_s"), table.share())
@@ -125,7 +128,7 @@
         return value
     }
 
-    /** A table of the file with its path, so that every complaint names the whole field. */
+    /** A TOML table. [path] is the prefix of its fields' names, so that error messages name the whole path. */
     private class Table(
         private val node: JsonNode,
         private val path: String,
--- a/src/main/kotlin/oxbowlug/config/TomlTree.kt
+++ b/src/main/kotlin/oxbowlug/config/TomlTree.kt
@@ -9,13 +9,13 @@
 import com.fasterxml.jackson.dataformat.toml.TomlFactory
 
 /**
- * TOML as a tree of nodes, without an ObjectMapper: making one sets up date formats and locales that nobody uses here,
- * which took a sixth of a controller's start.
+ * Parses TOML into a tree of Jackson nodes without an ObjectMapper: creating one initializes date formats and locales,
+ * which are not needed here and took a sixth of a controller's start.
  */
 object TomlTree {
     private val nodes = JsonNodeFactory.instance
 
-    /** Reads [text] into a tree. Throws Jackson's exceptions where it isn't TOML. */
+    /** Parses [text]. Throws a [com.fasterxml.jackson.core.JacksonException] if it isn't valid TOML. */
     fun read(text: String): JsonNode =
         TomlFactory().createParser(text).use { parser ->
             if (parser.nextToken() == JsonToken.START_OBJECT) table(parser) else nodes.objectNode()
--- a/src/main/kotlin/oxbowlug/plan/Consolidation.kt
+++ b/src/main/kotlin/oxbowlug/plan/Consolidation.kt
@@ -99,7 +99,7 @@
         if (spec.types != null && host.type.name !in spec.types) return false
         if (spec.zone != null && host.zone != spec.zone) return false
         if (spec.oneZone && use.any { (zone, count) -> count > 0 && zone != host.zone }) return false
-        return (use[host.zone] ?: 0) < spec.zoneCap
+        return (use[host.zone] ?: 0) < spec.maxTasksPerZone
     }
 
     /** A moved replica is down for about a heartbeat, a plan and a start. */
--- a/src/main/kotlin/oxbowlug/plan/Constraints.kt
+++ b/src/main/kotlin/oxbowlug/plan/Constraints.kt
@@ -33,7 +33,7 @@
         if (job.spec.zone != null && job.spec.zone != zone) return false
         val only = fixed
         if (job.spec.oneZone && only != null && only != zone) return false
-        return used(zone) < job.spec.zoneCap
+        return used(zone) < job.spec.maxTasksPerZone
     }
 
     fun use(zone: Zone) {
--- a/src/main/kotlin/oxbowlug/plan/Pricing.kt
+++ b/src/main/kotlin/oxbowlug/plan/Pricing.kt
@@ -18,9 +18,9 @@
         startWeight: Double,
         snapshot: Snapshot,
     ): Double {
-        val runS = if (job.spec.kind == JobKind.SERVICE) serviceS(snapshot) else job.estimateS
-        val deadline = job.deadlineInS ?: (2.0 * job.estimateS)
-        val tardiness = maxOf(0.0, delayS + job.estimateS - deadline)
+        val runS = if (job.spec.kind == JobKind.SERVICE) serviceS(snapshot) else job.runEstimateS
+        val deadline = job.deadlineInS ?: (2.0 * job.runEstimateS)
+        val tardiness = maxOf(0.0, delayS + job.runEstimateS - deadline)
         val rent = type.share(need) * price / HOUR_S * runS
         return rent + omega(job, snapshot) * (tardiness + delayS * EAGERNESS) + omega(startWeight, snapshot) * delayS
     }
--- a/src/main/kotlin/oxbowlug/plan/Snapshot.kt
+++ b/src/main/kotlin/oxbowlug/plan/Snapshot.kt
@@ -26,7 +26,7 @@
     val zoneUse: Map<Zone, Int>,
     val waitedS: Double,
     /** Estimate of the run time; 0 for services. */
-    val estimateS: Double,
+    val runEstimateS: Double,
     /** Seconds until the deadline; null without one. */
     val deadlineInS: Double?,
     val weight: Double,
--- a/src/main/kotlin/oxbowlug/region/Regions.kt
+++ b/src/main/kotlin/oxbowlug/region/Regions.kt
@@ -2,15 +2,16 @@
 
 import oxbowlug.wire.Zone
 
-/** What is wrong with a region of the policy. */
+/** Why a [region] of the policy is invalid. */
 data class RegionProblem(
     val region: String,
     val problem: String,
 )
 
 /**
- * Which zones form a region: zones that can still reach one another while regions are apart. The platform's settings
- * know zones only, so this is the operators' policy; a zone that isn't in it is a region of its own.
+ * Groups zones into regions. The zones of a region can still reach one another during a network partition between
+ * regions. The platform's settings define zones only, so regions are part of the operators' policy; a zone that the
+ * policy doesn't name is a region of its own.
  */
 class Regions(
     private val zonesByRegion: Map<String, List<Zone>> = emptyMap(),
@@ -18,17 +19,17 @@
     private val regionOf: Map<Zone, String> =
         zonesByRegion.flatMap { (region, zones) -> zones.map { it to region } }.toMap()
 
-    /** Whether these zones are the same or in the same region. */
-    fun areTogether(
+    /** Whether [one] and [other] are the same zone, or zones of the same region. */
+    fun areInSameRegion(
         one: Zone,
         other: Zone,
     ): Boolean = one == other || regionOf[one].let { it != null && it == regionOf[other] }
 
-    /** Null if these regions can be used with these zones. */
-    fun problem(known: Collection<Zone>): RegionProblem? {
+    /** Returns null if all zones are among [knownZones] and none is in two regions, and otherwise the first problem. */
+    fun findProblem(knownZones: Collection<Zone>): RegionProblem? {
         for ((region, zones) in zonesByRegion) {
-            val stranger = zones.firstOrNull { it !in known }
-            if (stranger != null) return RegionProblem(region, "names $stranger, which is none of settings.zones")
+            val unknown = zones.firstOrNull { it !in knownZones }
+            if (unknown != null) return RegionProblem(region, "names $unknown, which is none of settings.zones")
             val shared = zones.firstOrNull { zone -> zonesByRegion.any { it.key != region && zone in it.value } }
             if (shared != null) return RegionProblem(region, "names $shared, which another region has")
         }
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -139,7 +139,7 @@
     }
 
     private fun releaseBatch() {
-        val batch = toRelease.take(CloudCodec.MAX_RETURNED)
+        val batch = toRelease.take(CloudCodec.MAX_RELEASED)
         log.info("release requested: machines={} {}", batch, decisions.describe())
         isReleaseInFlight = true
         cloud.releaseMachines(batch) { ok ->
--- a/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
@@ -60,7 +60,7 @@
             types.minOfOrNull { type ->
                 if (type.fetchGbPerS > 0.0) job.spec.imageGb / type.fetchGbPerS else 0.0
             } ?: 0.0
-        return ((job.spec.estimateS + fetchS) * MS_PER_S).toLong()
+        return ((job.spec.runEstimateS + fetchS) * MS_PER_S).toLong()
     }
 
     private fun earliest(
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -12,7 +12,7 @@
 import oxbowlug.port.TouchOutcome
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.ReadPage
-import oxbowlug.wire.StoreCodec
+import oxbowlug.wire.StateCodec
 import oxbowlug.wire.Transaction
 
 /**
@@ -29,7 +29,7 @@
     override fun commit(
         transaction: Transaction,
         done: (CommitOutcome) -> Unit,
-    ) = call(HttpMethod.POST, "/commit", StoreCodec.encode(transaction), timeoutMs, done) { result ->
+    ) = call(HttpMethod.POST, "/commit", StateCodec.encode(transaction), timeoutMs, done) { result ->
         when (result) {
             is CallResult.Answered -> commitOutcome(result)
             CallResult.NotSent -> CommitOutcome.Refused
@@ -40,9 +40,9 @@
     private fun commitOutcome(result: CallResult.Answered): CommitOutcome {
         val body = result.body
         return when (result.status) {
-            OK -> body?.let { CommitOutcome.Applied(StoreCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
-            CONFLICT -> CommitOutcome.Conflict(body?.let(StoreCodec::decodeFailed).orEmpty())
-            BAD_REQUEST -> if (StoreCodec.isLeaseOver(body)) CommitOutcome.LeaseOver else CommitOutcome.Invalid
+            OK -> body?.let { CommitOutcome.Applied(StateCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
+            CONFLICT -> CommitOutcome.Conflict(body?.let(StateCodec::decodeFailedConditions).orEmpty())
+            BAD_REQUEST -> if (StateCodec.isLeaseExpired(body)) CommitOutcome.LeaseOver else CommitOutcome.Invalid
             TOO_MANY_REQUESTS, UNAVAILABLE -> CommitOutcome.Refused
             else -> CommitOutcome.Unanswered
         }
@@ -55,7 +55,7 @@
     ) {
         val from = if (after == null) "" else "&from=$after"
         call(HttpMethod.GET, "/store?prefix=$prefix$from&limit=$PAGE_ENTRIES", null, timeoutMs, done) { result ->
-            result.bodyOf(OK)?.let(StoreCodec::decodePage)
+            result.bodyOf(OK)?.let(StateCodec::decodePage)
         }
     }
 
@@ -69,7 +69,7 @@
         call(HttpMethod.GET, path, null, timeoutMs + waitMs, done) { result ->
             val body = result.bodyOf(OK)
             when {
-                body != null -> ChangesOutcome.Read(StoreCodec.decodeChanges(body))
+                body != null -> ChangesOutcome.Read(StateCodec.decodeChanges(body))
                 result is CallResult.Answered && result.status == GONE -> ChangesOutcome.TooOld
                 else -> ChangesOutcome.Failed
             }
@@ -80,7 +80,7 @@
         lifeMs: Long,
         done: (Long?) -> Unit,
     ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to lifeMs), timeoutMs, done) { result ->
-        result.bodyOf(OK)?.let(StoreCodec::decodeLease)
+        result.bodyOf(OK)?.let(StateCodec::decodeLease)
     }
 
     override fun touch(
--- a/src/main/kotlin/oxbowlug/wire/Cbor.kt
+++ b/src/main/kotlin/oxbowlug/wire/Cbor.kt
@@ -8,27 +8,27 @@
 import java.io.IOException
 import java.math.BigInteger
 
-/** A body that is not CBOR, not a map, or nested too deep. */
+/** Thrown for a body that is not CBOR, not a map, or nested too deep. */
 class MalformedBody(
     message: String,
 ) : Exception(message)
 
 /**
- * CBOR to and from plain maps, lists, text, numbers, booleans and null, through Jackson's streaming
- * interface: no data binding, so nothing is looked up by reflection when the process starts.
+ * Converts between CBOR and maps, lists, strings, numbers, booleans and null. It uses Jackson's streaming API without
+ * data binding, which would look up classes by reflection when the process starts.
  */
 object Cbor {
     private const val MAX_DEPTH = 32
     private val factory = CBORFactory()
 
-    /** [value] holds maps, lists, texts, numbers, booleans and null only. */
+    /** Encodes [value], which may hold only maps, lists, strings, numbers, booleans and null. */
     fun encode(value: Map<String, Any?>): ByteArray {
         val out = ByteArrayOutputStream(256)
         factory.createGenerator(out).use { write(it, value) }
         return out.toByteArray()
     }
 
-    /** The map that [bytes] hold. Throws [MalformedBody] for anything else. */
+    /** Decodes [bytes], which must be exactly one map. Throws [MalformedBody] otherwise. */
     fun decode(bytes: ByteArray): Map<String, Any?> {
         try {
             factory.createParser(bytes).use { parser ->
@@ -86,7 +86,10 @@
             else -> throw MalformedBody("the body holds binary or unfinished data")
         }
 
-    /** Counts stay below 2^64, but no one counts past 2^63 honestly: larger ones are kept as floating point. */
+    /**
+     * CBOR integers are below 2^64, but no valid field exceeds 2^63. Larger ones become Double, and fields that require
+     * an integer reject them.
+     */
     private fun integer(parser: CBORParser): Any =
         when (val number = parser.numberValue) {
             is Int -> number.toLong()
--- a/src/main/kotlin/oxbowlug/wire/Cloud.kt
+++ b/src/main/kotlin/oxbowlug/wire/CloudMessages.kt
@@ -1,6 +1,9 @@
 package oxbowlug.wire
 
-/** A machine type of the cloud's catalogue. */
+/**
+ * A machine type of the cloud's catalogue. [cacheGb] is the size of its image cache, [fetchGbPerS] the rate at which it
+ * fetches images, [bootS] the time from a rental until the machine is ready. Prices are per machine and hour.
+ */
 data class MachineType(
     val name: TypeName,
     val cores: Double,
@@ -13,14 +16,14 @@
     val bootS: Double,
     val zones: List<Zone>,
 ) {
-    /** A slot is a GPU, or a core where there is no GPU. */
+    /** The number of slots. A slot is a GPU, or a core on a machine without GPUs. */
     val slots: Double get() = if (gpus > 0.0) gpus else cores
 
-    /** Rent per hour, of an ordinary or a spot machine. */
+    /** Rent per hour of a spot or an on-demand machine. */
     fun price(spot: Boolean): Double = if (spot) spotPrice else price
 }
 
-/** What the cloud says of a machine; [wire] is the protocol's word. */
+/** A machine's state in the cloud's list; [wire] is its value in the protocol. */
 enum class MachineState(
     val wire: String,
 ) {
@@ -29,7 +32,7 @@
     FAILED("failed"),
 }
 
-/** A machine in the cloud's list, [ageS] seconds after it was ordered. */
+/** A machine in the cloud's list. It was rented [ageS] seconds ago. */
 data class ListedMachine(
     val id: MachineId,
     val endpoint: String,
@@ -40,7 +43,7 @@
     val ageS: Double,
 )
 
-/** An order of [count] machines; repeated under the same [name] it orders nothing more. */
+/** A request to rent [count] machines. [name] is its idempotency key: a repeated request rents no further machines. */
 data class RentalRequest(
     val name: String,
     val type: TypeName,
@@ -49,13 +52,18 @@
     val count: Int,
 )
 
-/** Requests to the cloud and its answers. */
+/** Encodes requests to the cloud and decodes its responses. The field names are fixed by the published protocol. */
 object CloudCodec {
+    /** The maximum number of machines in one rental request. */
     const val MAX_RENTED = 50
-    const val MAX_RETURNED = 100
+
+    /** The maximum number of machines in one release request. */
+    const val MAX_RELEASED = 100
+
+    /** The maximum number of machines in one page of the list. */
     const val MAX_LISTED = 500
 
-    /** The catalogue. Throws [InvalidField], as all of these decoders do. */
+    /** Decodes the catalogue. Like all decoders of this object, it throws [InvalidField]. */
     fun decodeTypes(map: Map<String, Any?>): List<MachineType> =
         map.fields().maps("breeds").map { type ->
             MachineType(
@@ -72,7 +80,7 @@
             )
         }
 
-    /** The body of an order. */
+    /** Encodes the body of a rental request. */
     fun encodeRental(request: RentalRequest): Map<String, Any?> =
         mapOf(
             "hire" to request.name,
@@ -82,13 +90,13 @@
             "count" to request.count,
         )
 
-    /** The machines that an order brought; fewer than asked for where there was no more capacity. */
+    /** Decodes the machines that were rented: fewer than requested if the cloud ran out of capacity. */
     fun decodeRented(map: Map<String, Any?>): List<MachineId> = map.fields().texts("herd", MAX_LISTED).map(::MachineId)
 
-    /** The body of a release. */
-    fun encodeReturn(machines: List<MachineId>): Map<String, Any?> = mapOf("herd" to machines.map { it.value })
+    /** Encodes the body of a release request. */
+    fun encodeRelease(machines: List<MachineId>): Map<String, Any?> = mapOf("herd" to machines.map { it.value })
 
-    /** A page of the list, and whether more follow. */
+    /** Decodes a page of the list, and whether further pages follow. */
     fun decodeList(map: Map<String, Any?>): Pair<List<ListedMachine>, Boolean> {
         val fields = map.fields()
         val machines =
--- a/src/main/kotlin/oxbowlug/wire/Fields.kt
+++ b/src/main/kotlin/oxbowlug/wire/Fields.kt
@@ -1,23 +1,26 @@
 package oxbowlug.wire
 
-/** A field that is missing, mistyped or out of its bounds; [field] is its published name. */
+/** Thrown for a field that is missing, of the wrong type or out of range; [field] is its name in the protocol. */
 class InvalidField(
     val field: String,
     problem: String,
 ) : Exception("$field: $problem")
 
-/** Checked access to the fields of a decoded map. Unknown fields are simply never asked for. */
+/**
+ * Access to the fields of a decoded map with checks of their types and ranges. Unknown fields are ignored, and a null
+ * value counts as missing. The accessors throw [InvalidField].
+ */
 @JvmInline
 value class Fields(
     private val map: Map<String, Any?>,
 ) {
-    /** Whether the field is there and not null. */
+    /** Whether the field is present and not null. */
     fun has(name: String): Boolean = map[name] != null
 
-    /** A text of 1 to [maxLength] characters. Throws [InvalidField], as all of these do. */
+    /** A string of 1 to [maxLength] characters. */
     fun text(
         name: String,
-        maxLength: Int = MAX_TEXT,
+        maxLength: Int = MAX_TEXT_CHARS,
     ): String {
         val value = map[name] ?: throw InvalidField(name, "is missing")
         if (value !is String) throw InvalidField(name, "must be text")
@@ -25,10 +28,10 @@
         return value
     }
 
-    /** The same, or null where the field is missing. */
+    /** A string of 1 to [maxLength] characters, or null if the field is missing. */
     fun textOrNull(
         name: String,
-        maxLength: Int = MAX_TEXT,
+        maxLength: Int = MAX_TEXT_CHARS,
     ): String? = if (has(name)) text(name, maxLength) else null
 
     /** A boolean. */
@@ -39,7 +42,7 @@
             else -> throw InvalidField(name, "must be true or false")
         }
 
-    /** A boolean, or [default] where the field is missing. */
+    /** A boolean, or [default] if the field is missing. */
     fun flagOr(
         name: String,
         default: Boolean,
@@ -57,7 +60,7 @@
         return value
     }
 
-    /** A non-negative integer, or [default] where the field is missing. */
+    /** A non-negative integer, or [default] if the field is missing. */
     fun countOr(
         name: String,
         default: Long,
@@ -75,21 +78,21 @@
                 is Long -> value.toDouble()
                 else -> throw InvalidField(name, "must be a number")
             }
-        // NaN fails both comparisons, so the test is written for what is allowed.
+        // Both comparisons are false for NaN, so the condition must state the valid range to reject it.
         if (!(number >= 0.0 && number <= max)) throw InvalidField(name, "must be from 0 to $max")
         return number
     }
 
-    /** A number from 0 on, or null where the field is missing. */
+    /** A number from 0 to [MAX_AMOUNT], or null if the field is missing. */
     fun amountOrNull(name: String): Double? = if (has(name)) amount(name) else null
 
-    /** A number from 0 on, or [default] where the field is missing. */
+    /** A number from 0 to [MAX_AMOUNT], or [default] if the field is missing. */
     fun amountOr(
         name: String,
         default: Double,
     ): Double = if (has(name)) amount(name) else default
 
-    /** A list of at most [maxItems] texts. */
+    /** A list of at most [maxItems] strings. */
     fun texts(
         name: String,
         maxItems: Int,
@@ -100,14 +103,14 @@
         return value.map { it as? String ?: throw InvalidField(name, "must hold texts only") }
     }
 
-    /** A list of maps. */
+    /** A list of maps, each with checked access to its fields. */
     fun maps(name: String): List<Fields> {
         val value = map[name] ?: throw InvalidField(name, "is missing")
         if (value !is List<*>) throw InvalidField(name, "must be a list")
         return value.map { Fields(asMap(it, name)) }
     }
 
-    /** A map. */
+    /** A map whose values are not checked. */
     fun map(name: String): Map<String, Any?> = asMap(map[name] ?: throw InvalidField(name, "is missing"), name)
 
     private fun asMap(
@@ -120,12 +123,12 @@
         return result
     }
 
-    /** Bounds of fields that have none of their own. */
+    /** Limits of fields for which the caller gives none. */
     companion object {
-        const val MAX_TEXT = 200
+        const val MAX_TEXT_CHARS = 200
         const val MAX_AMOUNT = 1e12
     }
 }
 
-/** Checked access to the fields of this map. */
+/** Wraps this map for checked access to its fields. */
 fun Map<String, Any?>.fields(): Fields = Fields(this)
--- a/src/main/kotlin/oxbowlug/wire/Ids.kt
+++ b/src/main/kotlin/oxbowlug/wire/Ids.kt
@@ -1,17 +1,17 @@
 package oxbowlug.wire
 
-/** A job's id, as its user chose it. */
+/** A job's id, chosen by its user. */
 @JvmInline
 value class JobId(
     val value: String,
 ) {
     override fun toString(): String = value
 
-    /** Checks and reads what comes from outside. */
+    /** Validates ids in submissions. */
     companion object {
         private const val MAX_LENGTH = 100
 
-        /** Ids become keys of the state service and parts of paths, so only harmless characters are taken. */
+        /** Only letters, digits, `-`, `_` and `.` are valid: ids become parts of state service keys and URL paths. */
         fun isValid(text: String): Boolean =
             text.isNotEmpty() &&
                 text.length <= MAX_LENGTH &&
@@ -19,7 +19,7 @@
     }
 }
 
-/** A rented machine's name in the cloud. */
+/** The cloud's id of a rented machine. */
 @JvmInline
 value class MachineId(
     val value: String,
@@ -29,7 +29,7 @@
     override fun compareTo(other: MachineId): Int = value.compareTo(other.value)
 }
 
-/** A machine type's name in the cloud's catalogue. */
+/** The name of a machine type in the cloud's catalogue. */
 @JvmInline
 value class TypeName(
     val value: String,
@@ -37,7 +37,7 @@
     override fun toString(): String = value
 }
 
-/** A zone of the cloud. */
+/** The name of an availability zone of the cloud. */
 @JvmInline
 value class Zone(
     val value: String,
@@ -45,7 +45,7 @@
     override fun toString(): String = value
 }
 
-/** A team of the platform's settings. */
+/** The name of a team in the settings. */
 @JvmInline
 value class TeamName(
     val value: String,
@@ -53,7 +53,7 @@
     override fun toString(): String = value
 }
 
-/** A container image. */
+/** The name of a container image. */
 @JvmInline
 value class ImageName(
     val value: String,
@@ -61,7 +61,7 @@
     override fun toString(): String = value
 }
 
-/** A job's class, for objectives and weights. */
+/** The name of a job's class. Objectives and tardiness weights are set per class. */
 @JvmInline
 value class ClassName(
     val value: String,
@@ -69,7 +69,7 @@
     override fun toString(): String = value
 }
 
-/** The fencing token that workers compare: whoever holds the highest one may command them. */
+/** A leader's fencing token. A worker executes a command only if it has seen no higher token. */
 @JvmInline
 value class FencingToken(
     val value: Long,
@@ -79,16 +79,16 @@
     override fun toString(): String = value.toString()
 }
 
-/** One task of a job. */
+/** Identifies one task of a job by its zero-based [index]. */
 data class TaskId(
     val job: JobId,
     val index: Int,
 ) {
     override fun toString(): String = "$job/$index"
 
-    /** Checks and reads what comes from outside. */
+    /** Parses the text form of [toString]. */
     companion object {
-        /** The task of `JOB/INDEX`, or null if [text] is none. */
+        /** Parses `JOB/INDEX`. Returns null if [text] is not of this form. */
         fun parse(text: String): TaskId? {
             val slash = text.lastIndexOf('/')
             if (slash <= 0) return null
@@ -98,7 +98,7 @@
     }
 }
 
-/** One attempt at a task: what a worker is told to run. */
+/** Identifies one attempt at running a task. Workers start, stop and report attempts. */
 data class AttemptId(
     val task: TaskId,
     val number: Long,
--- a/src/main/kotlin/oxbowlug/wire/JobSpec.kt
+++ b/src/main/kotlin/oxbowlug/wire/JobSpec.kt
@@ -1,6 +1,6 @@
 package oxbowlug.wire
 
-/** How the tasks of a job belong together; [wire] is the protocol's word. */
+/** How the tasks of a job relate to one another; [wire] is the kind's value in the protocol. */
 enum class JobKind(
     val wire: String,
 ) {
@@ -10,11 +10,14 @@
     /** Replicas that run until the job is cancelled. */
     SERVICE("standing"),
 
-    /** Tasks that need one another: they are placed together or not at all. */
+    /** Tasks that can only run together: all of them are placed at once, or none. */
     GANG("group"),
 }
 
-/** From the most to the least urgent; only a more urgent one may displace another. */
+/**
+ * A job's priority, from the highest to the lowest: the constants are compared by their order. Apart from the
+ * guarantees of teams, only a job of a higher priority may preempt a task. [wire] is its value in the protocol.
+ */
 enum class Priority(
     val wire: String,
 ) {
@@ -24,7 +27,14 @@
     LOW("best_effort"),
 }
 
-/** What a user asks for. Immutable from submission on. */
+/**
+ * A job as its user specified it. It never changes after submission.
+ *
+ * The resources ([cores], [gpus], [memoryGb]) and the times are those of one task. [types] and [zone] restrict the
+ * machines that may be used; null allows all. With [oneZone], all tasks run in the same zone; with [spread], no zone
+ * has more than [maxTasksPerZone] of them; with [spot], spot machines are allowed. [runEstimateS] is the expected run
+ * time of a task, [saveS] the time that a task needs to save its work, and [deadlineS] counts from the submission.
+ */
 data class JobSpec(
     val id: JobId,
     val className: ClassName,
@@ -42,54 +52,61 @@
     val oneZone: Boolean,
     val spread: Boolean,
     val spot: Boolean,
-    val estimateS: Double,
+    val runEstimateS: Double,
     val checkpointS: Double,
     val saveS: Double,
     val deadlineS: Double?,
-    /** Jobs that have to be done before any task of this one starts; each named once. */
+    /** The jobs that must be done before any task of this job starts, without duplicates. */
     val dependsOn: List<JobId> = emptyList(),
 ) {
-    /** Under [spread], the most tasks that one zone may hold: half of them, rounded up. */
-    val zoneCap: Int get() = if (spread) (tasks + 1) / 2 else tasks
+    /** The maximum number of tasks in one zone: with [spread], half of all tasks, rounded up. */
+    val maxTasksPerZone: Int get() = if (spread) (tasks + 1) / 2 else tasks
 
+    /** Whether a task that is stopped can save its work. */
     val savesWork: Boolean get() = checkpointS > 0.0
 }
 
-/** Submissions, and job specifications as they are stored. */
+/**
+ * Encodes and decodes job specifications, both in submissions and as stored in the state service. The field names are
+ * fixed by the published protocol.
+ */
 object JobSpecCodec {
     const val MAX_TASKS = 100_000L
     const val DEPENDS_ON = "waits_on"
     const val TYPES = "breeds"
 
-    /** More than any pipeline is known to have; a specification's size in the state service is a bound as well. */
+    /**
+     * The maximum number of jobs that one job may depend on: more than any known pipeline needs. The size of a
+     * specification in the state service is limited as well.
+     */
     const val MAX_PREDECESSORS = 128
     private const val MAX_TYPES = 16
-    private const val MAX_NAME = 80
+    private const val MAX_NAME_CHARS = 80
     private const val MAX_SECONDS = 1e9
 
-    /** Throws [InvalidField] with the published name of a field that is missing or wrong. */
+    /** Decodes a specification. Throws [InvalidField] with the protocol's name of a missing or invalid field. */
     fun decode(map: Map<String, Any?>): JobSpec {
         val fields = map.fields()
         val id = fields.text("id")
         if (!JobId.isValid(id)) throw InvalidField("id", "holds characters that ids don't have")
         return JobSpec(
             id = JobId(id),
-            className = ClassName(fields.text("harness", MAX_NAME)),
-            team = TeamName(fields.text("yoke", MAX_NAME)),
+            className = ClassName(fields.text("harness", MAX_NAME_CHARS)),
+            team = TeamName(fields.text("yoke", MAX_NAME_CHARS)),
             kind = kindOf(fields),
-            priority = choice(fields.text("urgency"), "urgency", Priority.entries) { it.wire },
+            priority = enumConstant(fields.text("urgency"), "urgency", Priority.entries) { it.wire },
             tasks = fields.count("furrows", 1, MAX_TASKS).toInt(),
             cores = fields.amount("cores"),
             gpus = fields.amount("gpus"),
             memoryGb = fields.amount("mem_gb"),
-            image = ImageName(fields.text("seedbag", MAX_NAME)),
+            image = ImageName(fields.text("seedbag", MAX_NAME_CHARS)),
             imageGb = fields.amount("pull_gb"),
-            types = if (fields.has(TYPES)) types(fields.texts(TYPES, MAX_TYPES)) else null,
-            zone = fields.textOrNull("paddock", MAX_NAME)?.let(::Zone),
+            types = if (fields.has(TYPES)) parseTypes(fields.texts(TYPES, MAX_TYPES)) else null,
+            zone = fields.textOrNull("paddock", MAX_NAME_CHARS)?.let(::Zone),
             oneZone = fields.flag("same_place"),
             spread = fields.flag("scatter"),
             spot = fields.flag("stray"),
-            estimateS = fields.amount("haul_s", MAX_SECONDS),
+            runEstimateS = fields.amount("haul_s", MAX_SECONDS),
             checkpointS = fields.amount("rest_s", MAX_SECONDS),
             saveS = fields.amount("stow_s", MAX_SECONDS),
             deadlineS = fields.amountOrNull("dusk_s"),
@@ -97,7 +114,7 @@
         )
     }
 
-    /** The same fields that [decode] reads; those without a value are left out. */
+    /** Encodes the fields that [decode] reads, without those that have no value. */
     fun encode(spec: JobSpec): Map<String, Any?> {
         val map = LinkedHashMap<String, Any?>()
         map["id"] = spec.id.value
@@ -116,7 +133,7 @@
         map["same_place"] = spec.oneZone
         map["scatter"] = spec.spread
         map["stray"] = spec.spot
-        map["haul_s"] = spec.estimateS
+        map["haul_s"] = spec.runEstimateS
         map["rest_s"] = spec.checkpointS
         map["stow_s"] = spec.saveS
         spec.deadlineS?.let { map["dusk_s"] = it }
@@ -124,10 +141,10 @@
         return map
     }
 
-    /** The kind alone, for whoever doesn't need the whole specification. */
-    fun kindOf(fields: Fields): JobKind = choice(fields.text("gait"), "gait", JobKind.entries) { it.wire }
+    /** Decodes only the kind, for callers that don't need the whole specification. */
+    fun kindOf(fields: Fields): JobKind = enumConstant(fields.text("gait"), "gait", JobKind.entries) { it.wire }
 
-    /** The jobs that this one depends on, each once; empty where the field is missing. */
+    /** Decodes the jobs that this job depends on, without duplicates; empty if the field is missing. */
     fun predecessorsOf(fields: Fields): List<JobId> {
         if (!fields.has(DEPENDS_ON)) return emptyList()
         val names = fields.texts(DEPENDS_ON, MAX_PREDECESSORS)
@@ -135,15 +152,15 @@
         return names.distinct().map(::JobId)
     }
 
-    private fun types(names: List<String>): List<TypeName> {
-        if (names.any { it.isEmpty() || it.length > MAX_NAME }) throw InvalidField(TYPES, "holds an invalid name")
+    private fun parseTypes(names: List<String>): List<TypeName> {
+        if (names.any { it.isEmpty() || it.length > MAX_NAME_CHARS }) throw InvalidField(TYPES, "holds an invalid name")
         return names.map(::TypeName)
     }
 
-    private inline fun <T> choice(
+    private inline fun <T> enumConstant(
         text: String,
         field: String,
-        all: List<T>,
-        name: (T) -> String,
-    ): T = all.firstOrNull { name(it) == text } ?: throw InvalidField(field, "has an unknown value")
+        values: List<T>,
+        wireName: (T) -> String,
+    ): T = values.firstOrNull { wireName(it) == text } ?: throw InvalidField(field, "has an unknown value")
 }
--- a/src/main/kotlin/oxbowlug/wire/JsonSize.kt
+++ b/src/main/kotlin/oxbowlug/wire/JsonSize.kt
@@ -1,8 +1,8 @@
 package oxbowlug.wire
 
 /**
- * An upper bound of a value's size as JSON, the form in which the state service counts its limits: with a space after
- * each separator, and with whatever isn't plain ASCII escaped.
+ * An upper bound of this value's size in bytes as JSON. The state service's size limits apply to the JSON form, with a
+ * space after each separator and with all characters other than printable ASCII escaped.
  */
 fun Any?.sizeAsJson(): Int =
     when (this) {
@@ -13,7 +13,7 @@
         is Number -> toString().length
         is Map<*, *> ->
             2 +
-                entries.sumOf { (key, value) -> key.toString().sizeAsJson() + value.sizeAsJson() + SEPARATORS }
+                entries.sumOf { (key, value) -> key.toString().sizeAsJson() + value.sizeAsJson() + ENTRY_SEPARATORS }
         is Collection<*> -> 2 + sumOf { item -> item.sizeAsJson() + 2 }
         else -> throw IllegalArgumentException("no JSON for ${javaClass.name}")
     }
@@ -22,7 +22,9 @@
     when (character) {
         '"', '\\' -> 2
         in ' '..'~' -> 1
+        // \uXXXX
         else -> 6
     }
 
-private const val SEPARATORS = 4
+/** The size of a colon and a comma, each followed by a space. */
+private const val ENTRY_SEPARATORS = 4
--- a/src/main/kotlin/oxbowlug/wire/Worker.kt
+++ b/src/main/kotlin/oxbowlug/wire/WorkerMessages.kt
@@ -1,6 +1,6 @@
 package oxbowlug.wire
 
-/** What a worker says of a task; [wire] is the protocol's word. */
+/** The state of a task in a worker's heartbeat; [wire] is its value in the protocol. */
 enum class TaskState(
     val wire: String,
 ) {
@@ -11,24 +11,37 @@
     EXITED("exited"),
 }
 
-/** Why a task has exited; [wire] is the protocol's word. */
+/**
+ * Why an attempt at a task has exited; [wire] is its value in the protocol. All causes other than [DONE], [STOPPED] and
+ * [ERROR] count as a refused start.
+ */
 enum class ExitCause(
     val wire: String,
 ) {
     DONE("done"),
     STOPPED("stopped"),
     ERROR("error"),
+
+    /** The machine has too few free resources. */
     FULL("full"),
+
+    /** Another attempt at the same task is on the machine. */
     BUSY("busy"),
+
+    /** The worker has no specification of the job. */
     UNKNOWN("unknown"),
+
+    /** The other tasks of the gang are gone. */
     PEERS_GONE("mates_gone"),
+
+    /** Some of the gang's tasks have not started. */
     ALONE("incomplete"),
 
-    /** A cause that a later protocol may add: an exit all the same. */
+    /** A cause that this version does not know, and that a later protocol may add. The attempt has exited. */
     OTHER(""),
 }
 
-/** One task of a heartbeat; [cause] is there once it has exited, [saved] whether its work was saved. */
+/** One task in a heartbeat. [cause] is set once the task has exited; [saved] says whether its work was saved. */
 data class TaskStatus(
     val attempt: AttemptId,
     val state: TaskState,
@@ -36,7 +49,11 @@
     val saved: Boolean,
 )
 
-/** One worker's account of itself. The larger (incarnation, sequence) is the newer one. */
+/**
+ * A worker's report of its machine and its tasks. Of two heartbeats of one machine, the one with the larger
+ * ([incarnation], [sequence]) is newer. [token] is the highest fencing token that the worker has received. On a spot
+ * machine that the cloud is about to reclaim, [interruptionNoticeS] is the number of seconds until then.
+ */
 data class WorkerHeartbeat(
     val machine: MachineId,
     val endpoint: String,
@@ -46,46 +63,46 @@
     val incarnation: Long,
     val sequence: Long,
     val token: FencingToken,
-    val noticeS: Double?,
+    val interruptionNoticeS: Double?,
     val tasks: List<TaskStatus>,
 ) {
-    /** Whether this is newer than the message of that incarnation and sequence. */
+    /** Whether this heartbeat is newer than the one with [otherIncarnation] and [otherSequence]. */
     fun isNewerThan(
-        otherSession: Long,
+        otherIncarnation: Long,
         otherSequence: Long,
-    ): Boolean = incarnation > otherSession || (incarnation == otherSession && sequence > otherSequence)
+    ): Boolean = incarnation > otherIncarnation || (incarnation == otherIncarnation && sequence > otherSequence)
 }
 
-/** What a worker is told about one attempt. */
+/** A command to a worker about one attempt. */
 sealed interface WorkerCommand {
     val attempt: AttemptId
 
-    /** Run it; no effect if it is known there already. */
+    /** Start the attempt. Has no effect if the worker already has it. */
     data class Start(
         override val attempt: AttemptId,
     ) : WorkerCommand
 
-    /** Stop it, with [graceS] seconds to save its work. */
+    /** Stop the attempt, with [graceS] seconds to save its work. */
     data class Stop(
         override val attempt: AttemptId,
         val graceS: Double,
     ) : WorkerCommand
 
-    /** Drop what is known of an attempt that has exited. */
+    /** Remove the record of an attempt that has exited. */
     data class Forget(
         override val attempt: AttemptId,
     ) : WorkerCommand
 }
 
-/** Heartbeats from workers and commands to them. */
+/** Encodes commands to workers and decodes their heartbeats. The field names are fixed by the published protocol. */
 object WorkerCodec {
-    private const val MAX_REPORTED = 4096
+    private const val MAX_TASKS = 4096
 
-    /** Throws [InvalidField] where a field is missing or wrong. */
+    /** Decodes a heartbeat. Throws [InvalidField] if a field is missing or invalid. */
     fun decodeHeartbeat(map: Map<String, Any?>): WorkerHeartbeat {
         val fields = map.fields()
         val tasks = fields.maps("furrows")
-        if (tasks.size > MAX_REPORTED) throw InvalidField("furrows", "has more than $MAX_REPORTED items")
+        if (tasks.size > MAX_TASKS) throw InvalidField("furrows", "has more than $MAX_TASKS items")
         return WorkerHeartbeat(
             machine = MachineId(fields.text("beast")),
             endpoint = fields.text("endpoint"),
@@ -95,7 +112,7 @@
             incarnation = fields.count("shift"),
             sequence = fields.count("tally"),
             token = FencingToken(fields.countOr("brand", 0)),
-            noticeS = fields.amountOrNull("whistle_s"),
+            interruptionNoticeS = fields.amountOrNull("whistle_s"),
             tasks = tasks.map(::decodeTask),
         )
     }
@@ -112,14 +129,14 @@
         )
     }
 
-    /** The answer to a heartbeat, which renews the worker's lease. */
-    fun encodeAnswer(
+    /** Encodes the response to a heartbeat. The response renews the worker's lease. */
+    fun encodeResponse(
         token: FencingToken,
         commands: List<WorkerCommand>,
     ): Map<String, Any?> = mapOf("brand" to token.value, "calls" to commands.map(::encodeCommand))
 
-    /** Commands sent straight to a worker, valid for [incarnation] of it under [token]. */
-    fun encodeDirect(
+    /** Encodes a request that the controller sends to a worker, valid only for its [incarnation] under [token]. */
+    fun encodeDirectCommands(
         token: FencingToken,
         incarnation: Long,
         commands: List<WorkerCommand>,
--- a/src/test/kotlin/oxbowlug/config/ConfigTest.kt
+++ b/src/test/kotlin/oxbowlug/config/ConfigTest.kt
@@ -10,32 +10,32 @@
 
 internal class ConfigTest {
     @Test
-    fun `valid settings are read, and a limit of 0 is none`() {
+    fun `valid settings are parsed, and a limit of 0 means no limit`() {
         val settings = SettingsFile.parse(SampleSettings.valid)
         val team = settings.teams.getValue(TeamName("vision"))
         assertEquals(16.0, team.maxGpus)
         assertEquals(Double.POSITIVE_INFINITY, team.maxCores)
-        assertEquals(2, settings.nodes)
+        assertEquals(2, settings.controllerCount)
         assertEquals(Address("127.0.0.4", 2379), settings.stateAddress)
     }
 
     @Test
-    fun `unknown fields and objectives are passed over`() {
+    fun `unknown fields and kinds of objectives are ignored`() {
         val text = "colour = \"green\"\n" + SampleSettings.valid.replace("kind = \"wait\"", "kind = \"taste\"")
         assertEquals(emptyList<Objective>(), SettingsFile.parse(text).objectives)
     }
 
     @Test
-    fun `limits that the state service is going to have are taken with the present ones`() {
-        val coming = "[settings.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\n[settings.cloud]"
-        val state = SettingsFile.parse(SampleSettings.valid.replace("[settings.cloud]", coming)).state
+    fun `the lowest write limits cover both the present and the next ones`() {
+        val next = "[settings.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\n[settings.cloud]"
+        val state = SettingsFile.parse(SampleSettings.valid.replace("[settings.cloud]", next)).state
         assertEquals(WriteLimits(15.0, 2.0, state.txnOps), state.lowest)
-        val present = SettingsFile.parse(SampleSettings.valid).state
-        assertEquals(present.present, present.lowest)
+        val withoutNext = SettingsFile.parse(SampleSettings.valid).state
+        assertEquals(withoutNext.present, withoutNext.lowest)
     }
 
     @Test
-    fun `a wrong setting is named with its whole path`() {
+    fun `the error of an invalid setting begins with its path`() {
         val cases =
             mapOf(
                 ("label = \"n0\"" to "") to "label",
@@ -68,7 +68,7 @@
     }
 
     @Test
-    fun `a policy sets what it names and leaves the rest`() {
+    fun `a policy overrides the keys that it sets and keeps the other defaults`() {
         val policy = PolicyFile.parse("local h = 20 return { replan_s = h * 2, class_weights = { train = 3 } }")
         assertEquals(40.0, policy.replanS)
         assertEquals(mapOf(ClassName("train") to 3.0), policy.classWeights)
@@ -76,7 +76,7 @@
     }
 
     @Test
-    fun `a wrong policy is named and never hangs`() {
+    fun `an invalid policy is rejected with its key, and an endless loop is aborted`() {
         val cases =
             mapOf(
                 "return { speed = 1 }" to "policy.speed",
--- a/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
@@ -50,7 +50,7 @@
         oneZone = false,
         spread = false,
         spot = false,
-        estimateS = 0.0,
+        runEstimateS = 0.0,
         checkpointS = 0.0,
         saveS = 0.0,
         deadlineS = null,
@@ -65,7 +65,7 @@
         IntArray(spec.tasks) { it },
         emptyMap(),
         1.0,
-        spec.estimateS,
+        spec.runEstimateS,
         deadlineInS,
         1.0,
         emptySet(),
@@ -198,8 +198,8 @@
 
     @Test
     fun `ranking goes by priority, then by what postponing costs`() {
-        val late = job(spec("run-1", JobKind.ARRAY, Priority.NORMAL).copy(estimateS = 50.0), deadlineInS = 60.0)
-        val early = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL).copy(estimateS = 50.0), deadlineInS = 600.0)
+        val late = job(spec("run-1", JobKind.ARRAY, Priority.NORMAL).copy(runEstimateS = 50.0), deadlineInS = 60.0)
+        val early = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL).copy(runEstimateS = 50.0), deadlineInS = 600.0)
         val urgent = job(spec("run-3", priority = Priority.HIGH))
         val order = Ranking.order(listOf(early, late, urgent), 30.0, 100.0).map { it.id.value }
         assertEquals(listOf("run-3", "run-1", "run-2"), order)
@@ -384,7 +384,7 @@
     fun `spot work leaves ordinary room that can't be had again to those who need it`() {
         // Found on the bench: all ordinary machines were rented, arrays filled them, and replicas waited for stops
         // while spot machines could be had.
-        val array = spec("run-1", JobKind.ARRAY, Priority.NORMAL, tasks = 8).copy(spot = true, estimateS = 100.0)
+        val array = spec("run-1", JobKind.ARRAY, Priority.NORMAL, tasks = 8).copy(spot = true, runEstimateS = 100.0)
         val refused =
             listOf(a, b).associate {
                 MachineKind(g8.name, it, false) to
@@ -401,7 +401,7 @@
         assertEquals(emptyList<Start>(), yielding.starts)
         val late = plan(snapshot(listOf(job(array, 100.0)), listOf(machine("m1")), refusals = refused))
         assertEquals(8, late.starts.size, "a boot would make it late")
-        val short = job(array.copy(estimateS = 20.0), 300.0)
+        val short = job(array.copy(runEstimateS = 20.0), 300.0)
         val brief = plan(snapshot(listOf(short), listOf(machine("m1")), refusals = refused))
         assertEquals(8, brief.starts.size, "it ends before a spot machine is up")
         val plenty = plan(snapshot(listOf(job(array, 300.0)), listOf(machine("m1"))))
--- a/src/test/kotlin/oxbowlug/region/RegionsTest.kt
+++ b/src/test/kotlin/oxbowlug/region/RegionsTest.kt
@@ -19,36 +19,36 @@
     private val members = listOf("n0", "n1", "n2").map { Member(it, "life") }
 
     @Test
-    fun `zones are together in a region, and a zone without one is alone`() {
-        assertTrue(regions.areTogether(zones[0], zones[1]))
-        assertFalse(regions.areTogether(zones[1], zones[2]))
-        assertTrue(regions.areTogether(zones[4], zones[4]))
-        assertFalse(regions.areTogether(zones[4], Zone("f")), "two zones that no region names")
-        assertFalse(Regions().areTogether(zones[0], zones[1]))
+    fun `zones are in the same region if the policy says so, and otherwise each is a region of its own`() {
+        assertTrue(regions.areInSameRegion(zones[0], zones[1]))
+        assertFalse(regions.areInSameRegion(zones[1], zones[2]))
+        assertTrue(regions.areInSameRegion(zones[4], zones[4]))
+        assertFalse(regions.areInSameRegion(zones[4], Zone("f")), "zones that no region names")
+        assertFalse(Regions().areInSameRegion(zones[0], zones[1]))
     }
 
     @Test
-    fun `a zone's own controller renews it, and otherwise the least burdened one of its region`() {
+    fun `the delegate of a zone is a controller in it, or else the one of its region with the fewest zones`() {
         class Case(
             val name: String,
-            val standing: Map<String, Zone>,
+            val zoneByLabel: Map<String, Zone>,
             val loads: List<Int>,
             val expected: String?,
         )
 
         val cases =
             listOf(
-                Case("one in the zone", mapOf("n0" to zones[0], "n1" to zones[1]), listOf(0, 5, 0), "n1"),
-                Case("one in the region", mapOf("n0" to zones[0], "n2" to zones[2]), listOf(3, 0, 0), "n0"),
-                Case("none in the region", mapOf("n2" to zones[2]), listOf(0, 0, 0), null),
-                Case("the least burdened", mapOf("n0" to zones[0], "n1" to zones[0]), listOf(2, 1, 0), "n1"),
-                Case("equally burdened", mapOf("n0" to zones[0], "n1" to zones[0]), listOf(1, 1, 0), "n0"),
+                Case("a controller in the zone", mapOf("n0" to zones[0], "n1" to zones[1]), listOf(0, 5, 0), "n1"),
+                Case("a controller in the region", mapOf("n0" to zones[0], "n2" to zones[2]), listOf(3, 0, 0), "n0"),
+                Case("no controller in the region", mapOf("n2" to zones[2]), listOf(0, 0, 0), null),
+                Case("the lowest load", mapOf("n0" to zones[0], "n1" to zones[0]), listOf(2, 1, 0), "n1"),
+                Case("equal loads", mapOf("n0" to zones[0], "n1" to zones[0]), listOf(1, 1, 0), "n0"),
             )
         for (case in cases) {
-            val present = members.filter { it.label in case.standing }
-            val choice = DelegateChoice(regions, case.standing)
-            val candidates = present.map { DelegateChoice.Candidate(it, it.label, case.loads[members.indexOf(it)]) }
-            val chosen = choice.choose(zones[1], candidates)
+            val reachable = members.filter { it.label in case.zoneByLabel }
+            val selector = DelegateSelector(regions, case.zoneByLabel)
+            val candidates = reachable.map { DelegateSelector.Candidate(it, it.label, case.loads[members.indexOf(it)]) }
+            val chosen = selector.choose(zones[1], candidates)
             assertEquals(case.expected, chosen?.label, case.name)
         }
     }
@@ -71,9 +71,9 @@
             assertTrue(error.message.orEmpty().startsWith(expected), "$script: ${error.message}")
         }
         val shipped = PolicyFile.parse(File("deploy/regions.lua").readText())
-        assertTrue(shipped.regions.areTogether(Zone("a"), Zone("b")), "the example that is shipped")
-        val read = PolicyFile.parse("return { regions = { north = { 'a', 'b' } } }")
-        val settings = SettingsFile.parse(SampleSettings.valid, read)
-        assertTrue(settings.policy.regions.areTogether(Zone("a"), Zone("b")))
+        assertTrue(shipped.regions.areInSameRegion(Zone("a"), Zone("b")), "the shipped example")
+        val policy = PolicyFile.parse("return { regions = { north = { 'a', 'b' } } }")
+        val settings = SettingsFile.parse(SampleSettings.valid, policy)
+        assertTrue(settings.policy.regions.areInSameRegion(Zone("a"), Zone("b")))
     }
 }
--- a/src/test/kotlin/oxbowlug/wire/CborMessagesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/CborMessagesTest.kt
@@ -8,7 +8,7 @@
     private fun bytes(vararg values: Int) = ByteArray(values.size) { values[it].toByte() }
 
     @Test
-    fun `what isn't one CBOR map is refused`() {
+    fun `a body that isn't exactly one CBOR map is rejected`() {
         val nested = ByteArray(80) { 0x81.toByte() } + bytes(0)
         val cases =
             listOf(
@@ -28,7 +28,7 @@
     }
 
     @Test
-    fun `values come back as they went`() {
+    fun `encoding and decoding preserve all values`() {
         val map =
             mapOf(
                 "null" to null,
@@ -44,7 +44,7 @@
     }
 
     @Test
-    fun `a report is read, and a malformed one is named`() {
+    fun `a heartbeat is decoded, and an invalid field is named in the error`() {
         val valid =
             mapOf(
                 "beast" to "host-1",
@@ -62,9 +62,9 @@
                         mapOf("furrow" to "run-2/0", "try" to 1L, "stance" to "exited", "cause" to "mislaid"),
                     ),
             )
-        val report = WorkerCodec.decodeHeartbeat(valid)
-        assertEquals(AttemptId(TaskId(JobId("run-1"), 3), 2), report.tasks[0].attempt)
-        assertEquals(ExitCause.OTHER, report.tasks[1].cause)
+        val heartbeat = WorkerCodec.decodeHeartbeat(valid)
+        assertEquals(AttemptId(TaskId(JobId("run-1"), 3), 2), heartbeat.tasks[0].attempt)
+        assertEquals(ExitCause.OTHER, heartbeat.tasks[1].cause)
         val wrong =
             mapOf(
                 "beast" to null,
--- a/src/test/kotlin/oxbowlug/wire/JobSpecCodecTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/JobSpecCodecTest.kt
@@ -8,7 +8,7 @@
 
 internal class JobSpecCodecTest {
     @Test
-    fun `a spec survives its encoding`() {
+    fun `encoding and decoding preserve a specification`() {
         val spec = JobSpecCodec.decode(valid())
         assertEquals(spec, JobSpecCodec.decode(Cbor.decode(Cbor.encode(JobSpecCodec.encode(spec)))))
         assertEquals(16, spec.tasks)
@@ -17,7 +17,7 @@
     }
 
     @Test
-    fun `jobs to wait for are named once each, and none is the same as an empty list`() {
+    fun `duplicate dependencies are removed, and a missing list is the same as an empty one`() {
         val cases =
             mapOf(
                 listOf("run-2", "run-1", "run-2") to listOf(JobId("run-2"), JobId("run-1")),
@@ -43,7 +43,7 @@
 
     @ParameterizedTest
     @MethodSource("invalid")
-    fun `an invalid field is named`(case: Pair<String, Any?>) {
+    fun `an invalid field is named in the error`(case: Pair<String, Any?>) {
         val (field, value) = case
         val error = assertThrows(InvalidField::class.java) { JobSpecCodec.decode(valid() + (field to value)) }
         assertEquals(field, error.field)
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -35,8 +35,8 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Bytes as they were written when the code was cut into packages: stored values of data format 2, frames between
- * controllers, and every request and answer over HTTP. Other versions, workers, users and stored data rely on them.
+ * Compares encoded bytes with recorded ones: stored values of data format 2, frames between controllers, and HTTP
+ * requests and responses. Other versions, workers, users and stored data depend on them.
  */
 internal class WireBytesTest {
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
@@ -51,37 +51,37 @@
     private fun bits(vararg indexes: Int) = BitSet().apply { indexes.forEach(::set) }
 
     @Test
-    fun `stored values, frames and bodies are the bytes they were`() {
+    fun `stored values, frames and bodies have not changed`() {
         assertSame("bodies", values() + frames())
     }
 
     @Test
-    fun `requests to state service, cloud and workers are the bytes they were`() {
+    fun `requests to the state service, cloud and workers have not changed`() {
         assertSame("requests", requests())
     }
 
     private fun values(): Map<String, ByteArray> {
         val placements = (0 until 40).associateWith { Placement(MachineId("host-%06d".format(it)), 3L) }
-        val wide = JobRecord(spec.copy(tasks = 60), 123, Phase.ACTIVE, bits(41, 43, 50), 4, placements, "n0-x-2")
-        val form = RecordLayout(WriteLimits(30.0, 0.75, 12)).split(wide.encode()) ?: error("it is too large")
-        val parts = form.parts.withIndex().associate { (index, part) -> "part $index" to part }
+        val record = JobRecord(spec.copy(tasks = 60), 123, Phase.ACTIVE, bits(41, 43, 50), 4, placements, "n0-x-2")
+        val stored = RecordLayout(WriteLimits(30.0, 0.75, 12)).split(record.encode()) ?: error("it is too large")
+        val parts = stored.parts.withIndex().associate { (index, part) -> "part $index" to part }
         val transaction =
             Transaction(
                 listOf(Condition("ox/a", 7), Condition("ox/b", 0)),
                 listOf(Change.Put("ox/a", mapOf("x" to 1L)), Change.Put("ox/m", emptyMap(), 5), Change.Delete("ox/c")),
             )
-        val view = JobStatus(JobId("run-1"), JobState.RUNNING, 3, 2)
+        val status = JobStatus(JobId("run-1"), JobState.RUNNING, 3, 2)
         val bodies =
             mapOf(
-                "head" to form.head,
+                "head" to stored.head,
                 "format" to DataFormat.encode(DataFormat.NEWEST),
-                "transaction" to StoreCodec.encode(transaction),
-                "report answer" to WorkerCodec.encodeAnswer(FencingToken(9), commands),
-                "direct command" to WorkerCodec.encodeDirect(FencingToken(9), 4, commands),
-                "redirect" to AnswerCodec.redirect("n1"),
-                "accepted" to AnswerCodec.accepted(view),
-                "polled" to AnswerCodec.polled(view),
-                "problem" to AnswerCodec.problem("a field is missing"),
+                "transaction" to StateCodec.encode(transaction),
+                "report answer" to WorkerCodec.encodeResponse(FencingToken(9), commands),
+                "direct command" to WorkerCodec.encodeDirectCommands(FencingToken(9), 4, commands),
+                "redirect" to ResponseCodec.redirect("n1"),
+                "accepted" to ResponseCodec.accepted(status),
+                "polled" to ResponseCodec.polled(status),
+                "problem" to ResponseCodec.problem("a field is missing"),
                 "keys" to
                     mapOf(
                         "all" to Keys.ROOT,
@@ -123,7 +123,7 @@
                 mayConfirm = true,
             )
         val cancelled = CancellationNotice.Cancelled(self, Cancellation(JobId("run-1"), 9, record.encode()))
-        val known =
+        val acknowledged =
             CancellationNotice.Acknowledged(
                 self,
                 listOf(Acknowledgement(JobId("run-1"), isTerminationProven = true)),
@@ -131,17 +131,17 @@
         return mapOf(
             "frame heartbeat" to PeerFrames.encode(heartbeat),
             "frame cancelled" to PeerFrames.encode(cancelled),
-            "frame acknowledged" to PeerFrames.encode(known),
+            "frame acknowledged" to PeerFrames.encode(acknowledged),
             "frame images" to PeerFrames.encode(mapOf(MachineId("host-1") to listOf(ImageName("img-1")))),
         ).mapValues { (_, frame) -> frame.readByteArray() }
     }
 
-    /** Every call of every client, as its server gets it. */
+    /** The body of each client call by method and URI, as the server receives it. */
     private fun requests(): Map<String, ByteArray> {
         val vertx = Vertx.vertx()
-        val seen = LinkedHashMap<String, ByteArray>()
+        val received = LinkedHashMap<String, ByteArray>()
         try {
-            val server = runBlocking { listen(vertx, seen) }
+            val server = runBlocking { listen(vertx, received) }
             callAll(vertx, Address("127.0.0.1", server.actualPort()))
         } finally {
             vertx
@@ -150,18 +150,18 @@
                 .toCompletableFuture()
                 .get(CALL_S, TimeUnit.SECONDS)
         }
-        return seen
+        return received
     }
 
     private suspend fun listen(
         vertx: Vertx,
-        seen: MutableMap<String, ByteArray>,
+        received: MutableMap<String, ByteArray>,
     ): HttpServer =
         vertx
             .createHttpServer()
             .requestHandler { request: HttpServerRequest ->
                 request.body().onSuccess { body: Buffer ->
-                    seen["${request.method()} ${request.uri()}"] = body.bytes
+                    received["${request.method()} ${request.uri()}"] = body.bytes
                     request.response().setStatusCode(503).end()
                 }
             }.listen(0, "127.0.0.1")
@@ -200,18 +200,18 @@
                 },
             )
         for (call in calls) {
-            val answered = CompletableFuture<Unit>()
-            call { answered.complete(Unit) }
-            answered.get(CALL_S, TimeUnit.SECONDS)
+            val completed = CompletableFuture<Unit>()
+            call { completed.complete(Unit) }
+            completed.get(CALL_S, TimeUnit.SECONDS)
         }
     }
 
     private fun assertSame(
         fixture: String,
-        found: Map<String, ByteArray>,
+        actual: Map<String, ByteArray>,
     ) {
         val hex = HexFormat.of()
-        val text = found.entries.joinToString("\n") { (name, bytes) -> "$name: ${hex.formatHex(bytes)}" }
+        val text = actual.entries.joinToString("\n") { (name, bytes) -> "$name: ${hex.formatHex(bytes)}" }
         val expected = javaClass.getResource("/production/$fixture.txt")?.readText().orEmpty()
         assertEquals(expected.lines().filter { it.isNotBlank() && !it.startsWith("#") }.joinToString("\n"), text)
     }
