--- a/src/test/kotlin/oxbowlug/architecture/PackageGraphTest.kt
+++ b/src/test/kotlin/oxbowlug/architecture/PackageGraphTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test
 import java.io.File
 
-/** What docs/architecture.md says of the packages holds for the compiled classes and the source files. */
+/** Checks the package rules of docs/architecture.md on the compiled classes and the source files. */
 class PackageGraphTest {
     private val classes: JavaClasses =
         ClassFileImporter()
@@ -20,7 +20,7 @@
     private val sources = File("src/main/kotlin").walk().filter { it.extension == "kt" }.toList()
 
     @Test
-    fun `no packages depend on one another in a cycle`() {
+    fun `package dependencies have no cycles`() {
         assertTrue(classes.size > MIN_CLASSES, "only ${classes.size} classes were found")
         slices()
             .matching("$ROOT.(**)")
@@ -30,10 +30,10 @@
     }
 
     @Test
-    fun `only adapters and the entry point do input and output`() {
+    fun `the core packages do no input or output`() {
         noClasses()
             .that()
-            .resideInAnyPackage(*DECIDING.map { "$ROOT.$it.." }.toTypedArray())
+            .resideInAnyPackage(*CORE_PACKAGES.map { "$ROOT.$it.." }.toTypedArray())
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage("io.vertx..", "okio..", "java.net..", "java.nio..", "kotlinx.coroutines..")
@@ -41,13 +41,13 @@
     }
 
     @Test
-    fun `the planner knows nothing of the state that it plans for`() {
+    fun `the planner depends on no core package but its own and resource`() {
         noClasses()
             .that()
             .resideInAPackage("$ROOT.plan..")
             .should()
             .dependOnClassesThat()
-            .resideInAnyPackage(*(DECIDING - PLANNER_NEEDS).map { "$ROOT.$it.." }.toTypedArray())
+            .resideInAnyPackage(*(CORE_PACKAGES - PLANNER_DEPENDENCIES).map { "$ROOT.$it.." }.toTypedArray())
             .check(classes)
     }
 
@@ -67,8 +67,8 @@
         const val MAX_FILES_IN_PACKAGE = 15
         const val MAX_LINES = 300
 
-        /** The packages that hold state and decide, each by what it is given. */
-        val DECIDING =
+        /** The core packages: they hold state and make decisions, with all input and output through ports. */
+        val CORE_PACKAGES =
             setOf(
                 "cache",
                 "cancellation",
@@ -91,6 +91,6 @@
                 "scheduling",
                 "timing",
             )
-        val PLANNER_NEEDS = setOf("plan", "resource")
+        val PLANNER_DEPENDENCIES = setOf("plan", "resource")
     }
 }
--- a/src/test/kotlin/oxbowlug/knownred/KnownRedExtension.kt
+++ b/src/test/kotlin/oxbowlug/knownred/KnownRedExtension.kt
@@ -6,7 +6,7 @@
 import java.io.File
 import java.lang.reflect.Method
 
-/** Applies `KNOWN-RED.txt` at the project's root to every test; JUnit finds it by `META-INF/services`. */
+/** Applies `KNOWN-RED.txt` in the project's root to every test. JUnit loads this extension by `META-INF/services`. */
 internal class KnownRedExtension : InvocationInterceptor {
     override fun interceptTestMethod(
         invocation: InvocationInterceptor.Invocation<Void?>,
--- a/src/test/kotlin/oxbowlug/knownred/KnownRedList.kt
+++ b/src/test/kotlin/oxbowlug/knownred/KnownRedList.kt
@@ -2,21 +2,21 @@
 
 import org.opentest4j.TestAbortedException
 
-/** A test that may fail for now, as one line of `KNOWN-RED.txt` states it: the test, the cause and the issue. */
+/** One line of `KNOWN-RED.txt`: a test that is known to fail, the cause, and the issue that tracks it. */
 internal data class KnownRed(
     val test: String,
     val cause: String,
     val issue: String,
 )
 
-/** Thrown for a list, or a listed test, that isn't what it has to be. */
+/** Thrown for a malformed list, and for a listed test that passes, is skipped or doesn't exist. */
 internal class KnownRedError(
     message: String,
 ) : AssertionError(message)
 
 /**
- * The tests that may fail for now. Each still runs: its failure is printed and passed over, and its success is a
- * failure, so that no line outlives the fault it stands for.
+ * The tests that are known to fail. Each still runs: if it fails, the failure is printed and the test counts as
+ * skipped. If it passes, that is an error, so that its line is removed once the fault is fixed.
  */
 internal class KnownRedList private constructor(
     val entries: List<KnownRed>,
@@ -25,8 +25,8 @@
     private val byTest = entries.associateBy { it.test }
 
     /**
-     * Runs [body] as the test named [test], `package.Class#method`. Throws [TestAbortedException] where a listed test
-     * fails, and [KnownRedError] where it passes; every other outcome is that of [body].
+     * Runs [body] as the test named [test], `package.Class#method`. Throws [TestAbortedException] if a listed test
+     * fails, and [KnownRedError] if it passes or skips itself; the outcome of an unlisted test is that of [body].
      */
     fun run(
         test: String,
@@ -45,7 +45,7 @@
         throw KnownRedError("${known.test} passes: its line has to leave $FILE")
     }
 
-    /** Throws [KnownRedError] unless each test is one that [exists] finds. */
+    /** Throws [KnownRedError] unless [exists] returns true for every listed test. */
     fun requireAllExist(exists: (String) -> Boolean) {
         val missing = entries.map { it.test }.filterNot(exists)
         if (missing.isNotEmpty()) throw KnownRedError("$FILE names tests that don't exist: $missing")
@@ -53,22 +53,22 @@
 
     companion object {
         const val FILE = "KNOWN-RED.txt"
-        const val MOST_ENTRIES = 3
+        const val MAX_ENTRIES = 3
         private const val SEPARATOR = " | "
         private const val FIELDS = 3
 
-        /** Throws [KnownRedError] for a line without its three fields, a repeated test, or more than three lines. */
+        /** Throws [KnownRedError] for a line without its three fields, a duplicate test, or more than three lines. */
         fun parse(
             text: String,
             print: (String) -> Unit = ::println,
         ): KnownRedList {
-            val entries = text.lines().filter { it.isNotBlank() }.map(::entry)
-            if (entries.size > MOST_ENTRIES) throw KnownRedError("$FILE has ${entries.size} lines, of $MOST_ENTRIES")
+            val entries = text.lines().filter { it.isNotBlank() }.map(::parseEntry)
+            if (entries.size > MAX_ENTRIES) throw KnownRedError("$FILE has ${entries.size} lines, of $MAX_ENTRIES")
             if (entries.distinctBy { it.test }.size < entries.size) throw KnownRedError("$FILE names a test twice")
             return KnownRedList(entries, print)
         }
 
-        private fun entry(line: String): KnownRed {
+        private fun parseEntry(line: String): KnownRed {
             val fields = line.split(SEPARATOR).map { it.trim() }
             if (fields.size != FIELDS || fields.any { it.isEmpty() }) {
                 throw KnownRedError("$FILE: a line needs a test, a cause and an issue, between '$SEPARATOR': $line")
--- a/src/test/kotlin/oxbowlug/knownred/KnownRedTest.kt
+++ b/src/test/kotlin/oxbowlug/knownred/KnownRedTest.kt
@@ -8,17 +8,17 @@
 import org.junit.jupiter.params.provider.ValueSource
 import org.opentest4j.TestAbortedException
 
-/** What `KNOWN-RED.txt` may hold, and what becomes of the tests that it names. */
+/** Checks which lines `KNOWN-RED.txt` may have, and how the tests that it lists are run. */
 internal class KnownRedTest {
     private val printed = ArrayList<String>()
     private val listed = KnownRedList.parse("a.B#c | the cause | issue 1\n", printed::add)
 
     @Test
-    fun `the list of this project is valid and names plain tests that exist`() {
+    fun `this project's list is valid and names existing tests without parameters`() {
         KnownRedExtension.list.requireAllExist(::isPlainTest)
     }
 
-    /** A parameterized test isn't one: a single failing case would excuse all of them. */
+    /** Parameterized tests can't be listed: one failing case would excuse all cases. */
     private fun isPlainTest(name: String): Boolean =
         try {
             val methods = Class.forName(name.substringBefore('#')).declaredMethods
@@ -28,7 +28,7 @@
         }
 
     @Test
-    fun `a listed test that fails is run, printed with its cause and passed over`() {
+    fun `a listed test that fails is run, printed with its cause and skipped`() {
         var ran = false
         val aborted =
             assertThrows(TestAbortedException::class.java) {
@@ -53,17 +53,17 @@
     }
 
     @Test
-    fun `any other test fails as ever`() {
+    fun `an unlisted test fails or passes as usual`() {
         assertThrows(IllegalStateException::class.java) { listed.run("a.B#d") { error("red") } }
         listed.run("a.B#d") {}
     }
 
     @Test
-    fun `a test that doesn't exist, or is a parameterized one, is refused`() {
+    fun `a list that names a missing or a parameterized test is rejected`() {
         assertThrows(KnownRedError::class.java) { listed.requireAllExist(::isPlainTest) }
-        val here = KnownRedTest::class.java.name
-        KnownRedList.parse("$here#a listed test that passes fails | x | y").requireAllExist(::isPlainTest)
-        val parameterized = KnownRedList.parse("$here#a malformed list is refused | x | y")
+        val thisClass = KnownRedTest::class.java.name
+        KnownRedList.parse("$thisClass#a listed test that passes fails | x | y").requireAllExist(::isPlainTest)
+        val parameterized = KnownRedList.parse("$thisClass#a malformed list is rejected | x | y")
         assertThrows(KnownRedError::class.java) { parameterized.requireAllExist(::isPlainTest) }
     }
 
@@ -78,12 +78,12 @@
             "a.B#c | x | 1\na.B#d | x | 1\na.B#e | x | 1\na.B#f | x | 1",
         ],
     )
-    fun `a malformed list is refused`(text: String) {
+    fun `a malformed list is rejected`(text: String) {
         assertThrows(KnownRedError::class.java) { KnownRedList.parse(text) }
     }
 
     @Test
-    fun `three lines and an empty list are taken`() {
+    fun `an empty list and one of three lines are valid`() {
         assertEquals(0, KnownRedList.parse("\n").entries.size)
         assertEquals(3, KnownRedList.parse("a.B#c | x | 1\na.B#d | x | 1\na.B#e | x | 1").entries.size)
     }
