--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -124,7 +124,7 @@
     private fun seed(): Long =
         File("/dev/urandom").inputStream().use { ByteBuffer.wrap(it.readNBytes(Long.SIZE_BYTES)).long }
 
-    /** Schedules a drain of the event queue, unless one is scheduled already. */
+    /** Schedules one drain of the event queue for all events that are offered until it runs. */
     private fun scheduleDrain(context: Context) {
         if (isDrainScheduled) return
         isDrainScheduled = true
--- a/src/main/kotlin/oxbowlug/wire/WorkerMessages.kt
+++ b/src/main/kotlin/oxbowlug/wire/WorkerMessages.kt
@@ -34,7 +34,7 @@
     /** The other tasks of the gang are gone. */
     PEERS_GONE("mates_gone"),
 
-    /** Some of the gang's tasks have not started. */
+    /** The gang is incomplete. */
     ALONE("incomplete"),
 
     /** A cause that this version does not know, and that a later protocol may add. The attempt has exited. */
