--- a/src/main/kotlin/oxbowlug/api/ClientServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ApiServer.kt
@@ -22,7 +22,7 @@
 import oxbowlug.wire.WorkerCodec
 
 /** Users, workers and health checks, all on one port. Decodes, hands to the core, and encodes its answer. */
-internal class ClientServer(
+internal class ApiServer(
     private val vertx: Vertx,
     private val settings: Settings,
     private val controller: Controller,
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -7,7 +7,7 @@
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.record.Member
 import oxbowlug.timing.Timing
@@ -152,7 +152,7 @@
         workers.command(endpoint, heartbeat.token, heartbeat.incarnation, commands) { outcome ->
             probe.isInFlight = false
             probe.nextProbeAt = clock.steadyMs()
-            if (outcome is DirectOutcome.Answered && presentAttempts(outcome.heartbeat, attempts).isEmpty()) {
+            if (outcome is CommandOutcome.Answered && presentAttempts(outcome.heartbeat, attempts).isEmpty()) {
                 probe.recordAbsence(attempts, clock.steadyMs())
                 probe.nextProbeAt = clock.steadyMs() + timing.heartbeatLateMs
             }
--- a/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
+++ b/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
@@ -15,13 +15,13 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.RentalRequest
 
-/** The cloud over HTTP. [settle] brings outcomes back to the owner's event loop. */
+/** The cloud over HTTP. [runOnEventLoop] brings outcomes back to the owner's event loop. */
 internal class CloudClient(
     private val address: Address,
     private val http: HttpCaller,
     private val scope: CoroutineScope,
     private val timeoutMs: Long,
-    private val settle: (() -> Unit) -> Unit,
+    private val runOnEventLoop: (() -> Unit) -> Unit,
 ) : CloudPort {
     override fun types(done: (List<MachineType>?) -> Unit) =
         launch(done, null) {
@@ -96,7 +96,7 @@
                     // A malformed answer counts as none.
                     malformed
                 }
-            settle { done(outcome) }
+            runOnEventLoop { done(outcome) }
         }
     }
 }
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -131,7 +131,7 @@
             heartbeatRouter.retryDeferred()
         }
         terms.current()?.flush()
-        load.stepped(clock.nanoTime() - beganNs)
+        load.recordStep(clock.nanoTime() - beganNs)
     }
 
     /** Whether this controller can serve users and workers, or at least no worse than the other controllers. */
@@ -151,8 +151,8 @@
             reachesState(),
             clock.steadyMs(),
             delegate.echo(),
-            hasUnacknowledged = cancellations.hasUnacknowledged(),
-            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
+            hasUnacknowledgedCancellations = cancellations.hasUnacknowledgedCancellations(),
+            mayConfirmCancellations = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
         )
 
     /**
@@ -172,7 +172,7 @@
             is ControllerEvent.Poll -> requests.poll(event.id, event.answer)
             is ControllerEvent.Cancel -> requests.cancel(event.id, event.answer)
             is ControllerEvent.Heartbeat -> {
-                load.reported()
+                load.heartbeatReceived()
                 heartbeatRouter.accept(event)
             }
             is ControllerEvent.PeerHeartbeatReceived -> onPeerHeartbeat(event.heartbeat)
@@ -217,7 +217,7 @@
     ) {
         term.tick(catalog.types)
         // If only the workers can't reach the leader, the followers redirect them to it until their leases expire.
-        if (term.hasLostItsWorkers(now) && cache.memberCount() > 1) {
+        if (term.hasLostAllWorkers(now) && cache.memberCount() > 1) {
             log.info("leader resigns without worker heartbeats: {}", decisions.describe())
             election.resign()
         }
@@ -257,7 +257,7 @@
             val (epoch, token, leader) = leadership
             log.info("leader changed: epoch={} token={} leader={}", epoch, token.value, leader.label)
             leaderChanged = true
-            peers.heartbeatChanged()
+            peers.broadcastHeartbeat()
         }
 
         override fun onJob(
@@ -279,7 +279,7 @@
             // From here on all writes keep to both the current and the next limits of the state service, so it doesn't
             // matter when the service switches to the next ones.
             limits.lowerWrites(settings.state.lowest.writeRps)
-            terms.latest?.divideLargeRecords()
+            terms.latest?.splitLargeRecords()
         }
     }
 
--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -1,7 +1,7 @@
 package oxbowlug.leader
 
 import oxbowlug.cache.StateCache
-import oxbowlug.cache.cancelledWork
+import oxbowlug.cache.stopsForCancelledTasks
 import oxbowlug.cluster.Machine
 import oxbowlug.invariant.Invariants
 import oxbowlug.lease.missingFrom
@@ -15,26 +15,26 @@
     private val invariants: Invariants,
 ) {
     /** The cluster state and the state cache have to agree on what is cancelled, or one of them lacks it. */
-    fun requireStops(
+    fun requireStopsOfCancelledWork(
         heartbeat: WorkerHeartbeat,
         commands: List<WorkerCommand>,
     ) {
-        val missing = cache.cancelledWork(heartbeat).missingFrom(commands)
+        val missing = cache.stopsForCancelledTasks(heartbeat).missingFrom(commands)
         if (missing.isEmpty()) return
-        invariants.violated(
+        invariants.recordViolation(
             Invariant.CANCELLED_WORK_IS_STOPPED,
             "${missing.map { it.attempt }} on ${heartbeat.machine}",
         )
     }
 
     /** All starts pass here on their way out: those that no stored record names are dropped. */
-    fun storedOnly(
+    fun dropUnstoredStarts(
         machine: Machine,
         commands: List<WorkerCommand>,
     ): List<WorkerCommand> {
-        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.committed != true }
+        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.isCommitted != true }
         if (unstored.isEmpty()) return commands
-        invariants.violated(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
+        invariants.recordViolation(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
         return commands - unstored.toSet()
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
+++ b/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
@@ -28,31 +28,31 @@
     private var window = Window(0)
     private var lastTickAt: Long? = null
 
-    fun stepped(nanos: Long) {
-        meters.stepped(nanos)
+    fun recordStep(nanos: Long) {
+        meters.recordStep(nanos)
         window.steps++
         window.stepsNs += nanos
         window.longestStepNs = maxOf(window.longestStepNs, nanos)
     }
 
-    fun planned(
+    fun recordPlan(
         nanos: Long,
         priced: Int,
     ) {
-        meters.planned(nanos, priced)
+        meters.recordPlan(nanos, priced)
         window.plans++
         window.plansNs += nanos
         window.longestPlanNs = maxOf(window.longestPlanNs, nanos)
     }
 
-    fun reported() {
+    fun heartbeatReceived() {
         window.heartbeats++
     }
 
     fun ticked(now: Long) {
         val late = lastTickAt?.let { (now - it - tickMs).coerceAtLeast(0) } ?: 0
         lastTickAt = now
-        meters.waited(late)
+        meters.recordQueueDelay(late)
         window.latestTickMs = maxOf(window.latestTickMs, late)
         if (now - window.since < everyMs) return
         log.info("{}", this)
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -4,7 +4,7 @@
 import oxbowlug.cluster.Machine
 import oxbowlug.invariant.DecisionContext
 import oxbowlug.port.Clock
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.timing.Timing
 import oxbowlug.wire.WorkerCommand
@@ -21,12 +21,12 @@
     private val decisions: DecisionContext,
     private val checks: CommandChecks,
 ) {
-    /** Sends what [ClusterState.pendingPushes] asks for. */
+    /** Sends what [ClusterState.commandQueue] asks for. */
     fun flush(now: Long) {
-        if (cluster.pendingPushes.isEmpty()) return
-        for (id in cluster.pendingPushes.toList()) {
+        if (cluster.commandQueue.isEmpty()) return
+        for (id in cluster.commandQueue.toList()) {
             val machine = cluster.machines[id]
-            if (machine == null || commandDirectly(machine, now)) cluster.pendingPushes.remove(id)
+            if (machine == null || commandDirectly(machine, now)) cluster.commandQueue.remove(id)
         }
     }
 
@@ -37,7 +37,7 @@
     ): Boolean {
         val endpoint = machine.endpoint ?: return true
         val lastContactAt = machine.lastContactAt ?: return true
-        if (!machine.isSettled(cluster.token) ||
+        if (!machine.hasAcknowledgedToken(cluster.token) ||
             now - lastContactAt > timing.heartbeatLateMs ||
             now < machine.nextDirectCommandAt
         ) {
@@ -46,14 +46,14 @@
         if (machine.isDirectCommandInFlight) return false
         val commands =
             if (decisions.mayLead) {
-                checks.storedOnly(machine, cluster.commands(machine, now))
+                checks.dropUnstoredStarts(machine, cluster.commands(machine, now))
             } else {
-                cluster.cancelledStops(machine)
+                cluster.stopsForCancelledJobs(machine)
             }
         if (commands.all { it is WorkerCommand.Forget }) return true
         machine.isDirectCommandInFlight = true
         machine.directStartsInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
-        for (attempt in machine.directStartsInFlight) machine.attempts[attempt]?.sentDirectly(now)
+        for (attempt in machine.directStartsInFlight) machine.attempts[attempt]?.markStartSent(now)
         workers.command(endpoint, cluster.token, machine.position.incarnation, commands) { outcome ->
             onOutcome(machine, outcome)
         }
@@ -62,15 +62,15 @@
 
     private fun onOutcome(
         machine: Machine,
-        outcome: DirectOutcome,
+        outcome: CommandOutcome,
     ) {
         val starts = machine.directStartsInFlight
         machine.isDirectCommandInFlight = false
         machine.directStartsInFlight = emptyList()
         when (outcome) {
-            is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
-            DirectOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.heartbeatLateMs
-            DirectOutcome.Unanswered -> {
+            is CommandOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
+            CommandOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.heartbeatLateMs
+            CommandOutcome.Unanswered -> {
                 // It may be executed minutes later; from here on the answers to heartbeats carry the commands.
                 machine.unresolvedStarts.addAll(starts)
                 machine.nextDirectCommandAt = clock.steadyMs() + timing.workerLeaseTtlMs
--- a/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
+++ b/src/main/kotlin/oxbowlug/leader/FencingTokenPropagation.kt
@@ -16,10 +16,10 @@
     private val cluster: ClusterState,
     private val workers: WorkerPort,
     private val timing: Timing,
-    private val startedAt: Long,
+    private val termStartedAt: Long,
     private val maxInFlight: Int,
     /** The former leader may still answer workers, and doesn't hear of this one from the other controllers. */
-    private val mayBeAnswered: () -> Boolean,
+    private val formerLeaderMayAnswer: () -> Boolean,
 ) {
     private val nextAt = HashMap<Machine, Long>()
     private var inFlight = 0
@@ -27,7 +27,7 @@
 
     /** Shows the token to some of the machines that are due for it. */
     fun tick(now: Long) {
-        if (now - startedAt < timing.propagateTokenAfterMs || now < nextRoundAt || !mayBeAnswered()) return
+        if (now - termStartedAt < timing.propagateTokenAfterMs || now < nextRoundAt || !formerLeaderMayAnswer()) return
         nextRoundAt = now + timing.peerHeartbeatMs
         // All of them at once would take the time that those who report need.
         var left = (cluster.machines.size * timing.peerHeartbeatMs / timing.propagateTokenAfterMs + 1).toInt()
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -44,10 +44,10 @@
     cloudBudget: TokenBucket,
     load: ControllerLoad,
     rememberedImages: Map<MachineId, List<ImageName>>,
-    mayBeAnswered: () -> Boolean,
+    formerLeaderMayAnswer: () -> Boolean,
 ) {
     private val decisions = invariants.decisions
-    private val startedAt = clock.steadyMs()
+    private val termStartedAt = clock.steadyMs()
     val cluster =
         ClusterState(
             leadership.token,
@@ -63,10 +63,10 @@
     private val commits =
         JobRecordWriter(leadership, requestIds, settings, state, clock, timing, writeBudget, cache, cluster, decisions)
     private val scaler = MachineScaler(requestIds, settings, cloud, clock, timing, cloudBudget, cluster, decisions)
-    private val round = SchedulingRound(settings, clock, timing, cluster, scaler, startedAt) { cache.writableFormat }
-    private val planning = PlanningLoop(cluster, round, settings, clock, timing, load, decisions, startedAt)
+    private val round = SchedulingRound(settings, clock, timing, cluster, scaler, termStartedAt) { cache.writableFormat }
+    private val planning = PlanningLoop(cluster, round, settings, clock, timing, load, decisions, termStartedAt)
     private val supervisor =
-        MachineSupervisor(cluster, delegates, scaler, round, settings, timing, decisions, startedAt)
+        MachineSupervisor(cluster, delegates, scaler, round, settings, timing, decisions, termStartedAt)
     private val checks = CommandChecks(cache, invariants)
     private val directCommands = DirectCommands(cluster, workers, clock, timing, decisions, checks)
     private val tokenPropagation =
@@ -74,9 +74,9 @@
             cluster,
             workers,
             timing,
-            startedAt,
+            termStartedAt,
             settings.limits.maxSockets / PROPAGATION_SOCKET_SHARE,
-            mayBeAnswered,
+            formerLeaderMayAnswer,
         )
 
     val isDeposed: Boolean get() = commits.isDeposed
@@ -88,20 +88,20 @@
     }
 
     /** Large records are looked for once, when a lease's time has passed: a new leader has more urgent things to do. */
-    private var divideLargeRecordsAt = startedAt + timing.workerLeaseTtlMs
+    private var divideLargeRecordsAt = termStartedAt + timing.workerLeaseTtlMs
 
     private fun divideLargeRecordsWhenDue(now: Long) {
         val isDue = now >= divideLargeRecordsAt && cache.writableFormat == WritableFormat.HEAD_AND_PARTS
         if (!isDue) return
         divideLargeRecordsAt = Long.MAX_VALUE
-        if (settings.state.next != null) divideLargeRecords()
+        if (settings.state.next != null) splitLargeRecords()
     }
 
     /**
      * Records that were written whole and are larger than values may be soon are written anew, the largest first, as
      * the least urgent of all writes.
      */
-    fun divideLargeRecords() {
+    fun splitLargeRecords() {
         val limit = settings.state.lowest.valueKb * BYTES_PER_KB
         val now = clock.steadyMs()
         // What was too large to be written whole may be written in parts at once.
@@ -116,7 +116,7 @@
     private var lastHeartbeatAt: Long? = null
 
     /** Workers sent heartbeats in this term, and for some time none does: either all hang, or we are cut off. */
-    fun hasLostItsWorkers(now: Long): Boolean {
+    fun hasLostAllWorkers(now: Long): Boolean {
         val last = lastHeartbeatAt ?: return false
         val expected = cluster.machines.values.any { it.lastContactAt != null && !it.isReleasing }
         return expected && now - last > timing.resignAfterSilenceMs
@@ -135,12 +135,12 @@
         if (!decisions.mayLead) return emptyList()
         val position = HeartbeatPosition(heartbeat.incarnation, heartbeat.sequence)
         // The answer to a duplicate goes nowhere; it must not look as if the worker had been told.
-        if (position < machine.lastHeartbeat) return emptyList()
-        val commands = checks.storedOnly(machine, cluster.commands(machine, clock.steadyMs()))
-        if (position == machine.position) checks.requireStops(heartbeat, commands)
+        if (position < machine.lastHeartbeatPosition) return emptyList()
+        val commands = checks.dropUnstoredStarts(machine, cluster.commands(machine, clock.steadyMs()))
+        if (position == machine.position) checks.requireStopsOfCancelledWork(heartbeat, commands)
         for (command in commands) {
             if (command !is WorkerCommand.Start) continue
-            machine.attempts[command.attempt]?.sentInAnswer(position, clock.steadyMs())
+            machine.attempts[command.attempt]?.markStartSentInAnswer(position, clock.steadyMs())
         }
         return commands
     }
@@ -156,7 +156,7 @@
         scaler.tick(types)
         planning.tick(types, now)
         flush()
-        cluster.forgetFinished(cache)
+        cluster.removeFinishedJobs(cache)
     }
 
     /**
@@ -167,7 +167,7 @@
         val now = clock.steadyMs()
         supervisor.endCancelledWork(now)
         cluster.removeOrphans()
-        scaler.releaseDue()
+        scaler.sendDueReleases()
         flush()
     }
 
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -30,7 +30,7 @@
     private val settings: Settings,
     private val timing: Timing,
     private val decisions: DecisionContext,
-    private val startedAt: Long,
+    private val termStartedAt: Long,
 ) {
     /** [reserved] machines have a task coming: they aren't released as idle. */
     fun tick(
@@ -38,7 +38,7 @@
         reserved: Set<MachineId>,
         now: Long,
     ) {
-        val liveness = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
+        val liveness = ZoneLiveness(cluster.machines.values, timing, termStartedAt, now)
         val hasRoom by lazy(LazyThreadSafetyMode.NONE) { round.hasRoomFor(liveness.suspects, types) }
         for (machine in cluster.machines.values.toList()) {
             supervise(machine, now, types, reserved, liveness) { hasRoom }
@@ -47,7 +47,7 @@
 
     /** The part of [tick] that needs no right to decide. */
     fun endCancelledWork(now: Long) {
-        val liveness = ZoneLiveness(cluster.machines.values, timing, startedAt, now)
+        val liveness = ZoneLiveness(cluster.machines.values, timing, termStartedAt, now)
         for (machine in cluster.machines.values.toList()) endCancelled(machine, now, liveness)
     }
 
@@ -65,7 +65,7 @@
         // Where no other can be had, a machine that may go on is worth more than the rent of its silence.
         val patience = if (scaler.isScarce(machine, now)) SCARCE_PATIENCE else 1
         val silentMs = (settings.policy.silentLeases * timing.workerLeaseTtlMs).toLong() * patience
-        val lastHeard = machine.lastContactAt ?: maxOf(startedAt, machine.firstSeenAt)
+        val lastHeard = machine.lastContactAt ?: maxOf(termStartedAt, machine.firstSeenAt)
         val expected = machine.lastContactAt != null || machine.listed == MachineState.RUNNING
         if (expected && now - lastHeard > silentMs && liveness.isMajorityAlive(machine.zone)) {
             scaler.scheduleRelease(machine, ReleaseReason.SILENT)
@@ -96,7 +96,7 @@
         val countsFrom = machine.lease.ttlStartMs ?: return false
         val type = types[machine.type] ?: return false
         val leftS = (timing.workerLeaseExpiryMs - (now - countsFrom)) / 1000.0
-        return Pricing.isWorthGivingUp(round.replicaWeight(machine), leftS, type, machine.spot, types.values)
+        return Pricing.isReplacementCheaper(round.replicaWeight(machine), leftS, type, machine.spot, types.values)
     }
 
     private fun isSuspect(
@@ -124,7 +124,7 @@
     ) {
         // One that only renews may have been succeeded, and its successor may have renewed this lease.
         val mayBeOver = decisions.mayLead && delegates.isProvenExpired(machine.zone, machine.lease.ttlStartMs ?: now)
-        if (mayBeOver) cluster.expire(machine, now)
+        if (mayBeOver) cluster.expireLease(machine, now)
         val isPartitioned = liveness.isPartitioned(machine.zone)
         val patienceMs = if (isPartitioned) timing.partitionedCancelReleaseAfterMs else timing.cancelReleaseAfterMs
         for (attempt in machine.attempts.values) {
--- a/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
+++ b/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
@@ -25,11 +25,11 @@
     private val timing: Timing,
     private val load: ControllerLoad,
     private val decisions: DecisionContext,
-    startedAt: Long,
+    termStartedAt: Long,
 ) {
     private var nextPlanAt = 0L
     private var nextRoundAt = 0L
-    private var nextMoveAt = startedAt + (settings.policy.replanS * 1000).toLong()
+    private var nextMoveAt = termStartedAt + (settings.policy.replanS * 1000).toLong()
 
     /** Machines that the last plan keeps for tasks that can't start there yet: they aren't idle. */
     var reserved: Set<MachineId> = emptySet()
@@ -43,14 +43,14 @@
         types: Map<TypeName, MachineType>,
         now: Long,
     ) {
-        if (types.isNotEmpty() && (now >= nextRoundAt || (cluster.planWanted && now >= nextPlanAt))) plan(types, now)
+        if (types.isNotEmpty() && (now >= nextRoundAt || (cluster.needsReplan && now >= nextPlanAt))) plan(types, now)
     }
 
     private fun plan(
         types: Map<TypeName, MachineType>,
         now: Long,
     ) {
-        cluster.planWanted = false
+        cluster.needsReplan = false
         val began = clock.nanoTime()
         val mayMove = now >= nextMoveAt
         val snapshot = round.snapshot(types, mayMove)
@@ -58,7 +58,7 @@
         if (log.isDebugEnabled) log.debug("{}", PlanSummary(plan, snapshot))
         round.apply(plan)
         val elapsedNs = clock.nanoTime() - began
-        load.planned(elapsedNs, plan.priced)
+        load.recordPlan(elapsedNs, plan.priced)
         if (plan.starts.isNotEmpty() || plan.stops.isNotEmpty()) {
             log.info(
                 "plan applied: starts={} stops={} elapsedMs={} {}",
@@ -82,7 +82,7 @@
         waitingTasks = plan.unplaced
         // On a large fleet plans take long: they may take a part of the time only, or nobody else is answered.
         nextPlanAt = now + maxOf(timing.planGapMs, elapsedNs / NS_PER_MS * PLAN_RESTS)
-        val soon = plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.holdUntil }
+        val soon = plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.backoffUntil }
         nextRoundAt = now + if (soon) timing.replanSoonMs else (settings.policy.replanS * 1000).toLong()
     }
 
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
@@ -47,12 +47,12 @@
         val last = lastLeaderContact
         // Delayed packets keep their order within a connection only: a heartbeat that arrives late on another
         // connection must not count as a new one.
-        if (last != null && last.leader == heartbeat.sender && heartbeat.atMs < last.leaderClockMs) return
+        if (last != null && last.leader == heartbeat.sender && heartbeat.sendTimeMs < last.leaderClockMs) return
         // A controller that was started during an outage of the state service has no leadership record yet, but
         // CancellationFreshness on the leader depends on its echo as well.
         val leader = cache.leadership?.leader ?: heartbeat.leader
         if (heartbeat.sender == leader) {
-            lastLeaderContact = LeaderContact(heartbeat.sender, heartbeat.atMs, clock.steadyMs())
+            lastLeaderContact = LeaderContact(heartbeat.sender, heartbeat.sendTimeMs, clock.steadyMs())
         }
     }
 
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -121,7 +121,7 @@
         }
         // The delegate received the echoed heartbeat no earlier than the leader sent it, and renews no lease until it
         // has been isolated for a while after that.
-        idleUntilMs = maxOf(idleUntilMs, echo.atMs + timing.delegateIdleMs)
+        idleUntilMs = maxOf(idleUntilMs, echo.sendTimeMs + timing.delegateIdleMs)
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/plan/Constraints.kt
+++ b/src/main/kotlin/oxbowlug/plan/Constraints.kt
@@ -24,8 +24,8 @@
 internal class ZoneRule(
     private val job: PlanJob,
 ) {
-    private val use = HashMap(job.zoneUse)
-    var fixed: Zone? = if (job.spec.oneZone) job.zoneUse.keys.firstOrNull() else null
+    private val use = HashMap(job.tasksByZone)
+    var fixed: Zone? = if (job.spec.oneZone) job.tasksByZone.keys.firstOrNull() else null
 
     fun used(zone: Zone): Int = use[zone] ?: 0
 
--- a/src/main/kotlin/oxbowlug/plan/Planner.kt
+++ b/src/main/kotlin/oxbowlug/plan/Planner.kt
@@ -187,7 +187,7 @@
 
     private fun stopAll(choice: Preemption.Choice) {
         for (preemptedTask in choice.preempted) {
-            snapshot.teams[preemptedTask.team]?.expectStop(preemptedTask.need)
+            snapshot.teams[preemptedTask.team]?.addStopping(preemptedTask.need)
             choice.machine.stop(preemptedTask)
             stops.add(preemptedTask.attempt)
         }
@@ -248,7 +248,7 @@
     private fun rent(rental: RentalOffer): PlanMachine {
         rentals.merge(rental.kind, 1, Int::plus)
         val kind = rental.kind
-        val machine = PlanMachine.pendingOrders(rental.type, kind.zone, kind.spot, rental.type.bootS.coerceAtLeast(1.0))
+        val machine = PlanMachine.forRental(rental.type, kind.zone, kind.spot, rental.type.bootS.coerceAtLeast(1.0))
         machine.reportChangesTo(changed, machines.size)
         machines.add(machine)
         machinesInZone.merge(machine.zone, 1, Int::plus)
--- a/src/main/kotlin/oxbowlug/plan/Pricing.kt
+++ b/src/main/kotlin/oxbowlug/plan/Pricing.kt
@@ -88,7 +88,7 @@
     fun omega(types: Collection<MachineType>): Double = (types.maxOfOrNull { it.price } ?: 0.0) / HOUR_S
 
     /** Whether replicas of [weight] that are down for [downS] more cost more than another machine's boot. */
-    fun isWorthGivingUp(
+    fun isReplacementCheaper(
         weight: Double,
         downS: Double,
         type: MachineType,
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -37,7 +37,7 @@
     private val cluster: ClusterState,
     private val decisions: DecisionContext,
 ) {
-    val pendingOrders = ArrayList<PendingOrder>()
+    val pendingRentals = ArrayList<PendingRental>()
     private val refusals = CapacityRefusals(timing)
     private val toRelease = LinkedHashSet<MachineId>()
     private var isListing = false
@@ -52,14 +52,14 @@
     fun tick(types: Map<TypeName, MachineType>) {
         val now = clock.steadyMs()
         if (!isListing && now >= nextListAt && budget.tryTake(1.0, now)) list(now, types)
-        releaseDue()
-        for (order in pendingOrders.toList()) {
+        sendDueReleases()
+        for (order in pendingRentals.toList()) {
             if (!order.isRequestInFlight && now >= order.nextRequestAt && budget.tryTake(1.0, now)) requestRental(order)
         }
     }
 
     /** Sends the next batch of releases if none is in flight. */
-    fun releaseDue() {
+    fun sendDueReleases() {
         val now = clock.steadyMs()
         val isDue = !isReleaseInFlight && toRelease.isNotEmpty() && now >= nextReleaseAt
         if (isDue && budget.tryTake(1.0, now)) releaseBatch()
@@ -76,13 +76,13 @@
             val part = minOf(left, CloudCodec.MAX_RENTED)
             left -= part
             val order =
-                PendingOrder(RentalRequest(requestIds.next(), kind.type, kind.zone, kind.spot, part), now, false, now)
-            pendingOrders.add(order)
+                PendingRental(RentalRequest(requestIds.next(), kind.type, kind.zone, kind.spot, part), now, false, now)
+            pendingRentals.add(order)
             if (budget.tryTake(1.0, now)) requestRental(order)
         }
     }
 
-    private fun requestRental(order: PendingOrder) {
+    private fun requestRental(order: PendingRental) {
         order.isRequestInFlight = true
         val request = order.request
         val kind = MachineKind(request.type, request.zone, request.spot)
@@ -91,35 +91,35 @@
             order.isRequestInFlight = false
             when (outcome) {
                 is RentalOutcome.Rented -> {
-                    pendingOrders.remove(order)
+                    pendingRentals.remove(order)
                     log.info("rented: machines={} requested={} kind={}", outcome.machines.size, request.count, kind)
                     for (id in outcome.machines) {
                         val machine = cluster.machine(id) ?: continue
                         machine.type = request.type
                         machine.zone = request.zone
                         machine.spot = request.spot
-                        machine.rentedAt = order.orderedAt
+                        machine.rentedAt = order.firstRequestedAt
                     }
                     val isWhole = outcome.machines.size >= request.count
                     if (isWhole) refusals.onRented(kind) else refusals.onRefused(kind, now)
                 }
                 RentalOutcome.NoCapacity -> {
-                    pendingOrders.remove(order)
+                    pendingRentals.remove(order)
                     refusals.onRefused(kind, now)
                 }
                 // The same request id again, so it is idempotent: if the first request was executed after all, nothing
                 // more is rented.
                 RentalOutcome.Refused, RentalOutcome.Unanswered -> {
                     order.nextRequestAt = now + timing.retryMs() * 2
-                    if (now > order.orderedAt + timing.orderTimeoutMs) pendingOrders.remove(order)
+                    if (now > order.firstRequestedAt + timing.orderTimeoutMs) pendingRentals.remove(order)
                 }
             }
-            cluster.planWanted = true
+            cluster.needsReplan = true
         }
     }
 
     /** See [CapacityRefusals.prices]. */
-    fun refusalPrices(now: Long): Map<MachineKind, CapacityRefusal> = refusals.prices(now)
+    fun capacityRefusals(now: Long): Map<MachineKind, CapacityRefusal> = refusals.prices(now)
 
     /** See [CapacityRefusals.isScarce]. */
     fun isScarce(
@@ -162,7 +162,7 @@
             isListing = false
             nextListAt = clock.steadyMs() + if (machines == null) timing.retryMs() * 2 else timing.machineListIntervalMs
             if (machines != null) {
-                if (!hasInventory) cluster.planWanted = true
+                if (!hasInventory) cluster.needsReplan = true
                 hasInventory = true
                 applyList(machines, askedAt, types)
             }
@@ -179,7 +179,7 @@
         for (listed in machines) {
             present.add(listed.id)
             val machine = cluster.machine(listed.id) ?: continue
-            if (machine.listed == null) cluster.planWanted = true
+            if (machine.listed == null) cluster.needsReplan = true
             machine.listed = listed.state
             machine.listedAt = now
             if (machine.type == null) {
--- a/src/main/kotlin/oxbowlug/scaling/PendingOrder.kt
+++ b/src/main/kotlin/oxbowlug/scaling/PendingRental.kt
@@ -3,9 +3,9 @@
 import oxbowlug.wire.RentalRequest
 
 /** A rental whose answer is awaited: its machines count as coming. */
-internal class PendingOrder(
+internal class PendingRental(
     val request: RentalRequest,
-    val orderedAt: Long,
+    val firstRequestedAt: Long,
     var isRequestInFlight: Boolean,
     var nextRequestAt: Long,
 )
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -4,10 +4,10 @@
 import oxbowlug.cluster.Machine
 import oxbowlug.cluster.TaskAttempt
 import oxbowlug.plan.PlanMachine
-import oxbowlug.plan.Tenant
+import oxbowlug.plan.PlacedTask
 import oxbowlug.resource.Resources
 import oxbowlug.resource.fetchS
-import oxbowlug.scaling.PendingOrder
+import oxbowlug.scaling.PendingRental
 import oxbowlug.timing.Timing
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.MachineState
@@ -21,14 +21,14 @@
     private val cluster: ClusterState,
     private val timing: Timing,
     private val weights: ClassWeights,
-    private val startedAt: Long,
+    private val termStartedAt: Long,
 ) {
     /** [machine] as the planner sees it, or null if nothing may be placed there. */
     fun of(
         machine: Machine,
         types: Map<TypeName, MachineType>,
-        zoneUses: ZoneUses,
-        pledges: Map<MachineId, Resources>,
+        zoneTaskCounts: ZoneTaskCounts,
+        reservedForMoves: Map<MachineId, Resources>,
         now: Long,
     ): PlanMachine? {
         val type = types[machine.type ?: return null] ?: return null
@@ -46,17 +46,17 @@
             type = type,
             zone = zone,
             spot = machine.spot,
-            free = machine.free(type, unmanagedUsage(machine)) - (pledges[machine.id] ?: Resources.NONE),
+            free = machine.free(type, unmanagedUsage(machine)) - (reservedForMoves[machine.id] ?: Resources.NONE),
             readyInS = readyInS,
             images = machine.images,
             fetching = machine.fetching(),
             isEmpty = machine.attempts.isEmpty(),
-            leaving = leaving(machine),
-            tenants =
+            stoppingUsage = stoppingUsage(machine),
+            placedTasks =
                 lazy(LazyThreadSafetyMode.NONE) {
-                    machine.attempts.values.map { tenant(it, type, zoneUses, now) }
+                    machine.attempts.values.map { tenant(it, type, zoneTaskCounts, now) }
                 },
-            leastUrgent = leastUrgent(machine),
+            lowestPriority = lowestPriority(machine),
         )
     }
 
@@ -72,7 +72,7 @@
             return if (machine.token == cluster.token) 0.0 else SOON_S
         }
         if (machine.listed == MachineState.RUNNING) {
-            return if (now - maxOf(startedAt, machine.firstSeenAt) < timing.workerLeaseTtlMs) SOON_S else null
+            return if (now - maxOf(termStartedAt, machine.firstSeenAt) < timing.workerLeaseTtlMs) SOON_S else null
         }
         return maxOf(SOON_S, type.bootS - (now - machine.rentedAt) / 1000.0)
     }
@@ -88,24 +88,24 @@
     }
 
     /** Room for tasks that are being stopped to go there: taken by others, it would leave them without a place. */
-    fun pledges(): Map<MachineId, Resources> {
+    fun reservedForMoves(): Map<MachineId, Resources> {
         val result = HashMap<MachineId, Resources>()
         for (job in cluster.jobs.values) {
             for (attempt in job.attempts.values) {
-                val target = attempt.target ?: continue
-                if (attempt.stopReason != null) result.merge(target, job.need, Resources::plus)
+                val moveTarget = attempt.moveTarget ?: continue
+                if (attempt.stopReason != null) result.merge(moveTarget, job.need, Resources::plus)
             }
         }
         return result
     }
 
-    private fun leaving(machine: Machine): Resources {
+    private fun stoppingUsage(machine: Machine): Resources {
         var sum = Resources.NONE
         for (attempt in machine.attempts.values) if (!attempt.isWanted) sum += attempt.job.need
         return sum
     }
 
-    private fun leastUrgent(machine: Machine): Priority? {
+    private fun lowestPriority(machine: Machine): Priority? {
         var least: Priority? = null
         for (attempt in machine.attempts.values) {
             val priority = attempt.job.priority
@@ -117,15 +117,15 @@
     private fun tenant(
         attempt: TaskAttempt,
         type: MachineType,
-        zoneUses: ZoneUses,
+        zoneTaskCounts: ZoneTaskCounts,
         now: Long,
-    ): Tenant {
+    ): PlacedTask {
         val spec = attempt.job.spec
         val ranS = if (attempt.workerState == TaskState.RUNNING) (now - attempt.runningSince) / 1000.0 else 0.0
-        return Tenant(
+        return PlacedTask(
             attempt = attempt.id,
             spec = spec,
-            zoneUse = zoneUses.of(attempt.job),
+            tasksByZone = zoneTaskCounts.of(attempt.job),
             ranS = ranS,
             fetchS = type.fetchS(spec),
             weight = weights.of(spec.className),
@@ -135,15 +135,15 @@
     }
 
     /** The machines of an order whose answer is awaited. */
-    fun ordered(
-        order: PendingOrder,
+    fun ofPendingRental(
+        order: PendingRental,
         types: Map<TypeName, MachineType>,
         now: Long,
     ): List<PlanMachine> {
         val request = order.request
         val type = types[request.type] ?: return emptyList()
-        val readyInS = maxOf(SOON_S, type.bootS - (now - order.orderedAt) / 1000.0)
-        return List(request.count) { PlanMachine.pendingOrders(type, request.zone, request.spot, readyInS) }
+        val readyInS = maxOf(SOON_S, type.bootS - (now - order.firstRequestedAt) / 1000.0)
+        return List(request.count) { PlanMachine.forRental(type, request.zone, request.spot, readyInS) }
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
@@ -15,20 +15,20 @@
     private val cluster: ClusterState,
     private val clock: Clock,
     private val weights: ClassWeights,
-    private val recordRoom: RecordRoom,
+    private val recordCapacity: RecordCapacity,
 ) {
     /** [job] as the planner sees it, or null if none of its tasks may be placed now. */
     fun of(
         job: Job,
-        zoneUses: ZoneUses,
+        zoneTaskCounts: ZoneTaskCounts,
         now: Long,
     ): PlanJob? {
-        if (job.phase != Phase.ACTIVE || now < job.holdUntil) return null
+        if (job.phase != Phase.ACTIVE || now < job.backoffUntil) return null
         val readyMs = job.readyMs ?: return null
         // A gang starts again only as a whole: what is left of it ends by itself when its mates are gone.
         if (job.spec.kind == JobKind.GANG && job.attempts.isNotEmpty()) return null
-        if (job.spec.oneZone && !zoneUses.isKnown(job)) return null
-        val pending = job.pendingTasks(minOf(MAX_TASKS_PER_ROUND, recordRoom.forTasks(job)))
+        if (job.spec.oneZone && !zoneTaskCounts.areAllZonesKnown(job)) return null
+        val pending = job.pendingTasks(minOf(MAX_TASKS_PER_ROUND, recordCapacity.maxAdditionalTasks(job)))
         if (pending.isEmpty()) return null
         job.avoid.values.removeIf { it <= now }
         val nowMs = clock.wallMs()
@@ -37,7 +37,7 @@
             id = job.id,
             spec = job.spec,
             pending = pending,
-            zoneUse = zoneUses.of(job),
+            tasksByZone = zoneTaskCounts.of(job),
             waitedS = waitedS,
             runEstimateS = if (job.spec.kind == JobKind.SERVICE) 0.0 else job.spec.runEstimateS,
             deadlineInS = job.latestEndMs?.let { (it - nowMs) / 1000.0 },
@@ -49,7 +49,7 @@
     }
 
     /** Room for what is expected to come while a machine boots, as one job a class. */
-    fun reserves(types: Map<TypeName, MachineType>): List<PlanJob> {
+    fun forecastReservations(types: Map<TypeName, MachineType>): List<PlanJob> {
         val expected =
             cluster.forecast.expected(clock.wallMs()) { spec ->
                 types.values.filter { spec.types == null || it.name in spec.types }.minOfOrNull { it.bootS } ?: 0.0
@@ -59,7 +59,7 @@
                 id = JobId("reserve-${example.className}"),
                 spec = example.copy(tasks = count * 2, zone = null, oneZone = false),
                 pending = IntArray(count) { it },
-                zoneUse = emptyMap(),
+                tasksByZone = emptyMap(),
                 waitedS = 0.0,
                 runEstimateS = 0.0,
                 deadlineInS = null,
--- a/src/main/kotlin/oxbowlug/scheduling/RecordRoom.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/RecordCapacity.kt
@@ -9,7 +9,7 @@
 import oxbowlug.record.WritableFormat
 
 /** How many attempts a job's record can still name inside the value limit of the state service. */
-internal class RecordRoom(
+internal class RecordCapacity(
     settings: Settings,
     private val cluster: ClusterState,
     private val writableFormat: () -> WritableFormat,
@@ -19,26 +19,26 @@
     private var machineNameBytes = LONG_MACHINE_NAME
 
     /** Call it once a snapshot: asked for each job, it would scan all machines each time. */
-    fun measureMachineNames() {
+    fun updateMachineNameBytes() {
         machineNameBytes = longestMachineName()
     }
 
     /** How many more tasks may be placed so that the record stays inside the value limit, however they end. */
-    fun forTasks(job: Job): Int {
+    fun maxAdditionalTasks(job: Job): Int {
         if (writableFormat() == WritableFormat.HEAD_AND_PARTS) return dividedRoom(job)
-        val perTask = JobRecord.PLACEMENT_BOUND + TaskRanges.RANGE_BOUND
-        val room = valueLimit - JobRecord.SPEC_BOUND - TaskRanges.sizeBound(job.done)
-        val many = (room - cluster.machines.size * JobRecord.MACHINE_BOUND) / perTask
-        val few = room / (perTask + JobRecord.MACHINE_BOUND)
+        val perTask = JobRecord.MAX_PLACEMENT_BYTES + TaskRanges.MAX_RANGE_BYTES
+        val room = valueLimit - JobRecord.MAX_SPEC_BYTES - TaskRanges.maxEncodedBytes(job.done)
+        val many = (room - cluster.machines.size * JobRecord.MAX_MACHINE_BYTES) / perTask
+        val few = room / (perTask + JobRecord.MAX_MACHINE_BYTES)
         return (maxOf(many, few) - job.attempts.size).coerceAtLeast(0)
     }
 
     private fun dividedRoom(job: Job): Int {
         val occupancy =
-            RecordLayout.Occupancy(
+            RecordLayout.RecordUsage(
                 tasks = job.spec.tasks,
                 nextAttempt = job.nextAttempt,
-                doneRanges = TaskRanges.count(job.done),
+                doneRanges = TaskRanges.rangeCount(job.done),
                 placed = job.attempts.size,
                 machines =
                     job.attempts.values
@@ -46,7 +46,7 @@
                         .size,
                 nameBytes = machineNameBytes,
             )
-        return dividedRecords.roomForTasks(occupancy).coerceAtLeast(if (job.attempts.isEmpty()) 1 else 0)
+        return dividedRecords.maxAdditionalPlacements(occupancy).coerceAtLeast(if (job.attempts.isEmpty()) 1 else 0)
     }
 
     /** The longest machine name less what all of them share. */
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -32,14 +32,14 @@
     private val timing: Timing,
     private val cluster: ClusterState,
     private val scaler: MachineScaler,
-    startedAt: Long,
+    termStartedAt: Long,
     writableFormat: () -> WritableFormat,
 ) {
     private val policy = settings.policy
     private val weights = ClassWeights(settings)
-    private val recordRoom = RecordRoom(settings, cluster, writableFormat)
-    private val pendingJobs = PendingJobs(cluster, clock, weights, recordRoom)
-    private val availableMachines = AvailableMachines(cluster, timing, weights, startedAt)
+    private val recordCapacity = RecordCapacity(settings, cluster, writableFormat)
+    private val pendingJobs = PendingJobs(cluster, clock, weights, recordCapacity)
+    private val availableMachines = AvailableMachines(cluster, timing, weights, termStartedAt)
 
     /** What the planner needs of the present state. [mayMove] allows moves that only consolidate. */
     fun snapshot(
@@ -49,20 +49,20 @@
         val now = clock.steadyMs()
         InheritedPriority.update(cluster.jobs, types.values, timing.pipelineStageOverheadMs)
         val teams = teams()
-        recordRoom.measureMachineNames()
+        recordCapacity.updateMachineNameBytes()
         val machines = ArrayList<PlanMachine>(cluster.machines.size)
-        val zoneUses = ZoneUses(cluster, settings.zones)
-        val pledges = availableMachines.pledges()
+        val zoneTaskCounts = ZoneTaskCounts(cluster, settings.zones)
+        val reservedForMoves = availableMachines.reservedForMoves()
         for (machine in cluster.machines.values) {
-            availableMachines.of(machine, types, zoneUses, pledges, now)?.let(machines::add)
+            availableMachines.of(machine, types, zoneTaskCounts, reservedForMoves, now)?.let(machines::add)
         }
-        for (order in scaler.pendingOrders) machines.addAll(availableMachines.ordered(order, types, now))
+        for (order in scaler.pendingRentals) machines.addAll(availableMachines.ofPendingRental(order, types, now))
         return Snapshot(
-            jobs = cluster.jobs.values.mapNotNull { pendingJobs.of(it, zoneUses, now) } + pendingJobs.reserves(types),
+            jobs = cluster.jobs.values.mapNotNull { pendingJobs.of(it, zoneTaskCounts, now) } + pendingJobs.forecastReservations(types),
             machines = machines,
             teams = teams,
             types = types.values.toList(),
-            refusals = scaler.refusalPrices(now),
+            refusals = scaler.capacityRefusals(now),
             horizonS = policy.replanS,
             postponeFactor = policy.postponeFactor,
             idleSlotPenalty = policy.idleSlotPenalty,
@@ -84,7 +84,7 @@
             val team = teams[job.spec.team] ?: continue
             for (attempt in job.attempts.values) {
                 team.add(need)
-                if (!attempt.isWanted) team.expectStop(need)
+                if (!attempt.isWanted) team.addStopping(need)
             }
         }
         return teams
@@ -137,7 +137,7 @@
             cluster.place(job, start.task, machine)
             touched.add(job)
         }
-        for (job in touched) job.nextRound()
+        for (job in touched) job.advanceAttemptNumber()
         for (id in plan.stops) {
             val attempt = attemptOf(id) ?: continue
             cluster.stop(attempt, StopReason.PREEMPTED, plan.targets[id])
--- a/src/main/kotlin/oxbowlug/scheduling/ZoneUses.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/ZoneTaskCounts.kt
@@ -7,14 +7,14 @@
 import oxbowlug.wire.Zone
 
 /** Where the tasks of each job are, counted once a plan: tenants of one job on many machines all ask for it. */
-internal class ZoneUses(
+internal class ZoneTaskCounts(
     private val cluster: ClusterState,
     private val zones: List<Zone>,
 ) {
     private val known = HashMap<JobId, Map<Zone, Int>>()
 
     /** A new leader may know from the job records of a machine that sent it no heartbeat and that no list shows yet. */
-    fun isKnown(job: Job): Boolean = job.attempts.values.all { zoneOf(it) != null }
+    fun areAllZonesKnown(job: Job): Boolean = job.attempts.values.all { zoneOf(it) != null }
 
     /** What is somewhere unknown may be in any zone, so it counts in each: left out, it would break the job's rule. */
     fun of(job: Job): Map<Zone, Int> =
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -9,14 +9,14 @@
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.StateCodec
 import oxbowlug.wire.Transaction
 
 /**
- * The state service over HTTP. [settle] brings outcomes back to the controller's event queue. A malformed answer counts
+ * The state service over HTTP. [runOnEventLoop] brings outcomes back to the controller's event queue. A malformed answer counts
  * as none. Times are in milliseconds; a read of changes may be answered later than [timeoutMs] by its own wait.
  */
 internal class StateClient(
@@ -24,7 +24,7 @@
     private val http: HttpCaller,
     private val scope: CoroutineScope,
     private val timeoutMs: Long,
-    private val settle: (() -> Unit) -> Unit,
+    private val runOnEventLoop: (() -> Unit) -> Unit,
 ) : StatePort {
     override fun commit(
         transaction: Transaction,
@@ -42,7 +42,7 @@
         return when (result.status) {
             OK -> body?.let { CommitOutcome.Applied(StateCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
             CONFLICT -> CommitOutcome.Conflict(body?.let(StateCodec::decodeFailedConditions).orEmpty())
-            BAD_REQUEST -> if (StateCodec.isLeaseExpired(body)) CommitOutcome.LeaseOver else CommitOutcome.Invalid
+            BAD_REQUEST -> if (StateCodec.isLeaseExpired(body)) CommitOutcome.LeaseExpired else CommitOutcome.Invalid
             TOO_MANY_REQUESTS, UNAVAILABLE -> CommitOutcome.Refused
             else -> CommitOutcome.Unanswered
         }
@@ -70,31 +70,31 @@
             val body = result.bodyOf(OK)
             when {
                 body != null -> ChangesOutcome.Read(StateCodec.decodeChanges(body))
-                result is CallResult.Answered && result.status == GONE -> ChangesOutcome.TooOld
+                result is CallResult.Answered && result.status == GONE -> ChangesOutcome.Compacted
                 else -> ChangesOutcome.Failed
             }
         }
     }
 
-    override fun grant(
-        lifeMs: Long,
+    override fun grantLease(
+        ttlMs: Long,
         done: (Long?) -> Unit,
-    ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to lifeMs), timeoutMs, done) { result ->
+    ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to ttlMs), timeoutMs, done) { result ->
         result.bodyOf(OK)?.let(StateCodec::decodeLease)
     }
 
-    override fun touch(
+    override fun keepLeaseAlive(
         lease: Long,
-        done: (TouchOutcome) -> Unit,
+        done: (LeaseRenewalOutcome) -> Unit,
     ) = call(HttpMethod.POST, "/holds/$lease/touch", emptyMap(), timeoutMs, done) { result ->
         when {
-            result is CallResult.Answered && result.status == OK -> TouchOutcome.RENEWED
-            result is CallResult.Answered && result.status == NOT_FOUND -> TouchOutcome.OVER
-            else -> TouchOutcome.FAILED
+            result is CallResult.Answered && result.status == OK -> LeaseRenewalOutcome.RENEWED
+            result is CallResult.Answered && result.status == NOT_FOUND -> LeaseRenewalOutcome.EXPIRED
+            else -> LeaseRenewalOutcome.FAILED
         }
     }
 
-    override fun release(lease: Long) = call(HttpMethod.DELETE, "/holds/$lease", null, timeoutMs, {}) {}
+    override fun revokeLease(lease: Long) = call(HttpMethod.DELETE, "/holds/$lease", null, timeoutMs, {}) {}
 
     private fun <T> call(
         method: HttpMethod,
@@ -113,7 +113,7 @@
                     // A malformed answer counts as none.
                     read(CallResult.Unanswered)
                 }
-            settle { done(outcome) }
+            runOnEventLoop { done(outcome) }
         }
     }
 
--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -5,7 +5,7 @@
 import io.vertx.core.http.HttpMethod
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
 import oxbowlug.wire.Entry
@@ -62,12 +62,12 @@
             path == "/changes" -> changes(call)
             path == "/holds" -> {
                 traffic.stateLeaseCalls++
-                call.reply(Status.OK, mapOf("tether" to store.grant(exchange.body().fields().count("life_ms"))))
+                call.reply(Status.OK, mapOf("tether" to store.grantLease(exchange.body().fields().count("life_ms"))))
             }
-            path.startsWith(HOLDS) && path.endsWith(TOUCH) -> touch(call, path)
+            path.startsWith(HOLDS) && path.endsWith(TOUCH) -> keepLeaseAlive(call, path)
             path.startsWith(HOLDS) && method == HttpMethod.DELETE -> {
                 traffic.stateLeaseCalls++
-                path.substring(HOLDS.length).toLongOrNull()?.let(store::release)
+                path.substring(HOLDS.length).toLongOrNull()?.let(store::revokeLease)
                 call.reply(Status.OK, emptyMap())
             }
             else -> call.reply(Status.NOT_FOUND, mapOf("ledger" to store.revision))
@@ -112,7 +112,7 @@
         is CommitOutcome.Applied -> reply(Status.OK, mapOf("ledger" to outcome.revision))
         is CommitOutcome.Conflict ->
             reply(Status.CONFLICT, mapOf("failed" to outcome.failed, "ledger" to store.revision))
-        CommitOutcome.LeaseOver -> reply(Status.BAD_REQUEST, mapOf("error" to "no such lease"))
+        CommitOutcome.LeaseExpired -> reply(Status.BAD_REQUEST, mapOf("error" to "no such lease"))
         CommitOutcome.Invalid -> reply(Status.BAD_REQUEST, mapOf("error" to "larger than the limits"))
         CommitOutcome.Refused, CommitOutcome.Unanswered -> {
             traffic.stateRefused++
@@ -144,10 +144,10 @@
         return mapOf("ledger" to outcome.changes.revision, "events" to outcome.changes.events.map(::encode))
     }
 
-    private fun touch(call: Call, path: String) {
+    private fun keepLeaseAlive(call: Call, path: String) {
         traffic.stateLeaseCalls++
         val id = path.removeSuffix(TOUCH).substring(HOLDS.length).toLongOrNull()
-        val isRenewed = id != null && store.touch(id) == TouchOutcome.RENEWED
+        val isRenewed = id != null && store.keepLeaseAlive(id) == LeaseRenewalOutcome.RENEWED
         if (isRenewed) call.reply(Status.OK, mapOf("tether" to id)) else call.reply(Status.NOT_FOUND, emptyMap())
     }
 
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -13,7 +13,7 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
@@ -124,7 +124,7 @@
             parts: List<Map<String, Any?>>,
         ) {
             val whole = record.encode() + mapOf(RecordLayout.PARTS to parts.size.toLong())
-            val head = if (parts.isEmpty()) record.encode() else layout.headAlone(whole)
+            val head = if (parts.isEmpty()) record.encode() else layout.headOnly(whole)
             commit(id, listOf(Change.Put(Keys.job(id), head)), record, parts)
         }
 
@@ -163,7 +163,7 @@
 
     private inner class Listener(
         private val applied: MutableList<Applied>,
-    ) : StateCacheListener by IgnoringListener {
+    ) : StateCacheListener by NoOpStateCacheListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -22,7 +22,7 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.failingInvariants
@@ -88,9 +88,9 @@
     ) {
         val leadership = LeadershipRecord(1, FencingToken(1), Member("n0", "x"), 0)
         put(Keys.LEADERSHIP, leadership.encode())
-        if (isSwitchedOn) put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST))
+        if (isSwitchedOn) put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST))
         for (record in records) put(Keys.job(record.spec.id.value), record.encode())
-        val cache = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val version = store.entry(Keys.LEADERSHIP)?.version ?: error("it was just written")
         cache.forEachActive { id, stored -> stored.value?.let { cluster.applyJob(id, stored, it) } }
         commits =
@@ -134,7 +134,7 @@
                 cluster.machine(MachineId("host-%06d".format(task))) ?: error("there"),
             )
         }
-        job.nextRound()
+        job.advanceAttemptNumber()
     }
 
     private fun flush(times: Int = 1) =
@@ -158,18 +158,18 @@
         flush(2)
         val job = cluster.jobs.getValue(JobId("big"))
         assertEquals(200, stored("big").placements.size)
-        assertTrue(job.attempts.values.all { it.committed })
+        assertTrue(job.attempts.values.all { it.isCommitted })
         assertTrue(store.keys(Keys.PARTS).isNotEmpty())
         for (task in 0..198) {
             job.markDone(task, clock.steadyMs())
-            job.drop(task, clock.steadyMs())
+            job.removeAttempt(task, clock.steadyMs())
         }
         place("big", 200..239)
         flush(3)
         assertEquals(41, stored("big").placements.size)
         for (task in 199..239) {
             job.markDone(task, clock.steadyMs())
-            job.drop(task, clock.steadyMs())
+            job.removeAttempt(task, clock.steadyMs())
         }
         flush(3)
         assertEquals(Phase.DONE, stored("big").phase)
@@ -181,7 +181,7 @@
     fun `ends that can wait leave writes for placements, but not for ever`() {
         val arrays = List(12) { record("array-$it", 40, placed = 1) }
         lead(isSwitchedOn = true, *arrays.toTypedArray(), record("service", 2), rate = 8.0)
-        for (array in arrays) cluster.jobs.getValue(array.spec.id).drop(0, clock.steadyMs())
+        for (array in arrays) cluster.jobs.getValue(array.spec.id).removeAttempt(0, clock.steadyMs())
         world.after(timing.deferredWriteMs) {}
         world.runUntil(world.nowMs + timing.deferredWriteMs)
         commits.flush()
@@ -199,7 +199,7 @@
         place("big", 0..199)
         flush()
         val first = sent.last().changes.size
-        cluster.jobs.getValue(JobId("big")).drop(199, clock.steadyMs())
+        cluster.jobs.getValue(JobId("big")).removeAttempt(199, clock.steadyMs())
         flush(2)
         assertTrue(first == 3 && sent.last().changes.size == 2, "$first, then ${sent.last().changes.size}")
     }
@@ -253,11 +253,11 @@
         assertEquals(2, waiting.size, "the second write is on its way")
         waiting[0].answer(CommitOutcome.Applied(store.revision))
         val job = cluster.jobs.getValue(JobId("job"))
-        assertEquals(listOf(true, false), job.attempts.values.map { it.committed }, "what may be started")
+        assertEquals(listOf(true, false), job.attempts.values.map { it.isCommitted }, "what may be started")
         waiting[1].answer(CommitOutcome.Refused)
         held = null
         flush(2)
         assertEquals(setOf(0, 1), stored("job").placements.keys, "what was refused is written again")
-        assertEquals(listOf(true, true), job.attempts.values.map { it.committed })
+        assertEquals(listOf(true, true), job.attempts.values.map { it.isCommitted })
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/OldVersion.kt
+++ b/src/test/kotlin/oxbowlug/sim/OldVersion.kt
@@ -12,7 +12,7 @@
  * nothing of formats, and it keeps no field that it doesn't know. Whatever it must never meet fails the day.
  */
 internal object OldVersion {
-    private val newKeys = listOf(Keys.FORMATS, Keys.FORMAT, Keys.PARTS)
+    private val newKeys = listOf(Keys.SUPPORTED_FORMATS, Keys.FORMAT_MARKER, Keys.PARTS)
     private val newFields = listOf("parts")
 
     fun ignores(key: String): Boolean = newKeys.any { key.startsWith(it) }
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -36,7 +36,7 @@
             assertEquals(emptyList<String>(), day.rules.broken.take(5), what)
             assertEquals(emptyList<String>(), day.serving.broken.take(5), what)
             assertEquals(emptyList<String>(), day.rules.unfinished(), "$what: not served")
-            assertTrue(day.store.entry(Keys.FORMAT) != null, "$what: the format isn't switched on")
+            assertTrue(day.store.entry(Keys.FORMAT_MARKER) != null, "$what: the format isn't switched on")
             if (!case.fallsUnprepared) assertEquals(0, day.store.refusedForSize, "$what: refused for their size")
             assertTrue(day.store.partsWritten > 0, "$what: no record was divided")
             val stages =
@@ -233,7 +233,7 @@
                     upgrade(20_000, 5_000, listOf(2, 0, 4, 1, 3))
                     var hasFallen = false
                     world.every(20) {
-                        if (!hasFallen && store.entry(Keys.FORMAT) != null) {
+                        if (!hasFallen && store.entry(Keys.FORMAT_MARKER) != null) {
                             hasFallen = true
                             store.limits = NEXT
                             cancel("large-0")
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -2,17 +2,17 @@
 
 import oxbowlug.config.Address
 import oxbowlug.lease.HeartbeatResponse
-import oxbowlug.peer.PeerFrames
+import oxbowlug.peer.PeerFrameCodec
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CloudPort
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.request.UserResponse
 import oxbowlug.standin.World
@@ -65,7 +65,7 @@
         atMs: Long,
         sender: String,
         heartbeat: PeerHeartbeat,
-    ) = note(atMs, sender, "heartbeat", PeerFrames.encode(heartbeat).readByteArray())
+    ) = note(atMs, sender, "heartbeat", PeerFrameCodec.encode(heartbeat).readByteArray())
 
     fun reportAnswer(
         atMs: Long,
@@ -150,25 +150,25 @@
         state.changes(prefix, from, waitMs, done)
     }
 
-    override fun grant(
-        lifeMs: Long,
+    override fun grantLease(
+        ttlMs: Long,
         done: (Long?) -> Unit,
     ) {
-        note("grant $lifeMs")
-        state.grant(lifeMs, done)
+        note("grant $ttlMs")
+        state.grantLease(ttlMs, done)
     }
 
-    override fun touch(
+    override fun keepLeaseAlive(
         lease: Long,
-        done: (TouchOutcome) -> Unit,
+        done: (LeaseRenewalOutcome) -> Unit,
     ) {
         note("touch $lease")
-        state.touch(lease, done)
+        state.keepLeaseAlive(lease, done)
     }
 
-    override fun release(lease: Long) {
+    override fun revokeLease(lease: Long) {
         note("release $lease")
-        state.release(lease)
+        state.revokeLease(lease)
     }
 
     override fun types(done: (List<MachineType>?) -> Unit) {
@@ -210,7 +210,7 @@
         token: FencingToken,
         incarnation: Long,
         commands: List<WorkerCommand>,
-        done: (DirectOutcome) -> Unit,
+        done: (CommandOutcome) -> Unit,
     ) {
         note("command $endpoint", Cbor.encode(WorkerCodec.encodeDirectCommands(token, incarnation, commands)))
         workers.command(endpoint, token, incarnation, commands, done)
@@ -220,12 +220,12 @@
         label: String,
         notice: CancellationNotice,
     ) {
-        note("to $label", PeerFrames.encode(notice).readByteArray())
+        note("to $label", PeerFrameCodec.encode(notice).readByteArray())
         peers.send(label, notice)
     }
 
-    override fun heartbeatChanged() {
+    override fun broadcastHeartbeat() {
         note("heartbeat changed")
-        peers.heartbeatChanged()
+        peers.broadcastHeartbeat()
     }
 }
