--- a/src/scale/kotlin/oxbowlug/scale/ControllerProcess.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerProcess.kt
@@ -31,7 +31,7 @@
     val cpuSeconds: Double get() = (previousCpuTicks.get() + currentCpuTicks) / TICKS_PER_S
 
     @Volatile
-    var latest = ProcessSample(0.0, 0.0, 0)
+    var latestSample = ProcessSample(0.0, 0.0, 0)
         private set
 
     fun start() {
@@ -77,8 +77,8 @@
             val fields = File(folder, "stat").readText().substringAfterLast(") ").split(' ')
             currentCpuTicks = fields[USER_TICKS].toLong() + fields[SYSTEM_TICKS].toLong()
             val status = File(folder, "status").readLines()
-            val sockets = if (withSockets) countSockets(folder) else latest.sockets
-            latest = ProcessSample(megabytes(status, "VmRSS:"), megabytes(status, "VmHWM:"), sockets)
+            val sockets = if (withSockets) countSockets(folder) else latestSample.sockets
+            latestSample = ProcessSample(megabytes(status, "VmRSS:"), megabytes(status, "VmHWM:"), sockets)
         } catch (_: java.io.IOException) {
             // The process exited in the meantime.
         }
--- a/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
@@ -82,7 +82,7 @@
         private fun decode(response: HttpClientResponse, body: Buffer): HeartbeatResponse? {
             traffic.heartbeatResponses.count(body.length(), Traffic.RESPONSE_HEADER_BYTES)
             val decoded = try {
-                StandInCodec.decodeAnswer(response.statusCode(), Cbor.decode(body.bytes))
+                StandInCodec.decodeResponse(response.statusCode(), Cbor.decode(body.bytes))
             } catch (_: MalformedBody) {
                 null
             } catch (_: InvalidField) {
@@ -126,11 +126,11 @@
             exchange.request.connection().close()
         } else {
             val worker = workerAt(WorkerAddresses.canonical(host, topology.ports.workers))
-            if (worker != null && worker.alive) answer(exchange, worker, controller)
+            if (worker != null && worker.alive) handle(exchange, worker, controller)
         }
     }
 
-    private fun answer(exchange: HttpExchange, worker: SimWorker, controller: ControllerIdentity) {
+    private fun handle(exchange: HttpExchange, worker: SimWorker, controller: ControllerIdentity) {
         traffic.directCommands.count(exchange.bodySize, Traffic.REQUEST_HEADER_BYTES)
 
         val workerEnd = Endpoint.Worker(worker.zone)
@@ -139,7 +139,7 @@
         fun reply(status: Int, report: WorkerHeartbeat) = network.deliver(workerEnd, controllerEnd) {
             val endpoint = "${exchange.request.localAddress().host()}:${topology.ports.workers}"
             val size = exchange.reply(status, StandInCodec.encodeHeartbeat(report.copy(endpoint = endpoint)))
-            traffic.directAnswers.count(size, Traffic.RESPONSE_HEADER_BYTES)
+            traffic.directResponses.count(size, Traffic.RESPONSE_HEADER_BYTES)
         }
         if (exchange.path == "/status") {
             return network.deliver(controllerEnd, workerEnd) { worker.status { reply(HttpStatus.OK, it) } }
--- a/src/scale/kotlin/oxbowlug/scale/Network.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Network.kt
@@ -57,13 +57,13 @@
         beforeDelivery()
         val until = if (partitions.isEmpty()) 0L else heldUntil(from, to)
         if (until > world.nowMs) heldMessages++
-        val isToWorker = from is Endpoint.Worker || to is Endpoint.Worker
-        if (isToWorker && occurs(workerLossProbability)) return
-        val lateMs = if (isToWorker && occurs(workerDelayProbability)) world.between(EXTRA_DELAY_MS) else 0L
-        world.after(maxOf(until - world.nowMs, 0L) + latencyMs(from.zone, to.zone) + lateMs, action)
+        val isWorkerMessage = from is Endpoint.Worker || to is Endpoint.Worker
+        if (isWorkerMessage && occurs(workerLossProbability)) return
+        val extraDelayMs = if (isWorkerMessage && occurs(workerDelayProbability)) world.between(EXTRA_DELAY_MS) else 0L
+        world.after(maxOf(until - world.nowMs, 0L) + latencyMs(from.zone, to.zone) + extraDelayMs, action)
     }
 
-    private fun occurs(share: Double): Boolean = share > 0.0 && world.chance(share)
+    private fun occurs(probability: Double): Boolean = probability > 0.0 && world.chance(probability)
 
     private companion object {
         const val SAME_ZONE_MS = 0L
--- a/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
@@ -52,18 +52,18 @@
     private val peakStarts = doubleOption("peak-starts", "task starts a second at the peak and 6,500 workers", 2_900.0)
     private val scenarios = parser.accepts("scenarios", "scenarios to run, of: ${Scenario.names}")
         .withRequiredArg().withValuesSeparatedBy(',').defaultsTo("ordinary", "peak", "leader-killed")
-    private val scenarioLength = parser.accepts("scenario-seconds", "seconds of each scenario instead of its own length")
+    private val scenarioLength = parser.accepts("scenario-seconds", "seconds of each scenario, instead of its default")
         .withRequiredArg().ofType(Int::class.javaObjectType)
     private val stateRps = doubleOption("state-rps", "requests a second that the state service takes", 900.0)
     private val writeRps = doubleOption("write-rps", "changes a second that the state service takes", 70.0)
     private val cloudRps = doubleOption("cloud-rps", "requests a second that the cloud takes", 6.0)
-    private val heartbeatS = doubleOption("report-s", "seconds between a worker's reports", 2.5)
+    private val heartbeatS = doubleOption("report-s", "seconds between a worker's heartbeats", 2.5)
     private val leaseS = doubleOption("lease-s", "seconds of a worker's lease", 15.0)
     private val heapMb = parser.accepts("heap-mb", "heap of each controller, instead of the deployed one")
         .withRequiredArg().ofType(Int::class.javaObjectType)
     private val maxSockets = intOption("max-sockets", "sockets that a controller may hold; the run fails above", 20_000)
     private val firstPort = intOption("first-port", "first of the six ports used on loopback", 21_000)
-    private val seed = intOption("seed", "seed of everything random", 1)
+    private val seed = intOption("seed", "seed of all random choices", 1)
     private val output = parser.accepts("output", "folder for the reports, the settings and the controllers' logs")
         .withRequiredArg().defaultsTo("target/scale")
     private val deploy = parser.accepts("deploy", "file whose run command starts the controllers")
@@ -73,7 +73,7 @@
 
     override fun read(parsed: OptionSet): ScaleOptions {
         val count = parsed.valueOf(workers)
-        val share = count / FULL_FLEET_WORKERS
+        val fleetFraction = count / FULL_FLEET_WORKERS
         return ScaleOptions(
             workers = count,
             tasksPerWorker = parsed.valueOf(tasksPerWorker),
@@ -82,8 +82,8 @@
             regions = parsed.valueOf(regions),
             zones = parsed.valueOf(zones),
             teams = parsed.valueOf(teams),
-            jobsPerDay = parsed.valueOf(jobsPerDay) * share,
-            peakStartsPerSecond = parsed.valueOf(peakStarts) * share,
+            jobsPerDay = parsed.valueOf(jobsPerDay) * fleetFraction,
+            peakStartsPerSecond = parsed.valueOf(peakStarts) * fleetFraction,
             scenarios = parsed.valuesOf(scenarios).map { name ->
                 Scenario.of(name) ?: throw InvalidOption("scenarios: $name is none of ${Scenario.names}")
             },
--- a/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
@@ -8,7 +8,7 @@
 
 /** Advances the stand-ins' clock with real time. Its lag shows whether the stand-ins kept up. */
 internal class WallClock(vertx: Vertx, private val world: World) {
-    private val beganNs = System.nanoTime()
+    private val startNs = System.nanoTime()
     private var isAdvancing = false
 
     /** The longest time by which the stand-ins lagged behind real time, in milliseconds. */
@@ -30,7 +30,7 @@
     fun catchUp() {
         if (isStopped || isAdvancing) return
         isAdvancing = true
-        val now = (System.nanoTime() - beganNs) / NS_PER_MS
+        val now = (System.nanoTime() - startNs) / NS_PER_MS
         maxLagMs = maxOf(maxLagMs, now - world.nowMs)
         world.advanceTo(now)
         isAdvancing = false
@@ -109,15 +109,15 @@
             fleet.rules.check(fleet.cloud.workers)
             controllers.forEach { it.restartIfExited() }
             window?.recordSecond()
-            val now = controllers.map { it.cpuSeconds }
+            val cpuSecondsNow = controllers.map { it.cpuSeconds }
             samples.add(
                 Sample(
-                    world.nowMs / MS_PER_S, now.zip(cpuSecondsBefore) { after, before -> after - before },
-                    controllers.map { it.latest.residentMb }, controllers.map { it.latest.sockets },
+                    world.nowMs / MS_PER_S, cpuSecondsNow.zip(cpuSecondsBefore) { after, before -> after - before },
+                    controllers.map { it.latestSample.residentMb }, controllers.map { it.latestSample.sockets },
                     fleet.tasksRunning(),
                 ),
             )
-            cpuSecondsBefore = now
+            cpuSecondsBefore = cpuSecondsNow
         }
     }
 
@@ -145,7 +145,7 @@
         val seconds = options.scenarioSeconds ?: scenario.seconds
         val measurement = Window(this, scenario)
         window = measurement
-        injectFault(scenario, seconds, measurement)
+        beginScenario(scenario, seconds, measurement)
         val until = measurement.startedAt + seconds * SECOND_MS
         while (world.nowMs < until) delay(POLL_MS)
         val metrics = controllers.map { metricsReader.read(it.identity) }
@@ -158,7 +158,7 @@
         return controllers.firstOrNull { it.identity.label == leadership?.leader?.label } ?: controllers[0]
     }
 
-    private fun injectFault(scenario: Scenario, seconds: Int, measurement: Window) {
+    private fun beginScenario(scenario: Scenario, seconds: Int, measurement: Window) {
         val leaseMs = (options.leaseS * MS_PER_S).toLong()
         if (scenario != Scenario.ORDINARY && scenario != Scenario.PEAK) measurement.faultAt = world.nowMs
         when (scenario) {
--- a/src/scale/kotlin/oxbowlug/scale/StandInCodec.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StandInCodec.kt
@@ -16,17 +16,17 @@
 
 /** The messages of the published interfaces as workers, the state service and the cloud encode and decode them. */
 internal object StandInCodec {
-    fun encodeHeartbeat(report: WorkerHeartbeat): Map<String, Any?> = mapOf(
-        "beast" to report.machine.value,
-        "endpoint" to report.endpoint,
-        "breed" to report.type.value,
-        "paddock" to report.zone.value,
-        "stray" to report.spot,
-        "shift" to report.incarnation,
-        "tally" to report.sequence,
-        "brand" to report.token.value,
-        "whistle_s" to report.noticeS,
-        "furrows" to report.tasks.map { task ->
+    fun encodeHeartbeat(heartbeat: WorkerHeartbeat): Map<String, Any?> = mapOf(
+        "beast" to heartbeat.machine.value,
+        "endpoint" to heartbeat.endpoint,
+        "breed" to heartbeat.type.value,
+        "paddock" to heartbeat.zone.value,
+        "stray" to heartbeat.spot,
+        "shift" to heartbeat.incarnation,
+        "tally" to heartbeat.sequence,
+        "brand" to heartbeat.token.value,
+        "whistle_s" to heartbeat.noticeS,
+        "furrows" to heartbeat.tasks.map { task ->
             val map = LinkedHashMap<String, Any?>()
             map["furrow"] = task.attempt.task.toString()
             map["try"] = task.attempt.number
@@ -37,7 +37,7 @@
         },
     )
 
-    fun decodeAnswer(status: Int, body: Map<String, Any?>): HeartbeatResponse = when (status) {
+    fun decodeResponse(status: Int, body: Map<String, Any?>): HeartbeatResponse = when (status) {
         HttpStatus.OK -> {
             val fields = body.fields()
             HeartbeatResponse.Renewed(FencingToken(fields.countOr("brand", 0)), decodeCommands(fields))
--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -110,7 +110,7 @@
         }
     }
 
-    private fun occurs(share: Double): Boolean = share > 0.0 && world.chance(share)
+    private fun occurs(probability: Double): Boolean = probability > 0.0 && world.chance(probability)
 
     private fun respond(outcome: CommitOutcome, reply: (Int, Map<String, Any?>) -> Unit) = when (outcome) {
         is CommitOutcome.Applied -> reply(HttpStatus.OK, mapOf("ledger" to outcome.revision))
--- a/src/scale/kotlin/oxbowlug/scale/Traffic.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Traffic.kt
@@ -16,14 +16,14 @@
 }
 
 /**
- * Counts the messages and bytes on the stand-ins' connections. Bodies are counted at their real size and HTTP headers
- * at a fixed size; TCP and IP headers are not counted.
+ * Counts the messages and bytes on the stand-ins' connections. Bodies are counted at their real size, HTTP headers at
+ * the fixed size that they have here. TCP headers are not counted.
  */
 internal class Traffic {
     val reports = MessageCounter()
     val heartbeatResponses = MessageCounter()
     val directCommands = MessageCounter()
-    val directAnswers = MessageCounter()
+    val directResponses = MessageCounter()
     val peerBytes = MessageCounter()
     var redirects = 0L
     var unavailable = 0L
--- a/src/scale/kotlin/oxbowlug/scale/Window.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Window.kt
@@ -8,8 +8,8 @@
     val atMs = run.world.nowMs
     private val traffic = run.traffic
     val reports = traffic.reports.messages
-    val reportBytes = traffic.reports.bytes + traffic.directAnswers.bytes
-    val answerBytes = traffic.heartbeatResponses.bytes + traffic.directCommands.bytes
+    val reportBytes = traffic.reports.bytes + traffic.directResponses.bytes
+    val responseBytes = traffic.heartbeatResponses.bytes + traffic.directCommands.bytes
     val directCommands = traffic.directCommands.messages
     val redirects = traffic.redirects
     val unavailable = traffic.unavailable
@@ -108,9 +108,9 @@
         zone = controller.identity.zone.value,
         leads = metrics.isLeading,
         processorShare = share,
-        residentMb = controller.latest.residentMb,
-        peakMb = controller.latest.peakMb,
-        sockets = controller.latest.sockets,
+        residentMb = controller.latestSample.residentMb,
+        peakMb = controller.latestSample.peakMb,
+        sockets = controller.latestSample.sockets,
         longestPlanMs = metrics.longestPlanMs,
         longestStepMs = metrics.longestStepMs,
         latestTickMs = metrics.latestTickMs,
@@ -121,7 +121,7 @@
         return ReportTraffic(
             reportsPerS = perSecond.rate(after.reports - before.reports),
             upBytesPerWorkerS = perSecond.rate(after.reportBytes - before.reportBytes) / workers,
-            downBytesPerWorkerS = perSecond.rate(after.answerBytes - before.answerBytes) / workers,
+            downBytesPerWorkerS = perSecond.rate(after.responseBytes - before.responseBytes) / workers,
             directCommandsPerS = perSecond.rate(after.directCommands - before.directCommands),
             redirects = after.redirects - before.redirects,
             unavailable = after.unavailable - before.unavailable,
--- a/src/scale/kotlin/oxbowlug/soak/Fault.kt
+++ b/src/scale/kotlin/oxbowlug/soak/Fault.kt
@@ -3,7 +3,7 @@
 /**
  * The kinds of injected faults. The simulation injects them on virtual time, the soak on real controller processes.
  *
- * A cut controller, zone or pair of them is a network partition between the named ends.
+ * Kinds that begin with CUT are network partitions: messages between the named ends are held, lost or refused.
  */
 internal enum class FaultKind {
     KILL_CONTROLLER,
--- a/src/test/kotlin/oxbowlug/scale/StandInCodecTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/StandInCodecTest.kt
@@ -30,7 +30,7 @@
 
     @Test
     fun `an encoded heartbeat decodes to the same heartbeat`() {
-        val report =
+        val heartbeat =
             WorkerHeartbeat(
                 MachineId("host-1"),
                 "127.64.0.1:9000",
@@ -46,7 +46,7 @@
                     TaskStatus(AttemptId(attempt.task, 1), TaskState.EXITED, ExitCause.STOPPED, saved = true),
                 ),
             )
-        assertEquals(report, WorkerCodec.decodeHeartbeat(throughCbor(StandInCodec.encodeHeartbeat(report))))
+        assertEquals(heartbeat, WorkerCodec.decodeHeartbeat(throughCbor(StandInCodec.encodeHeartbeat(heartbeat))))
     }
 
     @Test
@@ -58,10 +58,10 @@
                 WorkerCommand.Forget(attempt),
             )
         val answer = throughCbor(WorkerCodec.encodeAnswer(FencingToken(9), commands))
-        assertEquals(HeartbeatResponse.Renewed(FencingToken(9), commands), StandInCodec.decodeAnswer(200, answer))
-        assertEquals(HeartbeatResponse.Redirect("n1"), StandInCodec.decodeAnswer(421, mapOf("drover" to "n1")))
-        assertEquals(HeartbeatResponse.Redirect(null), StandInCodec.decodeAnswer(421, emptyMap()))
-        assertEquals(HeartbeatResponse.Unavailable, StandInCodec.decodeAnswer(503, emptyMap()))
+        assertEquals(HeartbeatResponse.Renewed(FencingToken(9), commands), StandInCodec.decodeResponse(200, answer))
+        assertEquals(HeartbeatResponse.Redirect("n1"), StandInCodec.decodeResponse(421, mapOf("drover" to "n1")))
+        assertEquals(HeartbeatResponse.Redirect(null), StandInCodec.decodeResponse(421, emptyMap()))
+        assertEquals(HeartbeatResponse.Unavailable, StandInCodec.decodeResponse(503, emptyMap()))
     }
 
     @Test
