--- a/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
+++ b/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
@@ -73,7 +73,7 @@
     fun batchJob(tasks: Int, runS: Double): PlannedJob {
         val spec = spec("batch", JobKind.ARRAY, Priority.NORMAL, tasks, cores = 1.0, gpus = 0.0)
         return PlannedJob(
-            spec.copy(estimateS = runS, deadlineS = runS * DEADLINE_RUN_FACTOR),
+            spec.copy(runEstimateS = runS, deadlineS = runS * DEADLINE_RUN_FACTOR),
             (runS * MS_PER_S).toLong(),
         )
     }
@@ -104,7 +104,7 @@
             oneZone = false,
             spread = kind == JobKind.SERVICE && tasks > 1 && zones.size > 1,
             spot = false,
-            estimateS = 0.0,
+            runEstimateS = 0.0,
             checkpointS = 0.0,
             saveS = 0.0,
             deadlineS = null,
--- a/src/scale/kotlin/oxbowlug/scale/StandInCodec.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StandInCodec.kt
@@ -25,7 +25,7 @@
         "shift" to heartbeat.incarnation,
         "tally" to heartbeat.sequence,
         "brand" to heartbeat.token.value,
-        "whistle_s" to heartbeat.noticeS,
+        "whistle_s" to heartbeat.interruptionNoticeS,
         "furrows" to heartbeat.tasks.map { task ->
             val map = LinkedHashMap<String, Any?>()
             map["furrow"] = task.attempt.task.toString()
--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -5,7 +5,7 @@
 import io.vertx.core.http.HttpMethod
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
 import oxbowlug.wire.Entry
@@ -66,12 +66,12 @@
             path == "/changes" -> changes(call)
             path == "/holds" -> {
                 traffic.stateLeaseCalls++
-                call.reply(HttpStatus.OK, mapOf("tether" to store.grant(exchange.body().fields().count("life_ms"))))
+                call.reply(HttpStatus.OK, mapOf("tether" to store.grantLease(exchange.body().fields().count("life_ms"))))
             }
-            path.startsWith(LEASES_PATH) && path.endsWith(KEEP_ALIVE_SUFFIX) -> touch(call, path)
+            path.startsWith(LEASES_PATH) && path.endsWith(KEEP_ALIVE_SUFFIX) -> keepLeaseAlive(call, path)
             path.startsWith(LEASES_PATH) && method == HttpMethod.DELETE -> {
                 traffic.stateLeaseCalls++
-                path.substring(LEASES_PATH.length).toLongOrNull()?.let(store::release)
+                path.substring(LEASES_PATH.length).toLongOrNull()?.let(store::revokeLease)
                 call.reply(HttpStatus.OK, emptyMap())
             }
             else -> call.reply(HttpStatus.NOT_FOUND, mapOf("ledger" to store.revision))
@@ -116,7 +116,7 @@
         is CommitOutcome.Applied -> reply(HttpStatus.OK, mapOf("ledger" to outcome.revision))
         is CommitOutcome.Conflict ->
             reply(HttpStatus.CONFLICT, mapOf("failed" to outcome.failed, "ledger" to store.revision))
-        CommitOutcome.LeaseOver -> reply(HttpStatus.BAD_REQUEST, mapOf("error" to "no such lease"))
+        CommitOutcome.LeaseExpired -> reply(HttpStatus.BAD_REQUEST, mapOf("error" to "no such lease"))
         CommitOutcome.Invalid -> reply(HttpStatus.BAD_REQUEST, mapOf("error" to "larger than the limits"))
         CommitOutcome.Refused, CommitOutcome.Unanswered -> {
             traffic.stateRefused++
@@ -148,10 +148,10 @@
         return mapOf("ledger" to outcome.changes.revision, "events" to outcome.changes.events.map(::encode))
     }
 
-    private fun touch(call: Call, path: String) {
+    private fun keepLeaseAlive(call: Call, path: String) {
         traffic.stateLeaseCalls++
         val id = path.removeSuffix(KEEP_ALIVE_SUFFIX).substring(LEASES_PATH.length).toLongOrNull()
-        val renewed = id != null && store.touch(id) == TouchOutcome.RENEWED
+        val renewed = id != null && store.keepLeaseAlive(id) == LeaseRenewalOutcome.RENEWED
         if (renewed) call.reply(HttpStatus.OK, mapOf("tether" to id)) else call.reply(HttpStatus.NOT_FOUND, emptyMap())
     }
 
--- a/src/scale/kotlin/oxbowlug/standin/Rules.kt
+++ b/src/scale/kotlin/oxbowlug/standin/Rules.kt
@@ -73,7 +73,7 @@
                 if (spec.oneZone && other.zone != machine.zone) fail("wrong_place", "$attempt outside its job's zone")
             }
         }
-        if (inZone > spec.zoneCap) fail("wrong_place", "$attempt is number $inZone of $spec in ${machine.zone}")
+        if (inZone > spec.maxTasksPerZone) fail("wrong_place", "$attempt is number $inZone of $spec in ${machine.zone}")
         checkMachine(machine, attempt, spec)
         if (!isStored(attempt)) fail("orphaned", "$attempt starts on ${machine.id}, and no stored record names it")
         val cancelledAt = job.cancelledAt
--- a/src/scale/kotlin/oxbowlug/standin/SimStore.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimStore.kt
@@ -4,7 +4,7 @@
 import oxbowlug.config.WriteLimits
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.Keys
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.Change
@@ -16,7 +16,7 @@
 
 /** The state service by its published protocol: revisions, conditions, leases, watches and outages. */
 internal class SimStore(private val world: World, private val historyLimit: Int = 10_000) {
-    private class Lease(val lifeMs: Long, var endsAt: Long)
+    private class Lease(val ttlMs: Long, var endsAt: Long)
 
     private class Watch(val from: Long, val prefix: String, val answer: (ChangesOutcome) -> Unit) {
         var open = true
@@ -35,7 +35,7 @@
     var down = false
         set(value) {
             // After an outage every lease has its full time again.
-            if (field && !value) for (lease in leases.values) lease.endsAt = world.nowMs + lease.lifeMs
+            if (field && !value) for (lease in leases.values) lease.endsAt = world.nowMs + lease.ttlMs
             field = value
         }
 
@@ -96,7 +96,7 @@
         val failed = transaction.conditions.filter { (entries[it.key]?.version ?: 0L) != it.version }.map { it.key }
         if (failed.isNotEmpty()) return CommitOutcome.Conflict(failed)
         for (change in transaction.changes) {
-            if (change is Change.Put && change.lease != null && change.lease !in leases) return CommitOutcome.LeaseOver
+            if (change is Change.Put && change.lease != null && change.lease !in leases) return CommitOutcome.LeaseExpired
         }
         if (transaction.changes.isEmpty()) return CommitOutcome.Applied(revision)
         revision++
@@ -130,7 +130,7 @@
     }
 
     fun changes(prefix: String, from: Long): ChangesOutcome {
-        if (from < droppedUpTo) return ChangesOutcome.TooOld
+        if (from < droppedUpTo) return ChangesOutcome.Compacted
         var first = history.size
         while (first > 0 && history[first - 1].version > from) first--
         val newer = history.subList(first, history.size)
@@ -160,18 +160,18 @@
         }
     }
 
-    fun grant(lifeMs: Long): Long {
-        leases[nextLease] = Lease(lifeMs, world.nowMs + lifeMs)
+    fun grantLease(ttlMs: Long): Long {
+        leases[nextLease] = Lease(ttlMs, world.nowMs + ttlMs)
         return nextLease++
     }
 
-    fun touch(id: Long): TouchOutcome {
-        val lease = leases[id] ?: return TouchOutcome.OVER
-        lease.endsAt = world.nowMs + lease.lifeMs
-        return TouchOutcome.RENEWED
+    fun keepLeaseAlive(id: Long): LeaseRenewalOutcome {
+        val lease = leases[id] ?: return LeaseRenewalOutcome.EXPIRED
+        lease.endsAt = world.nowMs + lease.ttlMs
+        return LeaseRenewalOutcome.RENEWED
     }
 
-    fun release(id: Long) = end(id)
+    fun revokeLease(id: Long) = end(id)
 
     private fun expireLeases() {
         for (id in leases.filterValues { it.endsAt <= world.nowMs }.keys) end(id)
--- a/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
@@ -122,7 +122,7 @@
 
     /** Its reports arrive, but their answers don't reach it, while direct commands do. */
     var unansweredUntil = 0L
-    var noticeS: Double? = null
+    var interruptionNoticeS: Double? = null
     val isHung: Boolean get() = world.nowMs < hungUntil
 
     /** Copies of old reports, for faults that deliver them again. */
@@ -254,7 +254,7 @@
 
     fun account(): WorkerHeartbeat = WorkerHeartbeat(
         machine = id, endpoint = endpoint, type = type.name, zone = zone, spot = spot, incarnation = incarnation,
-        sequence = ++sequence, token = token, noticeS = noticeS,
+        sequence = ++sequence, token = token, interruptionNoticeS = interruptionNoticeS,
         tasks = tasks.values.map { TaskStatus(it.attempt, it.state, it.cause, it.saved) },
     )
 
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -13,7 +13,7 @@
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
@@ -164,7 +164,7 @@
 
     private inner class RecordingListener(
         private val applied: MutableList<Applied>,
-    ) : StateCacheListener by IgnoringListener {
+    ) : StateCacheListener by NoOpStateCacheListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.CloudPort
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.WorkerPort
@@ -22,7 +22,7 @@
 import oxbowlug.record.Placement
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
@@ -99,11 +99,11 @@
                 token: FencingToken,
                 incarnation: Long,
                 commands: List<WorkerCommand>,
-                done: (DirectOutcome) -> Unit,
+                done: (CommandOutcome) -> Unit,
             ) {
-                if (!executesCommands) return done(DirectOutcome.Unanswered)
+                if (!executesCommands) return done(CommandOutcome.Unanswered)
                 running.removeAll(commands.filterIsInstance<WorkerCommand.Stop>().map { it.attempt }.toSet())
-                done(DirectOutcome.Answered(currentHeartbeat(), executed = true))
+                done(CommandOutcome.Answered(currentHeartbeat(), executed = true))
             }
         }
 
@@ -139,10 +139,10 @@
                 notice: CancellationNotice,
             ) = Unit
 
-            override fun heartbeatChanged() = Unit
+            override fun broadcastHeartbeat() = Unit
         }
 
-    private inner class RecordListener : StateCacheListener by IgnoringListener {
+    private inner class RecordListener : StateCacheListener by NoOpStateCacheListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
--- a/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
@@ -75,17 +75,17 @@
             done: (ChangesOutcome) -> Unit,
         ) = answer(ChangesOutcome.Failed, done) { store.changes(prefix, from) }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
-        ) = answer(null, done) { store.grant(lifeMs) }.also { calls++ }
+        ) = answer(null, done) { store.grantLease(ttlMs) }.also { calls++ }
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
-        ) = answer(TouchOutcome.FAILED, done) { store.touch(lease) }
+            done: (LeaseRenewalOutcome) -> Unit,
+        ) = answer(LeaseRenewalOutcome.FAILED, done) { store.keepLeaseAlive(lease) }
 
-        override fun release(lease: Long) = answer(Unit, {}) { store.release(lease) }
+        override fun revokeLease(lease: Long) = answer(Unit, {}) { store.revokeLease(lease) }
     }
 
     private inner class Node(
--- a/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
@@ -10,7 +10,7 @@
 import oxbowlug.record.Member
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
@@ -28,13 +28,13 @@
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
 
     private inner class Port : ImmediateStatePort(store) {
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
-        ) = done(store.grant(lifeMs))
+        ) = done(store.grantLease(ttlMs))
     }
 
-    private val cache = StateCache(Port(), clock, timing, IgnoringListener)
+    private val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener)
     private val election = LeaderElection(self, Port(), clock, timing, cache, changesPerTransaction = 1)
     private val decisions = LeadershipDecisionContext(clock, election, cache)
 
--- a/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
@@ -71,17 +71,17 @@
             done(ChangesOutcome.Read(Changes(events, revision)))
         }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
         ) = Unit
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
+            done: (LeaseRenewalOutcome) -> Unit,
         ) = Unit
 
-        override fun release(lease: Long) = Unit
+        override fun revokeLease(lease: Long) = Unit
     }
 
     /** Records the jobs whose dependencies changed in [changed]. */
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -19,7 +19,7 @@
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.World
 import oxbowlug.testing.FailingMeters
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.permissiveContext
@@ -77,7 +77,7 @@
     }
 
     private val timing = Timing(settings, Random(1))
-    private val cache = StateCache(RacingStatePort(), clock, timing, IgnoringListener)
+    private val cache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener)
     private val listenerCalls = ArrayList<String>()
 
     private inner class RecordingListener(
@@ -91,7 +91,7 @@
             listenerCalls.add("committed $id with ${machineCount(record)} machines")
         }
 
-        override fun onUserInformed(id: JobId) {
+        override fun onCancellationAnswered(id: JobId) {
             if (recordsInformedUsers) listenerCalls.add("informed $id")
         }
     }
@@ -156,7 +156,7 @@
             storeJob(Phase.ACTIVE, listOf("host-1"))
             // Each case has a state cache of its own, since a cache never drops a final phase.
             val answers = ArrayList<UserResponse>()
-            val caseCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+            val caseCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
             beforeCommit = case.beforeCommit
             requestHandler(caseCache).cancel(spec.id) { answers.add(it) }
             world.runUntil(world.nowMs + 1_000)
@@ -232,7 +232,7 @@
             val unreadable = mapOf<String, Any?>("phase" to "unheard of")
             store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job("run-torn"), unreadable))))
             store.commit(Transaction(emptyList(), listOf(Change.Delete(key))))
-            val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+            val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
             case.beforeSubmission()
             val answer = submitAndAnswer(stateCache, spec.copy(dependsOn = listOf(JobId(case.dependsOn))))
             assertEquals(case.expected, answer::class.simpleName, case.name)
@@ -242,7 +242,7 @@
     @Test
     fun `jobs with dependencies are unavailable while a controller may run the previous software version`() {
         storeAccepted("run-a")
-        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val answer = submitAndAnswer(stateCache, spec.copy(dependsOn = listOf(JobId("run-a"))))
         assertEquals(true, answer is UserResponse.Unavailable && answer.retryAfterS > 0)
         assertEquals(true, submitAndAnswer(stateCache, spec) is UserResponse.Accepted, "independent jobs are accepted")
@@ -252,7 +252,7 @@
     fun `nothing is written under the format marker of a newer version`() {
         store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(99)))))
         storeAccepted("run-a")
-        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val revisionBefore = store.revision
         assertEquals(true, submitAndAnswer(stateCache, spec) is UserResponse.Unavailable)
         requestHandler(stateCache).cancel(JobId("run-a")) { assertEquals(true, it is UserResponse.Unavailable) }
@@ -262,7 +262,7 @@
     @Test
     fun `a repeated submission gets the job's current state, whatever its dependencies`() {
         storeAccepted("run-a")
-        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val repeated = spec.copy(id = JobId("run-a"), dependsOn = listOf(JobId("run-never")))
         assertEquals(true, submitAndAnswer(stateCache, repeated) is UserResponse.Known)
         for ((id, expected) in listOf("run-a" to "Known", "run-b" to "Malformed")) {
@@ -280,7 +280,7 @@
         val names = List(120) { "a".repeat(90) + it }
         names.forEach { storeAccepted(it) }
         val smallLimits = settings.state.copy(next = WriteLimits(15.0, 2.0, 4))
-        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val requestHandler =
             UserRequestHandler(
                 RequestIds(Member("n0", "x")),
@@ -314,7 +314,7 @@
             store.limits = null
             enableNewestFormat()
             store.commit(Transaction(emptyList(), changes))
-            val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+            val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
             store.limits = limits
             world.runUntil(world.nowMs + 2_000)
             listenerCalls.clear()
@@ -336,7 +336,7 @@
             world.runUntil(world.nowMs + 1_000)
             assertEquals(JobState.CANCELLED, (answers.single() as UserResponse.Known).status.state)
             assertEquals(listOf("committed ${spec.id} with 240 machines"), listenerCalls)
-            val read = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }.job(spec.id)
+            val read = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }.job(spec.id)
             assertEquals(240, read?.placed, "the stored record names every machine")
             store.limits = null
         }
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -9,13 +9,13 @@
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CloudPort
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.Invariant
 import oxbowlug.port.Meters
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.record.Member
 import oxbowlug.standin.HeartbeatTarget
@@ -247,7 +247,7 @@
             deliver(peer, usualMs = 1) { it.offer(ControllerEvent.CancellationNoticeReceived(notice)) }
         }
 
-        override fun heartbeatChanged() = Unit
+        override fun broadcastHeartbeat() = Unit
 
         override fun status(
             endpoint: Address,
@@ -393,17 +393,17 @@
                 outcome
             }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
-        ) = call<Long?>(::stateUp, null, null, done) { store.grant(lifeMs) }
+        ) = call<Long?>(::stateUp, null, null, done) { store.grantLease(ttlMs) }
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
-        ) = call(::stateUp, TouchOutcome.FAILED, TouchOutcome.FAILED, done) { store.touch(lease) }
+            done: (LeaseRenewalOutcome) -> Unit,
+        ) = call(::stateUp, LeaseRenewalOutcome.FAILED, LeaseRenewalOutcome.FAILED, done) { store.keepLeaseAlive(lease) }
 
-        override fun release(lease: Long) = call(::stateUp, Unit, Unit, {}) { store.release(lease) }
+        override fun revokeLease(lease: Long) = call(::stateUp, Unit, Unit, {}) { store.revokeLease(lease) }
 
         private fun cloudUp() = !cloud.down && !withoutCloud && !weather.apart(zone, null)
 
@@ -431,11 +431,11 @@
             token: FencingToken,
             incarnation: Long,
             commands: List<WorkerCommand>,
-            done: (DirectOutcome) -> Unit,
+            done: (CommandOutcome) -> Unit,
         ) {
             val worker = endpoints(endpoint)
             val isCut = cut || withoutWorkers || weather.apart(zone, worker?.zone)
-            if (isCut || worker == null || !worker.alive) return settle(TIMEOUT_MS, DirectOutcome.NotSent, done)
+            if (isCut || worker == null || !worker.alive) return settle(TIMEOUT_MS, CommandOutcome.NotSent, done)
             var answered = false
             val isLate = world.chance(weather.late)
             val delay = if (isLate) world.between(TIMEOUT_MS, weather.lateMs) else world.between(1, 15)
@@ -443,21 +443,21 @@
                 worker.direct(token, incarnation, commands) { report, executed ->
                     if (!answered && !world.chance(weather.lost)) {
                         answered = true
-                        settle(world.between(1, 15), DirectOutcome.Answered(report, executed), done)
+                        settle(world.between(1, 15), CommandOutcome.Answered(report, executed), done)
                     }
                 }
             }
             world.after(TIMEOUT_MS) {
                 if (!answered) {
                     answered = true
-                    settle(0, DirectOutcome.Unanswered, done)
+                    settle(0, CommandOutcome.Unanswered, done)
                 }
             }
         }
     }
 
     private inner class Counting : Meters {
-        override fun planned(
+        override fun recordPlan(
             nanos: Long,
             priced: Int,
         ) {
@@ -465,15 +465,15 @@
             this@SimNode.priced += priced
         }
 
-        override fun stepped(nanos: Long) = Unit
+        override fun recordStep(nanos: Long) = Unit
 
-        override fun waited(millis: Long) = Unit
+        override fun recordQueueDelay(millis: Long) = Unit
 
-        override fun committed(millis: Long) = Unit
+        override fun recordCommit(millis: Long) = Unit
 
-        override fun refused(reason: String) = Unit
+        override fun recordRefusal(reason: String) = Unit
 
-        override fun violated(invariant: Invariant): Nothing =
+        override fun recordViolation(invariant: Invariant): Nothing =
             throw AssertionError("${world.nowMs} ms $label: ${invariant.label} is violated")
     }
 
