--- a/src/scale/kotlin/oxbowlug/scale/ArgumentParser.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ArgumentParser.kt
@@ -5,34 +5,34 @@
 import joptsimple.OptionSet
 import joptsimple.OptionSpec
 
-/** An argument that can't work; the message begins with its name. */
+/** An invalid argument; the message begins with the option's name. */
 internal class InvalidOption(message: String) : Exception(message)
 
-/** Reads and checks the arguments of a run; [introduction] stands before the list of options. */
+/** Parses and validates the arguments of a run. The help prints [introduction] above the list of options. */
 internal abstract class ArgumentParser<T>(private val introduction: String) {
     protected val parser = OptionParser()
     private val help = parser.accepts("help", "show this help and end").forHelp()
 
-    protected fun whole(name: String, what: String, default: Int): OptionSpec<Int> =
-        parser.accepts(name, what).withRequiredArg().ofType(Int::class.javaObjectType).defaultsTo(default)
+    protected fun intOption(name: String, description: String, default: Int): OptionSpec<Int> =
+        parser.accepts(name, description).withRequiredArg().ofType(Int::class.javaObjectType).defaultsTo(default)
 
-    protected fun amount(name: String, what: String, default: Double): OptionSpec<Double> =
-        parser.accepts(name, what).withRequiredArg().ofType(Double::class.javaObjectType).defaultsTo(default)
+    protected fun doubleOption(name: String, description: String, default: Double): OptionSpec<Double> =
+        parser.accepts(name, description).withRequiredArg().ofType(Double::class.javaObjectType).defaultsTo(default)
 
-    /** Null when only the help was asked for, which is then printed. Throws [InvalidOption]. */
+    /** Returns null if `--help` is given, after printing the help. Throws [InvalidOption]. */
     fun parse(arguments: List<String>): T? {
-        val given = refusing { parser.parse(*arguments.toTypedArray()) }
-        if (given.has(help)) {
+        val parsed = rethrowingAsInvalidOption { parser.parse(*arguments.toTypedArray()) }
+        if (parsed.has(help)) {
             println("$introduction\n")
             parser.printHelpOn(System.out)
             return null
         }
-        given.nonOptionArguments().firstOrNull()?.let { throw InvalidOption("$it: is not an option") }
-        // Values are converted only when they are asked for.
-        return refusing { read(given) }.also(::check)
+        parsed.nonOptionArguments().firstOrNull()?.let { throw InvalidOption("$it: is not an option") }
+        // jopt-simple converts a value only when it is read, so reading can fail too.
+        return rethrowingAsInvalidOption { read(parsed) }.also(::check)
     }
 
-    protected abstract fun read(given: OptionSet): T
+    protected abstract fun read(parsed: OptionSet): T
 
     protected abstract fun check(options: T)
 
@@ -40,7 +40,7 @@
         if (!isValid) throw InvalidOption("$option: $problem")
     }
 
-    private fun <R> refusing(action: () -> R): R = try {
+    private fun <R> rethrowingAsInvalidOption(action: () -> R): R = try {
         action()
     } catch (e: OptionException) {
         throw InvalidOption(e.message.orEmpty())
--- a/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
@@ -2,12 +2,12 @@
 
 import java.io.File
 
-/** The settings, policy and start command of each controller, as the platform would hand them over. */
+/** Writes the settings, the policy and the start command of each controller, as the platform provides them. */
 internal class ControllerFiles(
     private val options: ScaleOptions,
     private val topology: Topology,
     private val fleet: FleetPlan,
-    /** Starts the controllers from these classes instead of the deployed jar, which tests don't have yet. */
+    /** Class path from which controllers run instead of the deployed jar, which isn't built yet when tests run. */
     private val classPath: String? = null,
 ) {
     private val folder = options.output
@@ -16,17 +16,17 @@
         folder.mkdirs()
         val policy = File(folder, "policy.lua")
         policy.writeText(policy())
-        return topology.controllers.map { place ->
-            val settings = File(folder, "${place.label}.toml")
-            settings.writeText(settings(place))
-            val log = File(folder, "${place.label}.log")
+        return topology.controllers.map { identity ->
+            val settings = File(folder, "${identity.label}.toml")
+            settings.writeText(settings(identity))
+            val log = File(folder, "${identity.label}.log")
             log.delete()
             val arguments = listOf(settings.path, "--policy", policy.path)
-            ControllerProcess(place, startCommand() + arguments, log)
+            ControllerProcess(identity, startCommand() + arguments, log)
         }
     }
 
-    /** Nobody's rent is saved here: a machine that idles for a moment is to stay. */
+    /** A policy that doesn't release idle machines: saving rent isn't measured, and the fleet has to keep its size. */
     private fun policy(): String = buildString {
         appendLine("return {")
         appendLine("    idle_boots = 1000,")
@@ -40,37 +40,37 @@
         appendLine("}")
     }
 
-    /** The deployed one; only its heap may differ. */
+    /** The start command of the deploy file, with the heap size replaced if the options set one. */
     private fun startCommand(): List<String> {
-        val line = options.deploy.readLines().firstOrNull { it.startsWith(RUN) }
-            ?: throw StartFailed("${options.deploy}: has no run command")
-        val words = ownClasses(line.substringAfter('"').substringBeforeLast('"').split(' '))
+        val line = options.deploy.readLines().firstOrNull { it.startsWith(RUN_KEY) }
+            ?: throw StartFailed("${options.deploy}: no run command found")
+        val words = withClassPath(line.substringAfter('"').substringBeforeLast('"').split(' '))
         val heap = options.heapMb ?: return words
         return words.map { word -> if (word.startsWith("-Xmx")) "-Xmx${heap}m" else word }
     }
 
-    private fun ownClasses(words: List<String>): List<String> {
+    private fun withClassPath(words: List<String>): List<String> {
         if (classPath == null) return words
         val jar = words.indexOf("-jar")
         val flags = words.take(jar).filterNot { it.startsWith("-XX:SharedArchiveFile") }
         return flags + listOf("-cp", classPath, "oxbowlug.cli.MainKt") + words.drop(jar + 2)
     }
 
-    private fun settings(place: ControllerPlace): String = buildString {
-        appendLine("label = \"${place.label}\"")
-        appendLine("location = \"${place.zone}\"")
-        appendLine("client_listen = \"${place.clientHost}:${place.clientPort}\"")
-        appendLine("peer_listen = \"${place.peerHost}:${place.peerPort}\"")
+    private fun settings(identity: ControllerIdentity): String = buildString {
+        appendLine("label = \"${identity.label}\"")
+        appendLine("location = \"${identity.zone}\"")
+        appendLine("client_listen = \"${identity.clientHost}:${identity.clientPort}\"")
+        appendLine("peer_listen = \"${identity.peerHost}:${identity.peerPort}\"")
         for (other in topology.controllers) {
-            if (other === place) continue
+            if (other === identity) continue
             appendLine("[[others]]")
             appendLine("label = \"${other.label}\"")
             appendLine("location = \"${other.zone}\"")
-            appendLine("addr = \"${other.proxyHost(place)}:${topology.ports.peerProxy}\"")
+            appendLine("addr = \"${other.proxyHost(identity)}:${topology.ports.peerProxy}\"")
         }
         appendLine("[outside]")
-        appendLine("cloud = \"${place.cloudHost}:${topology.ports.cloud}\"")
-        appendLine("state = \"${place.stateHost}:${topology.ports.state}\"")
+        appendLine("cloud = \"${identity.cloudHost}:${topology.ports.cloud}\"")
+        appendLine("state = \"${identity.stateHost}:${topology.ports.state}\"")
         appendLine("[settings]")
         appendLine("nodes = ${topology.controllers.size}")
         appendLine("zones = [${topology.zones.joinToString { "\"$it\"" }}]")
@@ -92,7 +92,7 @@
     }
 
     private fun StringBuilder.appendObjectives() {
-        for ((name, withinS) in FleetPlan.WAITS_S) {
+        for ((name, withinS) in FleetPlan.START_TARGETS_S) {
             appendLine("[[settings.objectives]]")
             appendLine("kind = \"wait\"")
             appendLine("class = \"$name\"")
@@ -113,14 +113,16 @@
         appendLine("txn_ops = ${FleetPlan.TXN_OPS}")
         appendLine("[settings.cloud]")
         appendLine("rps = ${options.cloudRps}")
-        appendLine("list_lag_s = ${FleetPlan.LIST_LAG_MS / MS}")
+        appendLine("list_lag_s = ${FleetPlan.LIST_LAG_MS / MS_PER_S}")
         appendLine("[settings.limits]")
         appendLine("max_sockets = ${options.maxSockets}")
     }
 
     companion object {
+        /** Time limit for stopping cancelled work, in worker leases. */
         const val CANCEL_LEASES = 2.4
-        private const val RUN = "run = "
-        private const val MS = 1000.0
+
+        private const val RUN_KEY = "run = "
+        private const val MS_PER_S = 1000.0
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/Endpoint.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Endpoint.kt
@@ -2,12 +2,12 @@
 
 import oxbowlug.wire.Zone
 
-/** One end of a message. Users, cloud and state service belong to no zone. */
+/** Sender or receiver of a message. Users, the cloud and the state service belong to no zone. */
 internal sealed interface Endpoint {
     val zone: Zone?
 
-    data class Controller(val place: ControllerPlace) : Endpoint {
-        override val zone: Zone get() = place.zone
+    data class Controller(val identity: ControllerIdentity) : Endpoint {
+        override val zone: Zone get() = identity.zone
     }
 
     data class Worker(override val zone: Zone) : Endpoint
--- a/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
@@ -21,8 +21,8 @@
 import oxbowlug.wire.Zone
 import oxbowlug.wire.fields
 
-/** Brings the reports of hollow workers to real controllers, each worker over a connection of its own. */
-internal class ReportConnections(
+/** Sends the hollow workers' heartbeats to real controllers; each worker has its own connection. */
+internal class HeartbeatConnections(
     vertx: Vertx,
     private val network: Network,
     private val traffic: Traffic,
@@ -33,45 +33,46 @@
             .setDecompressionSupported(false),
     )
 
-    fun targets(number: Int, zone: Zone, controllers: List<ControllerPlace>): List<HeartbeatTarget> =
+    fun targets(number: Int, zone: Zone, controllers: List<ControllerIdentity>): List<HeartbeatTarget> =
         controllers.map { Target(number, zone, it) }
 
-    private inner class Target(number: Int, zone: Zone, private val controller: ControllerPlace) :
+    private inner class Target(number: Int, zone: Zone, private val controller: ControllerIdentity) :
         HeartbeatTarget {
         override val label: String get() = controller.label
-        private val near = Endpoint.Worker(zone)
-        private val far = Endpoint.Controller(controller)
+        private val workerEnd = Endpoint.Worker(zone)
+        private val controllerEnd = Endpoint.Controller(controller)
         private val endpoint = "${WorkerAddresses.host(number, controller.index)}:$workerPort"
         private var connection: HttpClientConnection? = null
 
         override fun receive(report: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit) {
-            val bytes = Cbor.encode(Wire.encodeReport(report.copy(endpoint = endpoint)))
+            val bytes = Cbor.encode(StandInCodec.encodeHeartbeat(report.copy(endpoint = endpoint)))
             traffic.reports.count(bytes.size, Traffic.REQUEST_HEADER_BYTES)
-            network.deliver(near, far) {
-                connected()
-                    .compose { open -> post(open, bytes) }
+            network.deliver(workerEnd, controllerEnd) {
+                openConnection()
+                    .compose { open -> postHeartbeat(open, bytes) }
                     .compose { response -> response.body().map { body -> decode(response, body) } }
-                    .onSuccess { decoded -> network.deliver(far, near) { answer(decoded) } }
+                    .onSuccess { decoded -> network.deliver(controllerEnd, workerEnd) { answer(decoded) } }
                     .onFailure {
-                        traffic.failedReports++
+                        traffic.failedHeartbeats++
                         close()
-                        network.deliver(far, near) { answer(null) }
+                        network.deliver(controllerEnd, workerEnd) { answer(null) }
                     }
             }
         }
 
-        private fun connected(): Future<HttpClientConnection> {
+        private fun openConnection(): Future<HttpClientConnection> {
             connection?.let { return Future.succeededFuture(it) }
             val options = HttpConnectOptions().setHost(controller.clientHost).setPort(controller.clientPort)
-                .setConnectTimeout(ANSWER_MS)
+                .setConnectTimeout(RESPONSE_TIMEOUT_MS)
             return client.connect(options).onSuccess { opened ->
                 connection = opened
                 opened.closeHandler { if (connection === opened) connection = null }
             }
         }
 
-        private fun post(open: HttpClientConnection, bytes: ByteArray): Future<HttpClientResponse> {
-            val options = RequestOptions().setMethod(HttpMethod.POST).setURI("/hello").setIdleTimeout(ANSWER_MS)
+        private fun postHeartbeat(open: HttpClientConnection, bytes: ByteArray): Future<HttpClientResponse> {
+            val options =
+                RequestOptions().setMethod(HttpMethod.POST).setURI("/hello").setIdleTimeout(RESPONSE_TIMEOUT_MS)
             return open.request(options).compose { request ->
                 request.putHeader("content-type", "application/cbor").send(Buffer.buffer(bytes))
                     .onFailure { request.reset() }
@@ -79,9 +80,9 @@
         }
 
         private fun decode(response: HttpClientResponse, body: Buffer): HeartbeatResponse? {
-            traffic.reportAnswers.count(body.length(), Traffic.RESPONSE_HEADER_BYTES)
+            traffic.heartbeatResponses.count(body.length(), Traffic.RESPONSE_HEADER_BYTES)
             val decoded = try {
-                Wire.decodeAnswer(response.statusCode(), Cbor.decode(body.bytes))
+                StandInCodec.decodeResponse(response.statusCode(), Cbor.decode(body.bytes))
             } catch (_: MalformedBody) {
                 null
             } catch (_: InvalidField) {
@@ -96,7 +97,7 @@
             return decoded
         }
 
-        /** A worker that goes elsewhere closes its connection: kept, each would hold one to every controller. */
+        /** Called when the worker turns to another controller: else it would keep a connection open to each of them. */
         private fun close() {
             connection?.close()
             connection = null
@@ -104,13 +105,13 @@
     }
 
     private companion object {
-        const val ANSWER_MS = 4000L
+        const val RESPONSE_TIMEOUT_MS = 4000L
     }
 }
 
 /**
- * The workers' own address for `/do` and `/status`. One socket serves all of them: the address to which a connection
- * was opened tells which worker is meant, and by which controller.
+ * Serves `/do` and `/status` for all workers on one socket. The destination address of a connection identifies the
+ * worker and the controller that calls it.
  */
 internal class WorkerServer(
     private val network: Network,
@@ -125,31 +126,31 @@
             exchange.request.connection().close()
         } else {
             val worker = workerAt(WorkerAddresses.canonical(host, topology.ports.workers))
-            if (worker != null && worker.alive) answer(exchange, worker, controller)
+            if (worker != null && worker.alive) handle(exchange, worker, controller)
         }
     }
 
-    private fun answer(exchange: HttpExchange, worker: SimWorker, controller: ControllerPlace) {
+    private fun handle(exchange: HttpExchange, worker: SimWorker, controller: ControllerIdentity) {
         traffic.directCommands.count(exchange.bodySize, Traffic.REQUEST_HEADER_BYTES)
 
-        val near = Endpoint.Worker(worker.zone)
-        val far = Endpoint.Controller(controller)
+        val workerEnd = Endpoint.Worker(worker.zone)
+        val controllerEnd = Endpoint.Controller(controller)
 
-        fun reply(status: Int, report: WorkerHeartbeat) = network.deliver(near, far) {
+        fun reply(status: Int, report: WorkerHeartbeat) = network.deliver(workerEnd, controllerEnd) {
             val endpoint = "${exchange.request.localAddress().host()}:${topology.ports.workers}"
-            val size = exchange.reply(status, Wire.encodeReport(report.copy(endpoint = endpoint)))
-            traffic.directAnswers.count(size, Traffic.RESPONSE_HEADER_BYTES)
+            val size = exchange.reply(status, StandInCodec.encodeHeartbeat(report.copy(endpoint = endpoint)))
+            traffic.directResponses.count(size, Traffic.RESPONSE_HEADER_BYTES)
         }
         if (exchange.path == "/status") {
-            return network.deliver(far, near) { worker.status { reply(Status.OK, it) } }
+            return network.deliver(controllerEnd, workerEnd) { worker.status { reply(HttpStatus.OK, it) } }
         }
         val fields = exchange.body().fields()
         val token = FencingToken(fields.count("brand"))
         val incarnation = fields.count("shift")
-        val commands = Wire.decodeCommands(fields)
-        network.deliver(far, near) {
+        val commands = StandInCodec.decodeCommands(fields)
+        network.deliver(controllerEnd, workerEnd) {
             worker.direct(token, incarnation, commands) { report, executed ->
-                reply(if (executed) Status.OK else Status.CONFLICT, report)
+                reply(if (executed) HttpStatus.OK else HttpStatus.CONFLICT, report)
             }
         }
     }
--- a/src/scale/kotlin/oxbowlug/scale/Main.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Main.kt
@@ -10,7 +10,7 @@
 private const val USAGE_ERROR = 2
 private const val FAILED = 1
 
-/** Plays a fleet on loopback and writes what it cost; ends with 1 if a rule was broken, 2 for wrong arguments. */
+/** Runs a fleet on loopback and writes the report. Exits with 1 if the run failed, and with 2 on invalid arguments. */
 fun main(arguments: Array<String>) {
     val options = try {
         ScaleOptionParser().parse(arguments.toList()) ?: return
@@ -20,10 +20,10 @@
     }
     System.setProperty("vertx.disableDnsResolver", "true")
     Logging.configure("error")
-    exitProcess(if (playAndReport(options)) 0 else FAILED)
+    exitProcess(if (runAndReport(options)) 0 else FAILED)
 }
 
-private fun playAndReport(options: ScaleOptions): Boolean {
+private fun runAndReport(options: ScaleOptions): Boolean {
     val run = try {
         ScaleRun(options, ::println)
     } catch (e: StartFailed) {
@@ -35,10 +35,10 @@
     fun closeOnce() {
         if (isClosed.compareAndSet(false, true)) run.close()
     }
-    // Also on ctrl-C: no controller may be left behind.
+    // Stops the controller processes on Ctrl-C too.
     Runtime.getRuntime().addShutdownHook(thread(start = false) { closeOnce() })
     val report = try {
-        runBlocking(run.vertx.dispatcher()) { run.play() }
+        runBlocking(run.vertx.dispatcher()) { run.execute() }
     } catch (e: StartFailed) {
         run.report(e.message)
     } finally {
--- a/src/scale/kotlin/oxbowlug/scale/PeerProxies.kt
+++ b/src/scale/kotlin/oxbowlug/scale/PeerProxies.kt
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx
 import io.vertx.core.net.NetSocket
 
-/** The connections between controllers, with the network's latencies and cuts in both directions. */
+/** Proxies the connections between controllers, with the network's latencies and partitions in both directions. */
 internal class PeerProxies(private val vertx: Vertx, private val network: Network, private val traffic: Traffic) {
     private val client = vertx.createNetClient()
 
@@ -19,7 +19,7 @@
         }
     }
 
-    private fun connect(accepted: NetSocket, from: ControllerPlace, to: ControllerPlace) {
+    private fun connect(accepted: NetSocket, from: ControllerIdentity, to: ControllerIdentity) {
         accepted.pause()
         client.connect(to.peerPort, to.peerHost)
             .onSuccess { opened ->
@@ -30,7 +30,7 @@
             .onFailure { accepted.close() }
     }
 
-    private fun forward(source: NetSocket, sink: NetSocket, from: ControllerPlace, to: ControllerPlace) {
+    private fun forward(source: NetSocket, sink: NetSocket, from: ControllerIdentity, to: ControllerIdentity) {
         source.handler { bytes ->
             traffic.peerBytes.count(bytes.length(), 0)
             network.deliver(Endpoint.Controller(from), Endpoint.Controller(to)) { sink.write(bytes) }
--- a/src/scale/kotlin/oxbowlug/scale/Wire.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StandInCodec.kt
@@ -14,19 +14,19 @@
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.fields
 
-/** The other side of the published interfaces: what workers, the state service and the cloud encode and decode. */
-internal object Wire {
-    fun encodeReport(report: WorkerHeartbeat): Map<String, Any?> = mapOf(
-        "beast" to report.machine.value,
-        "endpoint" to report.endpoint,
-        "breed" to report.type.value,
-        "paddock" to report.zone.value,
-        "stray" to report.spot,
-        "shift" to report.incarnation,
-        "tally" to report.sequence,
-        "brand" to report.token.value,
-        "whistle_s" to report.interruptionNoticeS,
-        "furrows" to report.tasks.map { task ->
+/** The messages of the published interfaces as workers, the state service and the cloud encode and decode them. */
+internal object StandInCodec {
+    fun encodeHeartbeat(heartbeat: WorkerHeartbeat): Map<String, Any?> = mapOf(
+        "beast" to heartbeat.machine.value,
+        "endpoint" to heartbeat.endpoint,
+        "breed" to heartbeat.type.value,
+        "paddock" to heartbeat.zone.value,
+        "stray" to heartbeat.spot,
+        "shift" to heartbeat.incarnation,
+        "tally" to heartbeat.sequence,
+        "brand" to heartbeat.token.value,
+        "whistle_s" to heartbeat.interruptionNoticeS,
+        "furrows" to heartbeat.tasks.map { task ->
             val map = LinkedHashMap<String, Any?>()
             map["furrow"] = task.attempt.task.toString()
             map["try"] = task.attempt.number
@@ -37,12 +37,12 @@
         },
     )
 
-    fun decodeAnswer(status: Int, body: Map<String, Any?>): HeartbeatResponse = when (status) {
-        Status.OK -> {
+    fun decodeResponse(status: Int, body: Map<String, Any?>): HeartbeatResponse = when (status) {
+        HttpStatus.OK -> {
             val fields = body.fields()
             HeartbeatResponse.Renewed(FencingToken(fields.countOr("brand", 0)), decodeCommands(fields))
         }
-        Status.REDIRECT -> HeartbeatResponse.Redirect(body.fields().textOrNull("drover"))
+        HttpStatus.REDIRECT -> HeartbeatResponse.Redirect(body.fields().textOrNull("drover"))
         else -> HeartbeatResponse.Unavailable
     }
 
--- a/src/test/kotlin/oxbowlug/scale/WireTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/StandInCodecTest.kt
@@ -22,15 +22,15 @@
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
-/** What the stand-ins encode is what the service decodes, and the other way round. */
-internal class WireTest {
+/** Checks that the service decodes what the stand-ins encode, and the other way round. */
+internal class StandInCodecTest {
     private fun throughCbor(value: Map<String, Any?>) = Cbor.decode(Cbor.encode(value))
 
     private val attempt = AttemptId(TaskId(JobId("run-1"), 3), 2)
 
     @Test
-    fun `a report comes back as it was`() {
-        val report =
+    fun `an encoded heartbeat decodes to the same heartbeat`() {
+        val heartbeat =
             WorkerHeartbeat(
                 MachineId("host-1"),
                 "127.64.0.1:9000",
@@ -46,11 +46,11 @@
                     TaskStatus(AttemptId(attempt.task, 1), TaskState.EXITED, ExitCause.STOPPED, saved = true),
                 ),
             )
-        assertEquals(report, WorkerCodec.decodeHeartbeat(throughCbor(Wire.encodeReport(report))))
+        assertEquals(heartbeat, WorkerCodec.decodeHeartbeat(throughCbor(StandInCodec.encodeHeartbeat(heartbeat))))
     }
 
     @Test
-    fun `answers and their commands are understood`() {
+    fun `heartbeat responses and their commands are decoded`() {
         val commands =
             listOf(
                 WorkerCommand.Start(attempt),
@@ -58,19 +58,19 @@
                 WorkerCommand.Forget(attempt),
             )
         val answer = throughCbor(WorkerCodec.encodeResponse(FencingToken(9), commands))
-        assertEquals(HeartbeatResponse.Renewed(FencingToken(9), commands), Wire.decodeAnswer(200, answer))
-        assertEquals(HeartbeatResponse.Redirect("n1"), Wire.decodeAnswer(421, mapOf("drover" to "n1")))
-        assertEquals(HeartbeatResponse.Redirect(null), Wire.decodeAnswer(421, emptyMap()))
-        assertEquals(HeartbeatResponse.Unavailable, Wire.decodeAnswer(503, emptyMap()))
+        assertEquals(HeartbeatResponse.Renewed(FencingToken(9), commands), StandInCodec.decodeResponse(200, answer))
+        assertEquals(HeartbeatResponse.Redirect("n1"), StandInCodec.decodeResponse(421, mapOf("drover" to "n1")))
+        assertEquals(HeartbeatResponse.Redirect(null), StandInCodec.decodeResponse(421, emptyMap()))
+        assertEquals(HeartbeatResponse.Unavailable, StandInCodec.decodeResponse(503, emptyMap()))
     }
 
     @Test
-    fun `a transaction comes back as it was`() {
+    fun `an encoded transaction decodes to the same transaction`() {
         val transaction =
             Transaction(
                 listOf(Condition("a", 0), Condition("b", 7)),
                 listOf(Change.Put("a", mapOf("x" to 1L), lease = 4), Change.Put("c", emptyMap()), Change.Delete("b")),
             )
-        assertEquals(transaction, Wire.decodeTransaction(throughCbor(StateCodec.encode(transaction))))
+        assertEquals(transaction, StandInCodec.decodeTransaction(throughCbor(StateCodec.encode(transaction))))
     }
 }
