--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -7,7 +7,7 @@
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.Entry
 import oxbowlug.wire.Event
 import oxbowlug.wire.fields
@@ -15,14 +15,14 @@
 
 /** The state service over HTTP: one address for each controller, one store behind them. */
 internal class StateServer(
-    private val world: World,
+    private val time: VirtualTime,
     private val store: SimStore,
     private val network: Network,
     private val traffic: Traffic,
     rps: Double,
     private val faults: StateFaults = StateFaults(),
 ) {
-    private val requests = RequestLimit(world, rps, burstS = 1)
+    private val requests = RequestLimit(time, rps, burstS = 1)
 
     fun start(vertx: Vertx, topology: Topology): List<Future<*>> = topology.controllers.map { controller ->
         vertx.serveCbor(controller.stateHost, topology.ports.state) { exchange ->
@@ -35,10 +35,10 @@
     private inner class Call(val exchange: HttpExchange, val controller: ControllerPlace) {
         /** Usually within a few milliseconds, and a few times in a thousand within some hundred. */
         fun reply(status: Int, body: Map<String, Any?>) {
-            replyAfter(if (world.chance(SLOW_SHARE)) world.between(SLOW_MS) else world.between(USUAL_MS), status, body)
+            replyAfter(if (time.chance(SLOW_SHARE)) time.between(SLOW_MS) else time.between(USUAL_MS), status, body)
         }
 
-        fun replyAfter(pauseMs: Long, status: Int, body: Map<String, Any?>) = world.after(pauseMs) {
+        fun replyAfter(pauseMs: Long, status: Int, body: Map<String, Any?>) = time.after(pauseMs) {
             network.deliver(Endpoint.StateService, Endpoint.Controller(controller)) { exchange.reply(status, body) }
         }
 
@@ -95,18 +95,18 @@
         val transaction = Wire.decodeTransaction(call.exchange.body())
         when {
             happens(faults.refusedWrites) -> call.reply(Status.TOO_MANY, mapOf("error" to "rate"))
-            happens(faults.lateWrites) -> world.after(world.between(LATE_WRITE_MS)) {
+            happens(faults.lateWrites) -> time.after(time.between(LATE_WRITE_MS)) {
                 if (!store.down) store.commit(transaction)
             }
             happens(faults.lostAnswers) -> store.commit(transaction)
             happens(faults.slowAnswers) -> answer(store.commit(transaction)) { status, body ->
-                call.replyAfter(world.between(SLOW_ANSWER_MS), status, body)
+                call.replyAfter(time.between(SLOW_ANSWER_MS), status, body)
             }
             else -> answer(store.commit(transaction), call::reply)
         }
     }
 
-    private fun happens(share: Double): Boolean = share > 0.0 && world.chance(share)
+    private fun happens(share: Double): Boolean = share > 0.0 && time.chance(share)
 
     private fun answer(outcome: CommitOutcome, reply: (Int, Map<String, Any?>) -> Unit) = when (outcome) {
         is CommitOutcome.Applied -> reply(Status.OK, mapOf("ledger" to outcome.revision))
--- a/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
@@ -8,110 +8,119 @@
 import oxbowlug.wire.RentalRequest
 import oxbowlug.wire.Zone
 
-/** The cloud by its published protocol: named rentals, boot times, a lagging list. */
+/** Simulates the cloud's published protocol: idempotent rentals by name, boot times, and a machine list that lags. */
 internal class SimCloud(
-    private val world: World,
+    private val time: VirtualTime,
     val types: List<MachineType>,
     private val capacity: Int,
-    private val lagMs: Long,
+    private val listLagMs: Long,
     private val makeWorker: (MachineId, MachineType, Zone, Boolean) -> SimWorker,
 ) {
-    private class Rented(val worker: SimWorker, val rentedAt: Long) {
-        var up = false
+    private class RentedMachine(val worker: SimWorker, val rentedAt: Long) {
+        var isRunning = false
         var failedAt: Long? = null
     }
 
-    private val machines = sortedMapOf<String, Rented>()
-    private val answers = HashMap<String, List<MachineId>>()
-    private val lists = ArrayDeque<Pair<Long, List<ListedMachine>>>()
-    private var next = 0
+    private val machines = sortedMapOf<String, RentedMachine>()
+    private val rentalsByName = HashMap<String, List<MachineId>>()
+    private val listHistory = ArrayDeque<Pair<Long, List<ListedMachine>>>()
+    private var nextNumber = 0
+
+    /** Whether there is an outage. The callers of this class must fail all calls during it. */
     var down = false
+
+    /** Boot time of every machine rented from now on; null: that of its type. */
     var bootMs: Long? = null
     var rentalCalls = 0
         private set
 
-    /** Machines given back with tasks on them. */
-    var returnedBusy = 0
+    /** Machines that were returned while tasks ran on them. */
+    var busyMachinesReturned = 0
         private set
 
     init {
-        world.every(250) {
-            lists.addLast(world.nowMs to current())
-            while (lists.size > 2 && lists[1].first < world.nowMs - 2 * lagMs) lists.removeFirst()
+        time.every(250) {
+            listHistory.addLast(time.nowMs to currentList())
+            while (listHistory.size > 2 && listHistory[1].first < time.nowMs - 2 * listLagMs) listHistory.removeFirst()
         }
     }
 
-    private var listed: List<SimWorker>? = null
-    private val byEndpoint = HashMap<String, SimWorker>()
-    val workers: List<SimWorker> get() = listed ?: machines.values.map { it.worker }.also { listed = it }
+    /** Null after a change of the machines. */
+    private var cachedWorkers: List<SimWorker>? = null
+    private val workersByEndpoint = HashMap<String, SimWorker>()
+    val workers: List<SimWorker> get() = cachedWorkers ?: machines.values.map { it.worker }.also { cachedWorkers = it }
 
-    fun at(endpoint: String): SimWorker? = byEndpoint[endpoint]
+    fun at(endpoint: String): SimWorker? = workersByEndpoint[endpoint]
 
+    /** Rents machines. A repeated request of the same name gets the machines of the first one. */
     fun rent(request: RentalRequest): RentalOutcome {
         rentalCalls++
-        answers[request.name]?.let { return RentalOutcome.Rented(it) }
+        rentalsByName[request.name]?.let { return RentalOutcome.Rented(it) }
         val type = types.first { it.name == request.type }
         val count = minOf(request.count, capacity - machines.size)
         if (count <= 0) return RentalOutcome.NoCapacity
-        val ids = List(count) { MachineId("host-%06d".format(next++)) }
+        val ids = List(count) { MachineId("host-%06d".format(nextNumber++)) }
         for (id in ids) add(id, type, request.zone, request.spot, bootMs ?: (type.bootS * 1000).toLong())
-        answers[request.name] = ids
+        rentalsByName[request.name] = ids
         return RentalOutcome.Rented(ids)
     }
 
+    /** Adds a machine that boots for [bootMs], outside the limit on capacity. */
     fun add(id: MachineId, type: MachineType, zone: Zone, spot: Boolean, bootMs: Long) {
-        val rented = Rented(makeWorker(id, type, zone, spot), world.nowMs)
+        val rented = RentedMachine(makeWorker(id, type, zone, spot), time.nowMs)
         machines[id.value] = rented
-        byEndpoint[rented.worker.endpoint] = rented.worker
-        listed = null
-        world.after(bootMs) {
+        workersByEndpoint[rented.worker.endpoint] = rented.worker
+        cachedWorkers = null
+        time.after(bootMs) {
             if (machines[id.value] === rented) {
-                rented.up = true
+                rented.isRunning = true
                 rented.worker.boot()
             }
         }
     }
 
-    /** Names below this number are taken by machines that were added. */
-    fun skipNames(number: Int) {
-        next = maxOf(next, number)
+    /** Numbers below [number] are in use in the ids of machines that were added; rentals begin at [number] or above. */
+    fun skipIds(number: Int) {
+        nextNumber = maxOf(nextNumber, number)
     }
 
+    /** Ends the rentals of the machines. Their tasks end with them. */
     fun returnMachines(ids: List<MachineId>) {
-        listed = null
+        cachedWorkers = null
         for (id in ids) {
             val worker = machines.remove(id.value)?.worker ?: continue
-            if (worker.onMachine().isNotEmpty()) returnedBusy++
+            if (worker.runningTasks().isNotEmpty()) busyMachinesReturned++
             worker.alive = false
-            byEndpoint.remove(worker.endpoint)
+            workersByEndpoint.remove(worker.endpoint)
         }
     }
 
-    /** A spot machine is taken: it is gone with no trace but its absence. */
+    /** Interrupts a spot machine without notice. It is missing from the list; nothing else shows that it is gone. */
     fun take(id: MachineId) = returnMachines(listOf(id))
 
-    /** A machine dies: listed as running for a while, then as failed. */
+    /** Crashes a machine. The list shows it as running for 30 s more, then as failed. */
     fun fail(id: MachineId) {
         val rented = machines[id.value] ?: return
         rented.worker.alive = false
-        world.after(30_000) { rented.failedAt = world.nowMs }
+        time.after(30_000) { rented.failedAt = time.nowMs }
     }
 
-    private fun current(): List<ListedMachine> = machines.values.map { rented ->
+    private fun currentList(): List<ListedMachine> = machines.values.map { rented ->
         val worker = rented.worker
         val state = when {
             rented.failedAt != null -> MachineState.FAILED
-            rented.up -> MachineState.RUNNING
+            rented.isRunning -> MachineState.RUNNING
             else -> MachineState.BOOTING
         }
         ListedMachine(
             worker.id, worker.endpoint, worker.type.name, worker.zone, worker.spot, state,
-            (world.nowMs - rented.rentedAt) / 1000.0,
+            (time.nowMs - rented.rentedAt) / 1000.0,
         )
     }
 
+    /** A past list of the machines, at least half the lag old and at most 250 ms less than twice the lag. */
     fun list(): List<ListedMachine> {
-        val age = world.between(lagMs / 2, 2 * lagMs - 250)
-        return lists.lastOrNull { it.first <= world.nowMs - age }?.second ?: emptyList()
+        val ageMs = time.between(listLagMs / 2, 2 * listLagMs - 250)
+        return listHistory.lastOrNull { it.first <= time.nowMs - ageMs }?.second ?: emptyList()
     }
 }
--- a/src/scale/kotlin/oxbowlug/standin/SimStore.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimStore.kt
@@ -14,67 +14,74 @@
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.Transaction
 
-/** The state service by its published protocol: revisions, conditions, leases, watches and outages. */
-internal class SimStore(private val world: World, private val historyLimit: Int = 10_000) {
-    private class Lease(val ttlMs: Long, var endsAt: Long)
+/** Simulates the state service's published protocol: revisions, conditions, leases, watches and outages. */
+internal class SimStore(private val time: VirtualTime, private val historyLimit: Int = 10_000) {
+    private class Lease(val ttlMs: Long, var expiresAt: Long)
 
-    private class Watch(val from: Long, val prefix: String, val answer: (ChangesOutcome) -> Unit) {
+    private class Watch(val from: Long, val prefix: String, val onAnswer: (ChangesOutcome) -> Unit) {
         var open = true
     }
 
     private val json = ObjectMapper()
     private val entries = sortedMapOf<String, Entry>()
-    private val attached = HashMap<String, Long>()
+    private val leaseByKey = HashMap<String, Long>()
     private val leases = HashMap<Long, Lease>()
     private val history = ArrayDeque<Event>()
     private val watches = ArrayList<Watch>()
-    private var nextLease = 1L
-    private var droppedUpTo = 0L
+    private var nextLeaseId = 1L
+    private var compactedRevision = 0L
     var revision = 0L
         private set
+
+    /** During an outage leases don't expire and watches stay open. The callers of this class must fail all calls. */
     var down = false
         set(value) {
-            // After an outage every lease has its full time again.
-            if (field && !value) for (lease in leases.values) lease.endsAt = world.nowMs + lease.ttlMs
+            // After an outage every lease has its full TTL again.
+            if (field && !value) for (lease in leases.values) lease.expiresAt = time.nowMs + lease.ttlMs
             field = value
         }
 
     init {
-        world.every(50) { if (!down) expireLeases() }
+        time.every(50) { if (!down) expireLeases() }
     }
 
-    /** Changes asked for, in vain or not. */
+    /** Changes in all transactions that passed the write limits, applied or not. */
     var writes = 0L
         private set
 
-    /** What is refused from now on as too large (400) or too much (refused); null: nothing is. */
+    /**
+     * Limits of writes from now on. A transaction with too many changes or too large a value is invalid (400), one
+     * above the write rate is refused. Null: no limits.
+     */
     var limits: WriteLimits? = null
     private var writeTokens = 0.0
-    private var tokensAt = 0L
+    private var tokensUpdatedAt = 0L
 
-    /** Transactions that were refused for their size, and for their rate. */
+    /** Transactions that exceeded a size limit. */
     var refusedForSize = 0
         private set
+
+    /** Transactions that exceeded the write rate. */
     var refusedForRate = 0
         private set
 
-    /** Whoever asks for changes since an earlier revision has to read everything again. */
-    fun forgetChanges() {
-        droppedUpTo = revision
+    /** Compacts the whole history: a client that asks for changes since an earlier revision must read all entries. */
+    fun discardChangeHistory() {
+        compactedRevision = revision
         history.clear()
     }
 
-    /** Parts of records that didn't fit one value. */
+    /** Writes of parts of job records: a record that doesn't fit one value is divided into parts. */
     var partsWritten = 0
         private set
 
-    private fun refusal(transaction: Transaction): CommitOutcome? {
-        val present = limits ?: return null
-        writeTokens = minOf(present.writeRps, writeTokens + (world.nowMs - tokensAt) * present.writeRps / 1000.0)
-        tokensAt = world.nowMs
+    private fun checkLimits(transaction: Transaction): CommitOutcome? {
+        val limits = limits ?: return null
+        writeTokens = minOf(limits.writeRps, writeTokens + (time.nowMs - tokensUpdatedAt) * limits.writeRps / 1000.0)
+        tokensUpdatedAt = time.nowMs
         val puts = transaction.changes.filterIsInstance<Change.Put>()
-        val isTooLarge = puts.any { json.writeValueAsBytes(it.value).size > present.valueKb * 1024 }
-        if (isTooLarge || transaction.changes.size > present.txnOps) {
+        val isTooLarge = puts.any { json.writeValueAsBytes(it.value).size > limits.valueKb * 1024 }
+        if (isTooLarge || transaction.changes.size > limits.txnOps) {
             refusedForSize++
             return CommitOutcome.Invalid
         }
@@ -91,7 +98,7 @@
     fun keys(prefix: String): List<String> = entries.keys.filter { it.startsWith(prefix) }
 
     fun commit(transaction: Transaction): CommitOutcome {
-        refusal(transaction)?.let { return it }
+        checkLimits(transaction)?.let { return it }
         writes += transaction.changes.size
         val failed = transaction.conditions.filter { (entries[it.key]?.version ?: 0L) != it.version }.map { it.key }
         if (failed.isNotEmpty()) return CommitOutcome.Conflict(failed)
@@ -110,20 +117,20 @@
     private fun apply(change: Change) {
         when (change) {
             is Change.Put -> {
-                // Through the codec, as on the wire: numbers and nulls come back the way a client would see them.
+                // Encoded and decoded as on the wire: a reader gets numbers and nulls as a real client would.
                 val value = Cbor.decode(Cbor.encode(change.value))
                 entries[change.key] = Entry(change.key, value, revision)
-                if (change.lease == null) attached.remove(change.key) else attached[change.key] = change.lease
+                if (change.lease == null) leaseByKey.remove(change.key) else leaseByKey[change.key] = change.lease
                 history.addLast(Event(change.key, value, revision))
                 if (change.key.startsWith(Keys.PARTS)) partsWritten++
             }
             is Change.Delete -> {
                 entries.remove(change.key)
-                attached.remove(change.key)
+                leaseByKey.remove(change.key)
                 history.addLast(Event(change.key, null, revision))
             }
         }
-        while (history.size > historyLimit) droppedUpTo = history.removeFirst().version
+        while (history.size > historyLimit) compactedRevision = history.removeFirst().version
     }
 
     fun read(prefix: String, after: String?, limit: Int): ReadPage {
@@ -132,56 +139,57 @@
     }
 
     fun changes(prefix: String, from: Long): ChangesOutcome {
-        if (from < droppedUpTo) return ChangesOutcome.Compacted
+        if (from < compactedRevision) return ChangesOutcome.Compacted
         var first = history.size
         while (first > 0 && history[first - 1].version > from) first--
         val newer = history.subList(first, history.size)
         return ChangesOutcome.Read(Changes(newer.filter { it.key.startsWith(prefix) }, revision))
     }
 
-    fun watch(prefix: String, from: Long, waitMs: Long, answer: (ChangesOutcome) -> Unit) {
-        val now = changes(prefix, from)
-        if (now !is ChangesOutcome.Read || now.changes.events.isNotEmpty()) return answer(now)
-        val watch = Watch(from, prefix, answer)
+    /** Answers once there are changes after revision [from], or after [waitMs]; during an outage only after its end. */
+    fun watch(prefix: String, from: Long, waitMs: Long, onAnswer: (ChangesOutcome) -> Unit) {
+        val newChanges = changes(prefix, from)
+        if (newChanges !is ChangesOutcome.Read || newChanges.changes.events.isNotEmpty()) return onAnswer(newChanges)
+        val watch = Watch(from, prefix, onAnswer)
         watches.add(watch)
-        world.after(waitMs) { close(watch) }
+        time.after(waitMs) { close(watch) }
     }
 
     private fun close(watch: Watch) {
         if (!watch.open) return
-        if (down) return world.after(100) { close(watch) }
+        if (down) return time.after(100) { close(watch) }
         watch.open = false
         watches.remove(watch)
-        watch.answer(changes(watch.prefix, watch.from))
+        watch.onAnswer(changes(watch.prefix, watch.from))
     }
 
     private fun notifyWatches() {
         for (watch in watches.toList()) {
-            val now = changes(watch.prefix, watch.from)
-            if (now is ChangesOutcome.Read && now.changes.events.isNotEmpty()) close(watch)
+            val newChanges = changes(watch.prefix, watch.from)
+            if (newChanges is ChangesOutcome.Read && newChanges.changes.events.isNotEmpty()) close(watch)
         }
     }
 
     fun grantLease(ttlMs: Long): Long {
-        leases[nextLease] = Lease(ttlMs, world.nowMs + ttlMs)
-        return nextLease++
+        leases[nextLeaseId] = Lease(ttlMs, time.nowMs + ttlMs)
+        return nextLeaseId++
     }
 
     fun keepLeaseAlive(id: Long): LeaseRenewalOutcome {
         val lease = leases[id] ?: return LeaseRenewalOutcome.EXPIRED
-        lease.endsAt = world.nowMs + lease.ttlMs
+        lease.expiresAt = time.nowMs + lease.ttlMs
         return LeaseRenewalOutcome.RENEWED
     }
 
-    fun revokeLease(id: Long) = end(id)
+    fun revokeLease(id: Long) = endLease(id)
 
     private fun expireLeases() {
-        for (id in leases.filterValues { it.endsAt <= world.nowMs }.keys) end(id)
+        for (id in leases.filterValues { it.expiresAt <= time.nowMs }.keys) endLease(id)
     }
 
-    private fun end(id: Long) {
+    private fun endLease(id: Long) {
         leases.remove(id)
-        val keys = attached.filterValues { it == id }.keys.toList()
+        val keys = leaseByKey.filterValues { it == id }.keys.toList()
         if (keys.isEmpty()) return
         revision++
         for (key in keys) apply(Change.Delete(key))
--- a/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
@@ -14,10 +14,12 @@
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
-/** What a worker may know of jobs, and how long their tasks really take. */
-internal interface JobBook {
+/** The jobs of a simulation: their specifications and real run times, and callbacks for starts and completed tasks. */
+internal interface SimJobs {
+    /** Null if the job is unknown. */
     fun spec(job: String): JobSpec?
 
+    /** The real run time of each task of an array job, in ms. */
     fun runMs(job: String): Long
 
     fun onStarted(machine: SimWorker, attempt: AttemptId)
@@ -25,261 +27,283 @@
     fun onDone(attempt: AttemptId)
 }
 
-/** One controller, as a worker reports to it. */
+/** A controller that receives a worker's heartbeats. */
 internal interface HeartbeatTarget {
     val label: String
 
-    /** [answer] is given null when the controller refused the connection; a lost report has no answer at all. */
-    fun receive(report: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit)
+    /**
+     * Delivers a heartbeat. [answer] is called with null when the controller refused the connection, and never when the
+     * heartbeat or its answer was lost.
+     */
+    fun receive(workerHeartbeat: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit)
 }
 
-/** When a worker reports, all in milliseconds. */
+/** When a worker sends heartbeats. All times in milliseconds. */
 internal sealed interface HeartbeatPacing {
     val intervalMs: Long
 
-    /** How often the worker looks whether a report is due. */
-    val checkMs: LongRange
+    /** How often the worker checks whether a heartbeat is due. */
+    val checkIntervalMs: LongRange
 
-    /** On the way to a controller, and back. */
+    /** Network latency between worker and controller, in each direction. */
     val transitMs: LongRange
 
-    /** At a fixed interval: what the days on virtual time have been played with from the beginning. */
+    /** At a fixed interval without jitter. The simulation tests on virtual time use it; their traces depend on it. */
     data class Fixed(override val intervalMs: Long) : HeartbeatPacing {
-        override val checkMs = 40L..90L
+        override val checkIntervalMs = 40L..90L
         override val transitMs = 1L..20L
     }
 
     /**
-     * As the protocol has it: give or take a quarter of the interval, at most each half second when something changed,
-     * at once or half a second later where a redirect leads, and a second after any other failure. The network's
-     * transit is left to the [HeartbeatTarget].
+     * As the published protocol specifies: at the interval with a jitter of a quarter of it either way; sooner after a
+     * change, but at most once each half second; between 0 and half a second after a redirect, to the controller that
+     * it names; a second after any other failure. The [HeartbeatTarget] adds the latency of the network.
      */
-    data class AsPublished(override val intervalMs: Long) : HeartbeatPacing {
-        override val checkMs = 60L..120L
+    data class Protocol(override val intervalMs: Long) : HeartbeatPacing {
+        override val checkIntervalMs = 60L..120L
         override val transitMs = 0L..0L
-        val variesBy = intervalMs / 4
-        val changesMs = 500L
-        val redirectMs = 0L..500L
-        val failureMs = 1000L
+        val jitterMs = intervalMs / 4
+        val minChangeIntervalMs = 500L
+        val redirectDelayMs = 0L..500L
+        val failureDelayMs = 1000L
     }
 }
 
-/** One worker by its published protocol: incarnations, leases, tokens, and one report in flight. */
+/**
+ * Simulates one worker by its published protocol: incarnations, leases, fencing tokens, and at most one heartbeat in
+ * flight. The `...Until` properties inject faults up to the given virtual time.
+ */
 internal class SimWorker(
-    private val world: World,
-    private val book: JobBook,
-    private val nodes: () -> List<HeartbeatTarget>,
+    private val time: VirtualTime,
+    private val jobs: SimJobs,
+    private val controllers: () -> List<HeartbeatTarget>,
     val id: MachineId,
     val type: MachineType,
     val zone: Zone,
     val spot: Boolean,
     private val leaseMs: Long,
     private val pacing: HeartbeatPacing,
+    /** Called with each heartbeat that is sent, also if it is then lost. */
     private val onSent: (WorkerHeartbeat) -> Unit = {},
     endpoint: String? = null,
 ) {
-    class Running(
+    /** An attempt of a task, from the start command until the command to forget it or the end of the lease. */
+    class WorkerTask(
         val attempt: AttemptId,
         var state: TaskState,
         var cause: ExitCause? = null,
         var saved: Boolean = false
     ) {
         var turn = 0
-        val onMachine: Boolean get() = state == TaskState.RUNNING || state == TaskState.SAVING
+
+        /** Whether its process exists. */
+        val isOnMachine: Boolean get() = state == TaskState.RUNNING || state == TaskState.SAVING
     }
 
     val endpoint = endpoint ?: id.value.substringAfterLast('-').toInt()
         .let { "10.${it shr 16}.${it shr 8 and 255}.${it and 255}:9000" }
-    val tasks = LinkedHashMap<AttemptId, Running>()
-    private val results = HashSet<String>()
+    val tasks = LinkedHashMap<AttemptId, WorkerTask>()
+
+    /** Array tasks that this worker completed: another attempt of one of them completes at once. */
+    private val finishedTasks = HashSet<String>()
     private val images = HashSet<String>()
     private var incarnation = 1L
     private var sequence = 0L
     private var token = FencingToken(0)
 
-    /** When the last answered report was sent, or the incarnation began. */
-    var leaseFrom = world.nowMs
+    /** When the lease began: the send time of the last heartbeat that renewed it, or the start of the incarnation. */
+    var leaseStartedAt = time.nowMs
         private set
-    private var node = 0
+    private var controllerIndex = 0
     private var inFlight = false
     private var lastHeartbeatAt = 0L
-    private var nextReportAt = 0L
+    private var nextHeartbeatAt = 0L
 
-    /** After a refusal or silence not even a change is reported sooner. */
-    private var notBefore = 0L
+    /** No heartbeat before this time, even for a change: set after a redirect, refusal or timeout. */
+    private var earliestHeartbeatAt = 0L
 
-    /** Something that the last report didn't say yet. */
+    /** Whether anything changed since the last heartbeat. */
     private var hasChanges = false
     private var nextTokenChangeAt = 0L
     var alive = true
+
+    /** The worker hangs: it sends and handles nothing, and its tasks count as running until its lease expires. */
     var hungUntil = 0L
 
-    /** It reaches no controller, while direct commands reach it. */
-    var muteUntil = 0L
+    /** Its heartbeats are lost, while direct commands reach it. */
+    var heartbeatsLostUntil = 0L
 
-    /** Its reports arrive, but answers and commands don't reach it. */
+    /** Its heartbeats arrive, but it receives neither their answers nor direct commands. */
     var unresponsiveUntil = 0L
 
-    /** Its reports arrive, but their answers don't reach it, while direct commands do. */
-    var unansweredUntil = 0L
+    /** Its heartbeats arrive, but it receives no answers to them; direct commands reach it. */
+    var answersLostUntil = 0L
+
+    /** Seconds until the cloud takes this spot machine back; null: no notice. */
     var noticeS: Double? = null
-    val isHung: Boolean get() = world.nowMs < hungUntil
+    val isHung: Boolean get() = time.nowMs < hungUntil
 
-    /** Copies of old reports, for faults that deliver them again. */
+    /** The last 20 heartbeats, for faults that deliver an old one again. */
     val sent = ArrayDeque<WorkerHeartbeat>()
 
-    /** Up since its boot; a machine that still boots has no lease to lose. */
+    /** Whether the machine has booted. Before that it has no lease. */
     var isUp = false
         private set
 
     fun boot() {
         isUp = true
-        leaseFrom = world.nowMs
+        leaseStartedAt = time.nowMs
         tick()
     }
 
     private fun tick() {
         if (!alive) return
         if (!isHung) {
-            if (world.nowMs > leaseFrom + leaseMs) expire()
-            if (!inFlight && isReportDue()) report()
+            if (time.nowMs > leaseStartedAt + leaseMs) expireLease()
+            if (!inFlight && isHeartbeatDue()) sendHeartbeat()
         }
-        world.after(world.between(pacing.checkMs)) { tick() }
+        time.after(time.between(pacing.checkIntervalMs)) { tick() }
     }
 
-    private fun isReportDue(): Boolean = world.nowMs >= nextReportAt ||
-        hasChanges && pacing is HeartbeatPacing.AsPublished &&
-        world.nowMs >= maxOf(notBefore, lastHeartbeatAt + pacing.changesMs)
+    private fun isHeartbeatDue(): Boolean = time.nowMs >= nextHeartbeatAt ||
+        hasChanges && pacing is HeartbeatPacing.Protocol &&
+        time.nowMs >= maxOf(earliestHeartbeatAt, lastHeartbeatAt + pacing.minChangeIntervalMs)
 
-    private fun pauseAfterReport(): Long = when (pacing) {
+    private fun nextIntervalMs(): Long = when (pacing) {
         is HeartbeatPacing.Fixed -> pacing.intervalMs
-        is HeartbeatPacing.AsPublished ->
-            world.between(pacing.intervalMs - pacing.variesBy, pacing.intervalMs + pacing.variesBy)
+        is HeartbeatPacing.Protocol ->
+            time.between(pacing.intervalMs - pacing.jitterMs, pacing.intervalMs + pacing.jitterMs)
     }
 
-    private fun tryNextNode() {
-        node++
-        if (pacing is HeartbeatPacing.AsPublished) pauseFor(pacing.failureMs)
+    private fun tryNextController() {
+        controllerIndex++
+        if (pacing is HeartbeatPacing.Protocol) delayNextHeartbeat(pacing.failureDelayMs)
     }
 
-    private fun follow(redirect: HeartbeatResponse.Redirect) {
-        val index = nodes().indexOfFirst { it.label == redirect.label }
-        if (index < 0 || index == node % nodes().size) return tryNextNode()
-        node = index
-        if (pacing is HeartbeatPacing.AsPublished) pauseFor(world.between(pacing.redirectMs))
+    private fun followRedirect(redirect: HeartbeatResponse.Redirect) {
+        val index = controllers().indexOfFirst { it.label == redirect.label }
+        if (index < 0 || index == controllerIndex % controllers().size) return tryNextController()
+        controllerIndex = index
+        if (pacing is HeartbeatPacing.Protocol) delayNextHeartbeat(time.between(pacing.redirectDelayMs))
     }
 
-    private fun pauseFor(pauseMs: Long) {
-        notBefore = world.nowMs + pauseMs
-        nextReportAt = notBefore
+    private fun delayNextHeartbeat(delayMs: Long) {
+        earliestHeartbeatAt = time.nowMs + delayMs
+        nextHeartbeatAt = earliestHeartbeatAt
     }
 
-    /** Tasks that ended with its lease. */
+    /** Number of running tasks that ended because the lease expired. */
     var endedByLease = 0
         private set
 
-    private fun expire() {
-        endedByLease += tasks.values.count { it.onMachine }
+    private fun expireLease() {
+        endedByLease += tasks.values.count { it.isOnMachine }
         tasks.clear()
         incarnation++
         hasChanges = true
-        leaseFrom = world.nowMs
+        leaseStartedAt = time.nowMs
     }
 
-    private fun report() {
+    private fun sendHeartbeat() {
         inFlight = true
         hasChanges = false
-        lastHeartbeatAt = world.nowMs
-        nextReportAt = world.nowMs + pauseAfterReport()
-        val sentAt = world.nowMs
-        val message = account()
-        sent.addLast(message)
+        lastHeartbeatAt = time.nowMs
+        nextHeartbeatAt = time.nowMs + nextIntervalMs()
+        val sentAt = time.nowMs
+        val heartbeat = newHeartbeat()
+        sent.addLast(heartbeat)
         if (sent.size > 20) sent.removeFirst()
-        val target = nodes()[node % nodes().size]
+        val target = controllers()[controllerIndex % controllers().size]
         var answered = false
-        onSent(message)
-        world.after(world.between(pacing.transitMs)) {
-            if (world.nowMs < muteUntil) return@after
-            target.receive(message) { answer ->
-                world.after(world.between(pacing.transitMs)) {
-                    if (!answered && world.nowMs < sentAt + ANSWER_MS) {
+        onSent(heartbeat)
+        time.after(time.between(pacing.transitMs)) {
+            if (time.nowMs < heartbeatsLostUntil) return@after
+            target.receive(heartbeat) { answer ->
+                time.after(time.between(pacing.transitMs)) {
+                    if (!answered && time.nowMs < sentAt + RESPONSE_TIMEOUT_MS) {
                         answered = true
-                        whenAwake { take(answer, message, sentAt) }
+                        whenNotHung { handleResponse(answer, heartbeat, sentAt) }
                     }
                 }
             }
         }
-        world.after(ANSWER_MS) {
+        time.after(RESPONSE_TIMEOUT_MS) {
             if (!answered) {
                 answered = true
-                tryNextNode()
+                tryNextController()
                 inFlight = false
             }
         }
     }
 
-    private fun whenAwake(action: () -> Unit) {
+    /** Runs [action] now or, on a hung machine, once it resumes. On a crashed or returned machine it never runs. */
+    private fun whenNotHung(action: () -> Unit) {
         if (!alive) return
-        if (isHung) return world.after(hungUntil - world.nowMs + 1) { whenAwake(action) }
-        // A machine that goes on after its lease is over ends its tasks before anything else.
-        if (world.nowMs > leaseFrom + leaseMs) expire()
+        if (isHung) return time.after(hungUntil - time.nowMs + 1) { whenNotHung(action) }
+        // A machine that resumes after its lease expired ends its tasks before anything else.
+        if (time.nowMs > leaseStartedAt + leaseMs) expireLease()
         action()
     }
 
-    private fun take(answer: HeartbeatResponse?, message: WorkerHeartbeat, sentAt: Long) {
+    private fun handleResponse(answer: HeartbeatResponse?, heartbeat: WorkerHeartbeat, sentAt: Long) {
         inFlight = false
-        if (world.nowMs < unresponsiveUntil || world.nowMs < unansweredUntil) return tryNextNode()
+        if (time.nowMs < unresponsiveUntil || time.nowMs < answersLostUntil) return tryNextController()
         when (answer) {
             is HeartbeatResponse.Renewed -> {
-                if (world.nowMs > leaseFrom + leaseMs) expire()
-                val isLate = world.nowMs > sentAt + ANSWER_MS
-                if (answer.token < token || message.incarnation != incarnation || isLate) return
-                see(answer.token)
-                leaseFrom = sentAt
+                if (time.nowMs > leaseStartedAt + leaseMs) expireLease()
+                val isLate = time.nowMs > sentAt + RESPONSE_TIMEOUT_MS
+                if (answer.token < token || heartbeat.incarnation != incarnation || isLate) return
+                updateToken(answer.token)
+                leaseStartedAt = sentAt
                 answer.commands.forEach(::execute)
             }
-            is HeartbeatResponse.Redirect -> follow(answer)
-            HeartbeatResponse.Unavailable, null -> tryNextNode()
+            is HeartbeatResponse.Redirect -> followRedirect(answer)
+            HeartbeatResponse.Unavailable, null -> tryNextController()
         }
     }
 
-    /** A higher token counts as a change at most once within half a lease. */
-    private fun see(given: FencingToken) {
-        if (given > token && world.nowMs >= nextTokenChangeAt) {
-            nextTokenChangeAt = world.nowMs + leaseMs / 2
+    /** A higher token counts as a change, which brings the next heartbeat forward, at most once within half a lease. */
+    private fun updateToken(newToken: FencingToken) {
+        if (newToken > token && time.nowMs >= nextTokenChangeAt) {
+            nextTokenChangeAt = time.nowMs + leaseMs / 2
             hasChanges = true
         }
-        token = given
+        token = newToken
     }
 
-    fun account(): WorkerHeartbeat = WorkerHeartbeat(
+    /** The worker's present state, with the next sequence number. */
+    fun newHeartbeat(): WorkerHeartbeat = WorkerHeartbeat(
         machine = id, endpoint = endpoint, type = type.name, zone = zone, spot = spot, incarnation = incarnation,
         sequence = ++sequence, token = token, noticeS = noticeS,
         tasks = tasks.values.map { TaskStatus(it.attempt, it.state, it.cause, it.saved) },
     )
 
-    /** A direct command, which a hanging machine executes when it goes on. Null: nobody answers. */
+    /**
+     * Receives direct commands; a hung machine executes them when it resumes. [answer] gets the worker's state and
+     * whether the commands were valid. It is not called while the worker is unresponsive.
+     */
     fun direct(
-        given: FencingToken,
+        newToken: FencingToken,
         forIncarnation: Long,
         commands: List<WorkerCommand>,
         answer: (WorkerHeartbeat, Boolean) -> Unit,
     ) {
-        whenAwake {
-            if (world.nowMs >= unresponsiveUntil) {
-                if (world.nowMs > leaseFrom + leaseMs) expire()
-                val valid = given >= token && forIncarnation == incarnation
+        whenNotHung {
+            if (time.nowMs >= unresponsiveUntil) {
+                if (time.nowMs > leaseStartedAt + leaseMs) expireLease()
+                val valid = newToken >= token && forIncarnation == incarnation
                 if (valid) {
-                    see(given)
+                    updateToken(newToken)
                     commands.forEach(::execute)
                 }
-                answer(account(), valid)
+                answer(newHeartbeat(), valid)
             }
         }
     }
 
+    /** Answers a status query. [answer] is not called while the worker is unresponsive. */
     fun status(answer: (WorkerHeartbeat) -> Unit) =
-        whenAwake { if (world.nowMs >= unresponsiveUntil) answer(account()) }
+        whenNotHung { if (time.nowMs >= unresponsiveUntil) answer(newHeartbeat()) }
 
     private fun execute(command: WorkerCommand) {
         when (command) {
@@ -293,78 +317,79 @@
 
     private fun start(attempt: AttemptId) {
         if (attempt in tasks) return
-        val spec = book.spec(attempt.task.job.value)
-        val running = Running(attempt, TaskState.FETCHING)
-        tasks[attempt] = running
+        val spec = jobs.spec(attempt.task.job.value)
+        val task = WorkerTask(attempt, TaskState.FETCHING)
+        tasks[attempt] = task
         hasChanges = true
-        val others = tasks.values.filter { it !== running && it.state != TaskState.EXITED }
+        val others = tasks.values.filter { it !== task && it.state != TaskState.EXITED }
         when {
-            spec == null -> exit(running, ExitCause.UNKNOWN)
-            others.any { it.attempt.task == attempt.task } -> exit(running, ExitCause.BUSY)
-            !fits(spec, others) -> exit(running, ExitCause.FULL)
+            spec == null -> exit(task, ExitCause.UNKNOWN)
+            others.any { it.attempt.task == attempt.task } -> exit(task, ExitCause.BUSY)
+            !fits(spec, others) -> exit(task, ExitCause.FULL)
             else -> {
                 val fetchMs = if (spec.image.value in images) 0L else (spec.imageGb / type.fetchGbPerS * 1000).toLong()
-                world.after(fetchMs) { whenAwake { run(running, spec) } }
+                time.after(fetchMs) { whenNotHung { run(task, spec) } }
             }
         }
     }
 
-    fun hasRoomFor(spec: JobSpec): Boolean = fits(spec, tasks.values.filter { it.state != TaskState.EXITED })
+    /** Whether the job's task fits beside all tasks that haven't exited. */
+    fun hasCapacityFor(spec: JobSpec): Boolean = fits(spec, tasks.values.filter { it.state != TaskState.EXITED })
 
-    private fun fits(spec: JobSpec, others: List<Running>): Boolean {
-        val specs = others.mapNotNull { book.spec(it.attempt.task.job.value) }
+    private fun fits(spec: JobSpec, others: List<WorkerTask>): Boolean {
+        val specs = others.mapNotNull { jobs.spec(it.attempt.task.job.value) }
         return specs.sumOf { it.cores } + spec.cores <= type.cores + 1e-6 &&
             specs.sumOf { it.gpus } + spec.gpus <= type.gpus + 1e-6 &&
             specs.sumOf { it.memoryGb } + spec.memoryGb <= type.memoryGb + 1e-6
     }
 
-    private fun run(running: Running, spec: JobSpec) {
-        if (tasks[running.attempt] !== running || running.state != TaskState.FETCHING) return
+    private fun run(task: WorkerTask, spec: JobSpec) {
+        if (tasks[task.attempt] !== task || task.state != TaskState.FETCHING) return
         images.add(spec.image.value)
-        running.state = TaskState.RUNNING
+        task.state = TaskState.RUNNING
         hasChanges = true
-        book.onStarted(this, running.attempt)
+        jobs.onStarted(this, task.attempt)
         if (spec.kind != JobKind.ARRAY) return
-        val left = if (running.attempt.task.toString() in results) 0L else book.runMs(spec.id.value)
-        world.after(left) {
-            whenAwake {
-                if (tasks[running.attempt] === running && running.state == TaskState.RUNNING) {
-                    results.add(running.attempt.task.toString())
-                    exit(running, ExitCause.DONE)
+        val remainingMs = if (task.attempt.task.toString() in finishedTasks) 0L else jobs.runMs(spec.id.value)
+        time.after(remainingMs) {
+            whenNotHung {
+                if (tasks[task.attempt] === task && task.state == TaskState.RUNNING) {
+                    finishedTasks.add(task.attempt.task.toString())
+                    exit(task, ExitCause.DONE)
                 }
             }
         }
     }
 
     private fun stop(attempt: AttemptId, graceS: Double) {
-        val running = tasks[attempt] ?: return
-        if (running.state == TaskState.EXITED) return
-        val spec = book.spec(attempt.task.job.value)
-        if (running.state == TaskState.RUNNING && spec != null && spec.savesWork && graceS >= spec.saveS) {
-            running.state = TaskState.SAVING
+        val task = tasks[attempt] ?: return
+        if (task.state == TaskState.EXITED) return
+        val spec = jobs.spec(attempt.task.job.value)
+        if (task.state == TaskState.RUNNING && spec != null && spec.savesWork && graceS >= spec.saveS) {
+            task.state = TaskState.SAVING
             hasChanges = true
-            world.after((spec.saveS * 1000).toLong()) {
-                whenAwake { if (running.state == TaskState.SAVING) exit(running, ExitCause.STOPPED) }
+            time.after((spec.saveS * 1000).toLong()) {
+                whenNotHung { if (task.state == TaskState.SAVING) exit(task, ExitCause.STOPPED) }
             }
-        } else if (running.state != TaskState.SAVING || graceS == 0.0) {
-            exit(running, ExitCause.STOPPED)
+        } else if (task.state != TaskState.SAVING || graceS == 0.0) {
+            exit(task, ExitCause.STOPPED)
         }
     }
 
-    private fun exit(running: Running, cause: ExitCause) {
-        running.state = TaskState.EXITED
-        running.cause = cause
+    private fun exit(task: WorkerTask, cause: ExitCause) {
+        task.state = TaskState.EXITED
+        task.cause = cause
         hasChanges = true
-        if (cause == ExitCause.DONE) book.onDone(running.attempt)
+        if (cause == ExitCause.DONE) jobs.onDone(task.attempt)
     }
 
-    /** What the rules see: a hanging machine's tasks are there until its lease is over. */
-    fun onMachine(): List<Running> {
-        if (!alive || world.nowMs > leaseFrom + leaseMs) return emptyList()
-        return tasks.values.filter { it.onMachine }
+    /** Tasks whose processes run, as the checker counts them: those of a hung machine run until its lease expires. */
+    fun runningTasks(): List<WorkerTask> {
+        if (!alive || time.nowMs > leaseStartedAt + leaseMs) return emptyList()
+        return tasks.values.filter { it.isOnMachine }
     }
 
     private companion object {
-        const val ANSWER_MS = 4000L
+        const val RESPONSE_TIMEOUT_MS = 4000L
     }
 }
--- a/src/scale/kotlin/oxbowlug/standin/World.kt
+++ b/src/scale/kotlin/oxbowlug/standin/VirtualTime.kt
@@ -3,8 +3,11 @@
 import java.util.PriorityQueue
 import kotlin.random.Random
 
-/** Virtual time: events run in the order of their moments, and everything random comes from one seed. */
-internal class World(seed: Long) {
+/**
+ * A discrete-event simulator: a virtual clock, a queue of events and one source of random numbers, which depends on the
+ * seed alone. Events run in the order of their times, events of the same time in the order in which they were added.
+ */
+internal class VirtualTime(seed: Long) {
     private class Event(val atMs: Long, val order: Long, val action: () -> Unit)
 
     private val events = PriorityQueue<Event>(compareBy<Event> { it.atMs }.thenBy { it.order })
@@ -13,8 +16,8 @@
     var nowMs = 0L
         private set
 
-    /** Called after every event. */
-    var afterStep: () -> Unit = {}
+    /** Runs after every event. */
+    var afterEvent: () -> Unit = {}
 
     fun after(delayMs: Long, action: () -> Unit) {
         events.add(Event(nowMs + delayMs.coerceAtLeast(0), order++, action))
@@ -27,12 +30,15 @@
         }
     }
 
-    fun chance(share: Double): Boolean = random.nextDouble() < share
+    /** True with the given probability. */
+    fun chance(probability: Double): Boolean = random.nextDouble() < probability
 
+    /** A random integer, both bounds included. */
     fun between(from: Long, to: Long): Long = random.nextLong(from, to + 1)
 
     fun between(range: LongRange): Long = between(range.first, range.last)
 
+    /** Runs all events up to [endMs]. The clock stays at the time of the last event that ran. */
     fun runUntil(endMs: Long) {
         while (true) {
             val next = events.peek() ?: return
@@ -40,11 +46,11 @@
             events.poll()
             nowMs = next.atMs
             next.action()
-            afterStep()
+            afterEvent()
         }
     }
 
-    /** Follows a clock outside: runs what is due by then, and goes on from that moment. */
+    /** Runs all events up to [endMs] and sets the clock to it, so that virtual time can follow the wall clock. */
     fun advanceTo(endMs: Long) {
         runUntil(endMs)
         nowMs = maxOf(nowMs, endMs)
--- a/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
@@ -9,7 +9,7 @@
 import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.Member
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.NoOpStateCacheListener
@@ -22,7 +22,7 @@
 /** Guards against late answers of the state service being applied to a newer cache or lease than they were sent for. */
 internal class LateAnswersTest {
     private val clock = ManualClock()
-    private val store = SimStore(World(1), historyLimit = 2)
+    private val store = SimStore(VirtualTime(1), historyLimit = 2)
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
     private val watches = ArrayList<(ChangesOutcome) -> Unit>()
     private val touches = ArrayList<(LeaseRenewalOutcome) -> Unit>()
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -21,7 +21,7 @@
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.NoOpStateCacheListener
@@ -57,8 +57,8 @@
 internal class CancellationEnforcerTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val timing = Timing(settings, Random(1))
-    private val world = World(1)
-    private val store = SimStore(world)
+    private val time = VirtualTime(1)
+    private val store = SimStore(time)
     private val self = Member("n0", "x")
     private val machine = MachineId("host-000001")
     private val firstJob = JobId("run-000001")
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -21,7 +21,7 @@
 import oxbowlug.record.RequestIds
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.SampleSettings
@@ -42,9 +42,9 @@
 
 /** A leader's writes of job records before and after the state service lowers its limits to [nextLimits]. */
 internal class JobRecordWriterTest {
-    private val world = World(1)
-    private val store = SimStore(world)
-    private val clock = DriftingClock(world, 0.0, 0)
+    private val time = VirtualTime(1)
+    private val store = SimStore(time)
+    private val clock = DriftingClock(time, 0.0, 0)
     private val nextLimits = WriteLimits(writeRps = 15.0, valueKb = 2.0, txnOps = 4)
     private val settings =
         SettingsFile.parse(SampleSettings.valid).let { it.copy(state = it.state.copy(next = nextLimits)) }
@@ -141,8 +141,8 @@
     private fun flush(times: Int = 1) =
         repeat(times) {
             writer.flush()
-            world.after(2_000) {}
-            world.runUntil(world.nowMs + 2_000)
+            time.after(2_000) {}
+            time.runUntil(time.nowMs + 2_000)
         }
 
     private fun stored(id: String): JobRecord {
@@ -154,7 +154,7 @@
     fun `a job of 240 tasks on as many machines is placed and finished in values of 2 KiB`() {
         lead(isFormatEnabled = true, record("big", 240))
         store.limits = nextLimits
-        world.runUntil(world.nowMs + 1_000)
+        time.runUntil(time.nowMs + 1_000)
         place("big", 0..199)
         flush(2)
         val job = cluster.jobs.getValue(JobId("big"))
@@ -183,8 +183,8 @@
         val arrays = List(12) { record("array-$it", 40, placed = 1) }
         lead(isFormatEnabled = true, *arrays.toTypedArray(), record("service", 2), rate = 8.0)
         for (array in arrays) cluster.jobs.getValue(array.spec.id).drop(0, clock.steadyMs())
-        world.after(timing.deferredWriteMs) {}
-        world.runUntil(world.nowMs + timing.deferredWriteMs)
+        time.after(timing.deferredWriteMs) {}
+        time.runUntil(time.nowMs + timing.deferredWriteMs)
         writer.flush()
         val deferredChanges = sent.sumOf { it.changes.size }
         place("service", 0..1)
@@ -209,7 +209,7 @@
     fun `before the format is enabled records are written whole, and one refused for its size delays no other`() {
         lead(isFormatEnabled = false, record("big", 240), record("small", 4))
         store.limits = nextLimits
-        world.runUntil(world.nowMs + 1_000)
+        time.runUntil(time.nowMs + 1_000)
         place("big", 0..199)
         place("small", 0..3)
         flush(6)
@@ -228,8 +228,8 @@
             }
         assertEquals(tooLarge.distinct().size, tooLarge.size, "no refused transaction is sent again unchanged")
         place("big", 0..9)
-        world.after(timing.workerLeaseTtlMs) {}
-        world.runUntil(world.nowMs + timing.workerLeaseTtlMs)
+        time.after(timing.workerLeaseTtlMs) {}
+        time.runUntil(time.nowMs + timing.workerLeaseTtlMs)
         flush(2)
         assertEquals(10, stored("big").placements.size, "the record fits with fewer placements")
     }
--- a/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
@@ -9,7 +9,7 @@
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.NoOpStateCacheListener
@@ -24,7 +24,7 @@
 internal class LeadershipDecisionContextTest {
     private val clock = ManualClock()
     private val self = Member("n0", "x")
-    private val store = SimStore(World(1), historyLimit = 2)
+    private val store = SimStore(VirtualTime(1), historyLimit = 2)
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
 
     private inner class Port : ImmediateStatePort(store) {
--- a/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
@@ -18,7 +18,7 @@
 import oxbowlug.record.Member
 import oxbowlug.region.Regions
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.SampleSettings
@@ -37,7 +37,7 @@
 internal class LeaseRenewalDelegateTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val timing = Timing(settings, Random(1))
-    private val store = SimStore(World(1))
+    private val store = SimStore(VirtualTime(1))
     private val leader = Member("n0", "x")
     private val delegate = Member("n1", "y")
     private val zone = Zone("b")
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -17,7 +17,7 @@
 import oxbowlug.record.RequestIds
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.testing.FailingMeters
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.NoOpStateCacheListener
@@ -48,9 +48,9 @@
  */
 internal class UserRequestHandlerTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
-    private val world = World(1)
-    private val store = SimStore(world)
-    private val clock = DriftingClock(world, 0.0, 0)
+    private val time = VirtualTime(1)
+    private val store = SimStore(time)
+    private val clock = DriftingClock(time, 0.0, 0)
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(team = TeamName("vision"), tasks = 2)
     private val key = Keys.job(spec.id.value)
     private val types =
@@ -159,7 +159,7 @@
             val caseCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
             beforeCommit = case.beforeCommit
             requestHandler(caseCache).cancel(spec.id) { answers.add(it) }
-            world.runUntil(world.nowMs + 1_000)
+            time.runUntil(time.nowMs + 1_000)
             repeat(5) { caseCache.tick() }
             val states = answers.map { (it as UserResponse.Known).status.state }
             assertEquals(listOf(case.expectedState), states, case.name)
@@ -199,7 +199,7 @@
     ): UserResponse {
         val answers = ArrayList<UserResponse>()
         requestHandler(stateCache).submit(spec, types) { answers.add(it) }
-        world.runUntil(world.nowMs + 1_000)
+        time.runUntil(time.nowMs + 1_000)
         repeat(5) { stateCache.tick() }
         return answers.single()
     }
@@ -268,7 +268,7 @@
         for ((id, expected) in listOf("run-a" to "Known", "run-b" to "Malformed")) {
             val answers = ArrayList<UserResponse>()
             requestHandler(stateCache).submitMalformed(JobId(id), "waits_on: must be a list") { answers.add(it) }
-            world.runUntil(world.nowMs + 1_000)
+            time.runUntil(time.nowMs + 1_000)
             repeat(5) { stateCache.tick() }
             assertEquals(listOf(expected), answers.map { it::class.simpleName }, id)
         }
@@ -316,7 +316,7 @@
             store.commit(Transaction(emptyList(), changes))
             val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
             store.limits = limits
-            world.runUntil(world.nowMs + 2_000)
+            time.runUntil(time.nowMs + 2_000)
             listenerCalls.clear()
             val requestHandler =
                 UserRequestHandler(
@@ -333,7 +333,7 @@
                 )
             val answers = ArrayList<UserResponse>()
             requestHandler.cancel(spec.id) { answers.add(it) }
-            world.runUntil(world.nowMs + 1_000)
+            time.runUntil(time.nowMs + 1_000)
             assertEquals(JobState.CANCELLED, (answers.single() as UserResponse.Known).status.state)
             assertEquals(listOf("committed ${spec.id} with 240 machines"), listenerCalls)
             val read =
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -15,7 +15,7 @@
 import oxbowlug.port.StatePort
 import oxbowlug.port.WorkerPort
 import oxbowlug.request.UserResponse
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.AnswerCodec
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.CloudCodec
@@ -107,7 +107,7 @@
 
 /** Ports of one controller, each call of which is noted before it is made. */
 internal class TracedPorts(
-    private val world: World,
+    private val time: VirtualTime,
     private val label: String,
     private val trace: PortTrace,
     private val state: StatePort,
@@ -121,7 +121,7 @@
     private fun note(
         what: String,
         body: ByteArray = ByteArray(0),
-    ) = trace.note(world.nowMs, label, what, body)
+    ) = trace.note(time.nowMs, label, what, body)
 
     override fun commit(
         transaction: Transaction,
--- a/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
+++ b/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
@@ -18,9 +18,9 @@
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
-/** A worker that reports as the protocol has it. */
+/** Guards the pacing of a simulated worker's heartbeats against deviations from the published protocol. */
 internal class HeartbeatPacingTest {
-    private val world = World(7)
+    private val time = VirtualTime(7)
     private val zone = Zone("a")
     private val type = MachineType(TypeName("c"), 64.0, 0.0, 256.0, 200.0, 1.0, 3.0, 1.0, 8.0, listOf(zone))
     private val spec: JobSpec =
@@ -28,15 +28,15 @@
     private val targets = listOf(Controller("n0"), Controller("n1"))
     private val worker =
         SimWorker(
-            world,
-            Book(),
+            time,
+            TestJobs(),
             { targets },
             MachineId("host-000001"),
             type,
             zone,
             false,
             LEASE_MS,
-            HeartbeatPacing.AsPublished(INTERVAL_MS),
+            HeartbeatPacing.Protocol(INTERVAL_MS),
         )
 
     private inner class Controller(
@@ -44,18 +44,18 @@
     ) : HeartbeatTarget {
         var answer: HeartbeatResponse? = HeartbeatResponse.Renewed(FencingToken(1), emptyList())
         var isSilent = false
-        val at = ArrayList<Long>()
+        val receivedAt = ArrayList<Long>()
 
         override fun receive(
-            report: WorkerHeartbeat,
+            workerHeartbeat: WorkerHeartbeat,
             answer: (HeartbeatResponse?) -> Unit,
         ) {
-            at.add(world.nowMs)
+            receivedAt.add(time.nowMs)
             if (!isSilent) answer(this.answer)
         }
     }
 
-    private inner class Book : JobBook {
+    private inner class TestJobs : SimJobs {
         override fun spec(job: String): JobSpec = spec
 
         override fun runMs(job: String): Long = 700
@@ -68,68 +68,68 @@
         override fun onDone(attempt: AttemptId) = Unit
     }
 
-    private fun gaps(times: List<Long>) = times.zipWithNext { one, next -> next - one }
+    private fun intervals(times: List<Long>) = times.zipWithNext { one, next -> next - one }
 
     @Test
-    fun `with nothing new it reports each interval, give or take a quarter`() {
+    fun `without changes a worker sends a heartbeat each interval, with a jitter of a quarter`() {
         worker.boot()
-        world.advanceTo(60_000)
-        val gaps = gaps(targets[0].at).drop(2)
+        time.advanceTo(60_000)
+        val intervals = intervals(targets[0].receivedAt).drop(2)
         val slack = 130
-        assertTrue(gaps.all { it in INTERVAL_MS * 3 / 4..INTERVAL_MS * 5 / 4 + slack }, "$gaps")
-        assertTrue(gaps.max() - gaps.min() > INTERVAL_MS / 5, "it varies: $gaps")
+        assertTrue(intervals.all { it in INTERVAL_MS * 3 / 4..INTERVAL_MS * 5 / 4 + slack }, "$intervals")
+        assertTrue(intervals.max() - intervals.min() > INTERVAL_MS / 5, "no jitter: $intervals")
     }
 
     @Test
-    fun `changes are reported within half a second and not more often`() {
+    fun `changes trigger heartbeats within half a second and not more often`() {
         worker.boot()
-        world.advanceTo(10_000)
-        val before = targets[0].at.size
+        time.advanceTo(10_000)
+        val heartbeatsBefore = targets[0].receivedAt.size
         val starts = (0 until 8).map { WorkerCommand.Start(AttemptId(TaskId(JobId("run-1"), it), 1)) }
         for ((index, start) in starts.withIndex()) {
-            world.after(index * 100L) { worker.direct(FencingToken(1), 1, listOf(start)) { _, _ -> } }
+            time.after(index * 100L) { worker.direct(FencingToken(1), 1, listOf(start)) { _, _ -> } }
         }
-        world.advanceTo(13_000)
-        val gaps = gaps(targets[0].at.drop(before))
-        assertTrue(gaps.isNotEmpty() && gaps.all { it >= 500 }, "$gaps")
-        assertTrue(gaps.first() <= 650, "$gaps")
+        time.advanceTo(13_000)
+        val intervals = intervals(targets[0].receivedAt.drop(heartbeatsBefore))
+        assertTrue(intervals.isNotEmpty() && intervals.all { it >= 500 }, "$intervals")
+        assertTrue(intervals.first() <= 650, "$intervals")
     }
 
     @Test
-    fun `a redirect is followed within half a second, and any other failure after a second`() {
+    fun `a worker follows a redirect within half a second, and retries any other failure after a second`() {
         targets[0].answer = HeartbeatResponse.Redirect("n1")
         worker.boot()
-        world.advanceTo(1_000)
-        assertEquals(1, targets[0].at.size)
-        assertTrue(targets[1].at.first() - targets[0].at.first() <= 620, "${targets[1].at}")
+        time.advanceTo(1_000)
+        assertEquals(1, targets[0].receivedAt.size)
+        assertTrue(targets[1].receivedAt.first() - targets[0].receivedAt.first() <= 620, "${targets[1].receivedAt}")
         targets[1].answer = HeartbeatResponse.Unavailable
         targets[0].answer = HeartbeatResponse.Unavailable
-        world.advanceTo(20_000)
-        val all = (targets[0].at + targets[1].at).sorted().filter { it > 5_000 }
-        assertTrue(gaps(all).all { it in 1_000..1_130 }, "${gaps(all)}")
+        time.advanceTo(20_000)
+        val all = (targets[0].receivedAt + targets[1].receivedAt).sorted().filter { it > 5_000 }
+        assertTrue(intervals(all).all { it in 1_000..1_130 }, "${intervals(all)}")
     }
 
     @Test
-    fun `a silent controller is left after four seconds and one more`() {
+    fun `a worker leaves an unresponsive controller after a timeout of four seconds and a delay of one`() {
         worker.boot()
-        world.advanceTo(5_000)
+        time.advanceTo(5_000)
         targets[0].isSilent = true
-        world.advanceTo(20_000)
-        val last = targets[0].at.last()
-        val next = targets[1].at.first { it > last }
+        time.advanceTo(20_000)
+        val last = targets[0].receivedAt.last()
+        val next = targets[1].receivedAt.first { it > last }
         assertTrue(next - last in 5_000..5_200, "${next - last} ms")
     }
 
     @Test
-    fun `without renewal its tasks end with the lease and a new incarnation begins`() {
+    fun `without renewal a worker's tasks end with the lease and a new incarnation begins`() {
         worker.boot()
-        world.advanceTo(3_000)
+        time.advanceTo(3_000)
         val start = WorkerCommand.Start(AttemptId(TaskId(JobId("run-1"), 0), 1))
         worker.direct(FencingToken(1), 1, listOf(start)) { _, _ -> }
         for (target in targets) target.isSilent = true
-        world.advanceTo(3_000 + LEASE_MS + 500)
+        time.advanceTo(3_000 + LEASE_MS + 500)
         assertEquals(0, worker.tasks.size)
-        assertEquals(2, worker.account().incarnation)
+        assertEquals(2, worker.newHeartbeat().incarnation)
     }
 
     private companion object {
