--- a/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
@@ -65,7 +65,7 @@
         return RentalOutcome.Rented(ids)
     }
 
-    /** Adds a machine that boots for [bootMs], outside the limit on capacity. */
+    /** Adds a machine that boots for [bootMs], also above the capacity; it counts against the capacity for rentals. */
     fun add(id: MachineId, type: MachineType, zone: Zone, spot: Boolean, bootMs: Long) {
         val rented = RentedMachine(makeWorker(id, type, zone, spot), time.nowMs)
         machines[id.value] = rented
--- a/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
@@ -144,7 +144,7 @@
     val isHung: Boolean get() = time.nowMs < hungUntil
 
     /** The last 20 heartbeats, for faults that deliver an old one again. */
-    val sent = ArrayDeque<WorkerHeartbeat>()
+    val recentHeartbeats = ArrayDeque<WorkerHeartbeat>()
 
     /** Whether the machine has booted. Before that it has no lease. */
     var isUp = false
@@ -211,8 +211,8 @@
         nextHeartbeatAt = time.nowMs + nextIntervalMs()
         val sentAt = time.nowMs
         val heartbeat = newHeartbeat()
-        sent.addLast(heartbeat)
-        if (sent.size > 20) sent.removeFirst()
+        recentHeartbeats.addLast(heartbeat)
+        if (recentHeartbeats.size > 20) recentHeartbeats.removeFirst()
         val target = controllers()[controllerIndex % controllers().size]
         var answered = false
         onSent(heartbeat)
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -51,7 +51,7 @@
         val report =
             day.cloud.workers
                 .first()
-                .sent
+                .recentHeartbeats
                 .last()
         var answer: HeartbeatResponse? = null
         day.nodes[0].start()
@@ -332,7 +332,7 @@
                     repeat(60) { index ->
                         day.at(20_000L + index * 1500) {
                             val worker = randomWorker()
-                            val copy = worker?.sent?.firstOrNull()
+                            val copy = worker?.recentHeartbeats?.firstOrNull()
                             if (copy != null) nodes[time.random.nextInt(3)].receive(copy) {}
                         }
                     }
--- a/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
+++ b/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
@@ -43,7 +43,7 @@
         override val label: String,
     ) : HeartbeatTarget {
         var answer: HeartbeatResponse? = HeartbeatResponse.Renewed(FencingToken(1), emptyList())
-        var isSilent = false
+        var isUnresponsive = false
         val receivedAt = ArrayList<Long>()
 
         override fun receive(
@@ -51,7 +51,7 @@
             answer: (HeartbeatResponse?) -> Unit,
         ) {
             receivedAt.add(time.nowMs)
-            if (!isSilent) answer(this.answer)
+            if (!isUnresponsive) answer(this.answer)
         }
     }
 
@@ -105,15 +105,15 @@
         targets[1].answer = HeartbeatResponse.Unavailable
         targets[0].answer = HeartbeatResponse.Unavailable
         time.advanceTo(20_000)
-        val all = (targets[0].receivedAt + targets[1].receivedAt).sorted().filter { it > 5_000 }
-        assertTrue(intervals(all).all { it in 1_000..1_130 }, "${intervals(all)}")
+        val receivedByAny = (targets[0].receivedAt + targets[1].receivedAt).sorted().filter { it > 5_000 }
+        assertTrue(intervals(receivedByAny).all { it in 1_000..1_130 }, "${intervals(receivedByAny)}")
     }
 
     @Test
     fun `a worker leaves an unresponsive controller after a timeout of four seconds and a delay of one`() {
         worker.boot()
         time.advanceTo(5_000)
-        targets[0].isSilent = true
+        targets[0].isUnresponsive = true
         time.advanceTo(20_000)
         val last = targets[0].receivedAt.last()
         val next = targets[1].receivedAt.first { it > last }
@@ -126,7 +126,7 @@
         time.advanceTo(3_000)
         val start = WorkerCommand.Start(AttemptId(TaskId(JobId("run-1"), 0), 1))
         worker.direct(FencingToken(1), 1, listOf(start)) { _, _ -> }
-        for (target in targets) target.isSilent = true
+        for (target in targets) target.isUnresponsive = true
         time.advanceTo(3_000 + LEASE_MS + 500)
         assertEquals(0, worker.tasks.size)
         assertEquals(2, worker.newHeartbeat().incarnation)
