--- a/src/main/kotlin/oxbowlug/api/ApiServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ApiServer.kt
@@ -13,7 +13,7 @@
 import oxbowlug.controller.ControllerEvent
 import oxbowlug.lease.HeartbeatResponse
 import oxbowlug.request.UserResponse
-import oxbowlug.wire.AnswerCodec
+import oxbowlug.wire.ResponseCodec
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobId
@@ -53,7 +53,7 @@
             path == "/healthz" -> reply(request, if (controller.isHealthy()) 200 else 503, emptyMap())
             path == "/metrics" -> request.response().putHeader("content-type", "text/plain").end(metrics())
             path != null && path.startsWith(JOB_PREFIX) -> routeJob(request, path.substring(JOB_PREFIX.length))
-            else -> reply(request, 404, AnswerCodec.problem("no such page"))
+            else -> reply(request, 404, ResponseCodec.problem("no such page"))
         }
     }
 
@@ -65,7 +65,7 @@
         val isCancellation = id.length < jobPath.length
         when {
             request.method() != if (isCancellation) HttpMethod.POST else HttpMethod.GET -> replyWrongMethod(request)
-            !JobId.isValid(id) -> reply(request, 404, AnswerCodec.problem("no such job"))
+            !JobId.isValid(id) -> reply(request, 404, ResponseCodec.problem("no such job"))
             isCancellation -> enqueue(request, ControllerEvent.Cancel(JobId(id)) { replyToCancellation(request, it) })
             else -> enqueue(request, ControllerEvent.Poll(JobId(id)) { replyToUser(request, it) })
         }
@@ -97,8 +97,8 @@
             ControllerEvent.Heartbeat(heartbeat) { response ->
                 when (response) {
                     is HeartbeatResponse.Renewed ->
-                        reply(request, 200, WorkerCodec.encodeAnswer(response.token, response.commands))
-                    is HeartbeatResponse.Redirect -> reply(request, 421, AnswerCodec.redirect(response.label))
+                        reply(request, 200, WorkerCodec.encodeResponse(response.token, response.commands))
+                    is HeartbeatResponse.Redirect -> reply(request, 421, ResponseCodec.redirect(response.label))
                     HeartbeatResponse.Unavailable -> reply(request, 503, emptyMap())
                 }
             },
@@ -110,11 +110,11 @@
         response: UserResponse,
     ) {
         when (response) {
-            is UserResponse.Accepted -> reply(request, 201, AnswerCodec.accepted(response.status))
-            is UserResponse.Known -> reply(request, 200, AnswerCodec.polled(response.status))
-            is UserResponse.Malformed -> reply(request, 400, AnswerCodec.problem(response.problem))
-            is UserResponse.Rejected -> reply(request, 422, AnswerCodec.problem(response.problem))
-            UserResponse.NotFound -> reply(request, 404, AnswerCodec.problem("no such job"))
+            is UserResponse.Accepted -> reply(request, 201, ResponseCodec.accepted(response.status))
+            is UserResponse.Known -> reply(request, 200, ResponseCodec.polled(response.status))
+            is UserResponse.Malformed -> reply(request, 400, ResponseCodec.problem(response.problem))
+            is UserResponse.Rejected -> reply(request, 422, ResponseCodec.problem(response.problem))
+            UserResponse.NotFound -> reply(request, 404, ResponseCodec.problem("no such job"))
             is UserResponse.Unavailable -> replyRetryLater(request, 503, response.retryAfterS, response.reason)
             is UserResponse.Overloaded ->
                 replyRetryLater(request, 429, response.retryAfterS, "more is asked than can be done")
@@ -126,7 +126,7 @@
         response: UserResponse,
     ) {
         if (response !is UserResponse.Known) return replyToUser(request, response)
-        reply(request, 200, AnswerCodec.accepted(response.status))
+        reply(request, 200, ResponseCodec.accepted(response.status))
     }
 
     private fun replyRetryLater(
@@ -136,7 +136,7 @@
         reason: String,
     ) {
         request.response().putHeader("Retry-After", retryAfterS.toString())
-        reply(request, status, AnswerCodec.problem(reason))
+        reply(request, status, ResponseCodec.problem(reason))
     }
 
     /** Adds [event] to the controller's queue, or answers 503 if the queue is full. */
@@ -147,7 +147,7 @@
         if (!controller.offer(event)) replyRetryLater(request, 503, 1, "too busy")
     }
 
-    private fun replyWrongMethod(request: HttpServerRequest) = reply(request, 405, AnswerCodec.problem("wrong method"))
+    private fun replyWrongMethod(request: HttpServerRequest) = reply(request, 405, ResponseCodec.problem("wrong method"))
 
     /** Reads and decodes the request's body and calls [handle] with it. Rejects a body that is too large early. */
     private fun readBody(
@@ -192,13 +192,13 @@
         reason: String,
     ) {
         log.info("refused {}: {}", request.path(), reason)
-        reply(request, 400, AnswerCodec.problem(reason))
+        reply(request, 400, ResponseCodec.problem(reason))
     }
 
     /** Answers without reading the rest of the body, and closes the connection. */
     private fun replyBodyTooLarge(request: HttpServerRequest) {
         request.response().putHeader("Connection", "close")
-        reply(request, 400, AnswerCodec.problem("the body has more than $MAX_BODY_BYTES bytes"))
+        reply(request, 400, ResponseCodec.problem("the body has more than $MAX_BODY_BYTES bytes"))
     }
 
     private fun reply(
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -77,7 +77,7 @@
                 .flatMapTo(LinkedHashSet()) { pending ->
                     pending.attempts.filter { (machine, attempts) -> !areProvenAbsent(machine, attempts, now) }.keys
                 }
-        if (toRelease.isNotEmpty()) releaseMachines(toRelease.take(CloudCodec.MAX_RETURNED), now)
+        if (toRelease.isNotEmpty()) releaseMachines(toRelease.take(CloudCodec.MAX_RELEASED), now)
     }
 
     private fun isDue(
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -88,7 +88,7 @@
         if (record.placements.isEmpty()) return
         val now = clock.steadyMs()
         // The largest possible age: the wall clocks of two controllers differ by up to the configured skew.
-        val ageMs = record.cancelledMs?.let { clock.wallMs() - it + settings.skewMs.toLong() } ?: 0
+        val ageMs = record.cancelledMs?.let { clock.wallMs() - it + settings.maxClockSkewMs.toLong() } ?: 0
         val pending =
             PendingCancellation(
                 cancellation,
--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -80,7 +80,7 @@
             )
         // Each machine already holds a connection for its reports. Those for commands are closed after some reports'
         // time, or twice as many sockets as machines would be open at once.
-        val commandIdleS = ceil(settings.workers.heartbeatS * 2).toInt()
+        val commandIdleS = ceil(settings.workers.heartbeatIntervalS * 2).toInt()
         val workers = WorkerClient(HttpCaller(vertx, 1, commandIdleS), scope, leaseMs / 5, runOnEventLoop)
         val random = Random(seed())
         val self = Member(settings.label, random.nextLong().toULong().toString(36))
--- a/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
+++ b/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
@@ -54,7 +54,7 @@
         machines: List<MachineId>,
         done: (Boolean) -> Unit,
     ) = launch(done, false) {
-        val body = CloudCodec.encodeReturn(machines)
+        val body = CloudCodec.encodeRelease(machines)
         val result = http.call(address, HttpMethod.POST, "/rentals/return", body, timeoutMs)
         result is CallResult.Answered && result.status == 200
     }
--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -35,7 +35,7 @@
         machine: Machine,
         commands: List<WorkerCommand>,
     ): List<WorkerCommand> {
-        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.committed != true }
+        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.isCommitted != true }
         if (unstored.isEmpty()) return commands
         invariants.recordViolation(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
         return commands - unstored.toSet()
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -21,12 +21,12 @@
     private val decisions: DecisionContext,
     private val checks: CommandChecks,
 ) {
-    /** Sends the commands of all machines in [ClusterState.pendingPushes]. */
+    /** Sends the commands of all machines in [ClusterState.commandQueue]. */
     fun flush(now: Long) {
-        if (cluster.pendingPushes.isEmpty()) return
-        for (id in cluster.pendingPushes.toList()) {
+        if (cluster.commandQueue.isEmpty()) return
+        for (id in cluster.commandQueue.toList()) {
             val machine = cluster.machines[id]
-            if (machine == null || trySend(machine, now)) cluster.pendingPushes.remove(id)
+            if (machine == null || trySend(machine, now)) cluster.commandQueue.remove(id)
         }
     }
 
@@ -37,7 +37,7 @@
     ): Boolean {
         val endpoint = machine.endpoint ?: return true
         val lastContactAt = machine.lastContactAt ?: return true
-        if (!machine.isSettled(cluster.token) ||
+        if (!machine.hasAcknowledgedToken(cluster.token) ||
             now - lastContactAt > timing.heartbeatLateMs ||
             now < machine.nextDirectCommandAt
         ) {
@@ -48,13 +48,13 @@
             if (decisions.mayLead) {
                 checks.dropUnstoredStarts(machine, cluster.commands(machine, now))
             } else {
-                cluster.cancelledStops(machine)
+                cluster.stopsForCancelledJobs(machine)
             }
         // Commands to forget exited attempts can wait for the next heartbeat.
         if (commands.all { it is WorkerCommand.Forget }) return true
         machine.isDirectCommandInFlight = true
         machine.directStartsInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
-        for (attempt in machine.directStartsInFlight) machine.attempts[attempt]?.sentDirectly(now)
+        for (attempt in machine.directStartsInFlight) machine.attempts[attempt]?.markStartSent(now)
         workers.command(endpoint, cluster.token, machine.position.incarnation, commands) { outcome ->
             onOutcome(machine, outcome)
         }
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -131,7 +131,7 @@
     ) {
         // Without a valid lease of its own, this controller may have a successor that renewed the worker's lease.
         val mayExpire = decisions.mayLead && delegates.isProvenExpired(machine.zone, machine.lease.ttlStartMs ?: now)
-        if (mayExpire) cluster.expire(machine, now)
+        if (mayExpire) cluster.expireLease(machine, now)
         val isPartitioned = liveness.isPartitioned(machine.zone)
         val graceMs = if (isPartitioned) timing.partitionedCancelReleaseAfterMs else timing.cancelReleaseAfterMs
         for (attempt in machine.attempts.values) {
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
@@ -74,7 +74,7 @@
     fun delegateFor(heartbeat: WorkerHeartbeat): Member? {
         val leadership = cache.leadership ?: return null
         val delegates = cache.delegates ?: return null
-        val isInRegion = regions.areTogether(heartbeat.zone, zone)
+        val isInRegion = regions.areInSameRegion(heartbeat.zone, zone)
         val isInScope = delegates.token == leadership.token && isInRegion && heartbeat.token <= leadership.token
         return if (isInScope && isolatedMs() >= timing.delegateActivationMs) delegates.byZone[heartbeat.zone] else null
     }
@@ -86,7 +86,7 @@
     fun isNearingActivation(): Boolean {
         val delegates = cache.delegates
         val isActivationNear = isolatedMs() in timing.delegateActivationMs / 2 until timing.delegateActivationMs
-        return delegates != null && isActivationNear && delegates.byZone.keys.any { regions.areTogether(it, zone) }
+        return delegates != null && isActivationNear && delegates.byZone.keys.any { regions.areInSameRegion(it, zone) }
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/plan/Consolidation.kt
+++ b/src/main/kotlin/oxbowlug/plan/Consolidation.kt
@@ -102,7 +102,7 @@
         if (spec.types != null && host.type.name !in spec.types) return false
         if (spec.zone != null && host.zone != spec.zone) return false
         if (spec.oneZone && otherTasksByZone.any { (zone, count) -> count > 0 && zone != host.zone }) return false
-        return (otherTasksByZone[host.zone] ?: 0) < spec.zoneCap
+        return (otherTasksByZone[host.zone] ?: 0) < spec.maxTasksPerZone
     }
 
     /** A moved replica is down for about one heartbeat, one planning round and one start. */
--- a/src/main/kotlin/oxbowlug/plan/Constraints.kt
+++ b/src/main/kotlin/oxbowlug/plan/Constraints.kt
@@ -37,7 +37,7 @@
         if (job.spec.zone != null && job.spec.zone != zone) return false
         val onlyZone = fixedZone
         if (job.spec.oneZone && onlyZone != null && onlyZone != zone) return false
-        return taskCount(zone) < job.spec.zoneCap
+        return taskCount(zone) < job.spec.maxTasksPerZone
     }
 
     fun addTask(zone: Zone) {
--- a/src/main/kotlin/oxbowlug/plan/Planner.kt
+++ b/src/main/kotlin/oxbowlug/plan/Planner.kt
@@ -227,12 +227,12 @@
     ): PlanMachine? {
         val job = placement.job
         val booting = candidates.cheapest(Capacity.BOOTING, placement.zones)
-        val isBetter = booting != null && booting.cost < scarce.cost && booting.delayS < job.estimateS
+        val isBetter = booting != null && booting.cost < scarce.cost && booting.delayS < job.runEstimateS
         if (booting != null && isBetter && booting.machine.spot) return booting.machine
         if (!snapshot.mayRent) return null
         val rental = cheapestRental(job, placement.need, placement.zones, placement.remaining) ?: return null
         val startsInS = rental.type.bootS + rental.type.fetchS(job.spec)
-        return if (rental.kind.spot && rental.cost < scarce.cost && startsInS < job.estimateS) rent(rental) else null
+        return if (rental.kind.spot && rental.cost < scarce.cost && startsInS < job.runEstimateS) rent(rental) else null
     }
 
     private fun bootingOrRented(
--- a/src/main/kotlin/oxbowlug/plan/Pricing.kt
+++ b/src/main/kotlin/oxbowlug/plan/Pricing.kt
@@ -19,10 +19,10 @@
         startDelayWeight: Double,
         snapshot: Snapshot,
     ): Double {
-        val runS = if (job.spec.kind == JobKind.SERVICE) assumedServiceRunS(snapshot) else job.estimateS
+        val runS = if (job.spec.kind == JobKind.SERVICE) assumedServiceRunS(snapshot) else job.runEstimateS
         // A job without a deadline gets one after twice its estimated run time from now.
-        val deadline = job.deadlineInS ?: (2.0 * job.estimateS)
-        val tardiness = maxOf(0.0, delayS + job.estimateS - deadline)
+        val deadline = job.deadlineInS ?: (2.0 * job.runEstimateS)
+        val tardiness = maxOf(0.0, delayS + job.runEstimateS - deadline)
         val rent = type.dominantShare(need) * price / HOUR_S * runS
         return rent +
             tardinessCostPerS(job, snapshot) * (tardiness + delayS * EARLY_START_WEIGHT) +
--- a/src/main/kotlin/oxbowlug/plan/Ranking.kt
+++ b/src/main/kotlin/oxbowlug/plan/Ranking.kt
@@ -21,7 +21,7 @@
         horizonS: Double,
         postponeFactor: Double,
     ): Double {
-        val runS = job.estimateS
+        val runS = job.runEstimateS
         // A job without a deadline gets one after twice its estimated run time from now.
         val deadline = job.deadlineInS ?: (2.0 * runS)
         return postponeFactor * job.weight * maxOf(0.0, horizonS + runS - deadline)
--- a/src/main/kotlin/oxbowlug/plan/Snapshot.kt
+++ b/src/main/kotlin/oxbowlug/plan/Snapshot.kt
@@ -27,7 +27,7 @@
     val tasksByZone: Map<Zone, Int>,
     val waitedS: Double,
     /** Estimated run time; 0 for services. */
-    val estimateS: Double,
+    val runEstimateS: Double,
     /** Seconds until the deadline; null if the job has none. */
     val deadlineInS: Double?,
     /** Tardiness weight of its class. */
--- a/src/main/kotlin/oxbowlug/port/CloudPort.kt
+++ b/src/main/kotlin/oxbowlug/port/CloudPort.kt
@@ -48,7 +48,7 @@
     )
 
     /**
-     * Ends the rental of [machines], at most [oxbowlug.wire.CloudCodec.MAX_RETURNED] a call. Idempotent. [done] gets
+     * Ends the rental of [machines], at most [oxbowlug.wire.CloudCodec.MAX_RELEASED] a call. Idempotent. [done] gets
      * true if the provider confirmed the release; after false it may have been executed, or may still be executed
      * later.
      */
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -100,8 +100,8 @@
         val result = HashMap<MachineId, Resources>()
         for (job in cluster.jobs.values) {
             for (attempt in job.attempts.values) {
-                val target = attempt.target ?: continue
-                if (attempt.stopReason != null) result.merge(target, job.need, Resources::plus)
+                val moveTarget = attempt.moveTarget ?: continue
+                if (attempt.stopReason != null) result.merge(moveTarget, job.need, Resources::plus)
             }
         }
         return result
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -146,7 +146,7 @@
             cluster.place(job, start.task, machine)
             placedJobs.add(job)
         }
-        for (job in placedJobs) job.nextRound()
+        for (job in placedJobs) job.advanceAttemptNumber()
         for (id in plan.stops) {
             val attempt = currentAttempt(id) ?: continue
             cluster.stop(attempt, StopReason.PREEMPTED, plan.targets[id])
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -12,7 +12,7 @@
 import oxbowlug.port.StatePort
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.ReadPage
-import oxbowlug.wire.StoreCodec
+import oxbowlug.wire.StateCodec
 import oxbowlug.wire.Transaction
 
 /**
@@ -29,7 +29,7 @@
     override fun commit(
         transaction: Transaction,
         done: (CommitOutcome) -> Unit,
-    ) = call(HttpMethod.POST, "/commit", StoreCodec.encode(transaction), timeoutMs, done) { result ->
+    ) = call(HttpMethod.POST, "/commit", StateCodec.encode(transaction), timeoutMs, done) { result ->
         when (result) {
             is CallResult.Answered -> commitOutcome(result)
             CallResult.NotSent -> CommitOutcome.Refused
@@ -40,9 +40,9 @@
     private fun commitOutcome(result: CallResult.Answered): CommitOutcome {
         val body = result.body
         return when (result.status) {
-            OK -> body?.let { CommitOutcome.Applied(StoreCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
-            CONFLICT -> CommitOutcome.Conflict(body?.let(StoreCodec::decodeFailed).orEmpty())
-            BAD_REQUEST -> if (StoreCodec.isLeaseOver(body)) CommitOutcome.LeaseExpired else CommitOutcome.Invalid
+            OK -> body?.let { CommitOutcome.Applied(StateCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
+            CONFLICT -> CommitOutcome.Conflict(body?.let(StateCodec::decodeFailedConditions).orEmpty())
+            BAD_REQUEST -> if (StateCodec.isLeaseExpired(body)) CommitOutcome.LeaseExpired else CommitOutcome.Invalid
             TOO_MANY_REQUESTS, UNAVAILABLE -> CommitOutcome.Refused
             else -> CommitOutcome.Unanswered
         }
@@ -55,7 +55,7 @@
     ) {
         val fromParameter = if (after == null) "" else "&from=$after"
         call(HttpMethod.GET, "/store?prefix=$prefix$fromParameter&limit=$PAGE_SIZE", null, timeoutMs, done) { result ->
-            result.bodyIfStatus(OK)?.let(StoreCodec::decodePage)
+            result.bodyIfStatus(OK)?.let(StateCodec::decodePage)
         }
     }
 
@@ -69,7 +69,7 @@
         call(HttpMethod.GET, path, null, timeoutMs + waitMs, done) { result ->
             val body = result.bodyIfStatus(OK)
             when {
-                body != null -> ChangesOutcome.Read(StoreCodec.decodeChanges(body))
+                body != null -> ChangesOutcome.Read(StateCodec.decodeChanges(body))
                 result is CallResult.Answered && result.status == GONE -> ChangesOutcome.Compacted
                 else -> ChangesOutcome.Failed
             }
@@ -80,7 +80,7 @@
         ttlMs: Long,
         done: (Long?) -> Unit,
     ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to ttlMs), timeoutMs, done) { result ->
-        result.bodyIfStatus(OK)?.let(StoreCodec::decodeLease)
+        result.bodyIfStatus(OK)?.let(StateCodec::decodeLease)
     }
 
     override fun keepLeaseAlive(
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -29,7 +29,7 @@
         done: (CommandOutcome) -> Unit,
     ) {
         scope.launch {
-            val body = WorkerCodec.encodeDirect(token, incarnation, commands)
+            val body = WorkerCodec.encodeDirectCommands(token, incarnation, commands)
             val outcome =
                 when (val result = http.call(endpoint, HttpMethod.POST, "/do", body, timeoutMs)) {
                     is CallResult.Answered -> toCommandOutcome(result)
--- a/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
@@ -44,7 +44,7 @@
             "/rentals" ->
                 if (exchange.request.method() == HttpMethod.POST) rent(exchange) else list(exchange, controller, port)
             "/rentals/return" -> {
-                cloud.returnMachines(exchange.body().fields().texts("herd", CloudCodec.MAX_RETURNED).map(::MachineId))
+                cloud.returnMachines(exchange.body().fields().texts("herd", CloudCodec.MAX_RELEASED).map(::MachineId))
                 Status.OK to emptyMap()
             }
             else -> Status.NOT_FOUND to emptyMap()
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -69,22 +69,22 @@
             FaultKind.CUT_ZONE -> network.cutZone(zones[fault.target % zones.size], fault.forMs)
             FaultKind.STATE_OUTAGE -> hold(fault) { store.down = it }
             FaultKind.CLOUD_OUTAGE -> hold(fault) { fleet.cloud.down = it }
-            FaultKind.HOLD_LEADER_WATCH -> holdIndex(stateFaults.heldWatches, leader(), fault)
+            FaultKind.DROP_LEADER_WATCH_ANSWERS -> holdIndex(stateFaults.heldWatches, leader(), fault)
             FaultKind.REFUSE_WRITES -> hold(fault) { stateFaults.refusedWrites = if (it) OFTEN else 0.0 }
             FaultKind.SLOW_WRITE_ANSWERS -> hold(fault) { stateFaults.slowAnswers = if (it) OFTEN else 0.0 }
             FaultKind.LOSE_WRITE_ANSWERS -> hold(fault) { stateFaults.lostAnswers = if (it) OFTEN else 0.0 }
             FaultKind.DELAY_WRITES -> hold(fault) { stateFaults.lateWrites = if (it) OFTEN else 0.0 }
-            FaultKind.FORGET_CHANGES -> store.discardChangeHistory()
+            FaultKind.DISCARD_CHANGE_HISTORY -> store.discardChangeHistory()
             FaultKind.LOSE_MESSAGES -> hold(fault) { network.lostToWorkers = if (it) SELDOM else 0.0 }
             FaultKind.DELAY_MESSAGES -> hold(fault) { network.lateToWorkers = if (it) SELDOM else 0.0 }
-            FaultKind.REPEAT_REPORTS -> hold(fault) { repeatedReports = if (it) SELDOM else 0.0 }
-            FaultKind.REPEAT_REPORTS_TO_NEXT_LEADER -> hold(fault) { keepsForNext = it }
-            FaultKind.HOLD_PEER_FRAMES ->
+            FaultKind.DUPLICATE_HEARTBEATS -> hold(fault) { repeatedReports = if (it) SELDOM else 0.0 }
+            FaultKind.REPLAY_OLD_HEARTBEATS -> hold(fault) { keepsForNext = it }
+            FaultKind.STALL_PEER_LINKS ->
                 network.cutLinks(fault.forMs) { from, to -> from is Endpoint.Controller && to is Endpoint.Controller }
-            FaultKind.DEAF_WORKERS -> some(fault).forEach { it.unresponsiveUntil = time.nowMs + fault.forMs }
-            FaultKind.MUTE_WORKERS -> some(fault).forEach { it.heartbeatsLostUntil = time.nowMs + fault.forMs }
+            FaultKind.UNRESPONSIVE_WORKERS -> some(fault).forEach { it.unresponsiveUntil = time.nowMs + fault.forMs }
+            FaultKind.LOSE_HEARTBEATS -> some(fault).forEach { it.heartbeatsLostUntil = time.nowMs + fault.forMs }
             FaultKind.HANG_WORKERS -> some(fault).forEach { it.hungUntil = time.nowMs + fault.forMs }
-            FaultKind.UNANSWERED_THEN_MUTE_WORKERS -> some(fault).forEach { LostAnswers(time, leaseMs).begin(it) }
+            FaultKind.LOSE_ANSWERS_THEN_HEARTBEATS -> some(fault).forEach { LostAnswers(time, leaseMs).begin(it) }
             FaultKind.CANCEL_RUNNING -> load.cancelRunning(1 + fault.target % MOST_JOBS)
             FaultKind.CANCEL_RUNNING_AND_HANG ->
                 load.cancelRunning(1 + fault.target % MOST_JOBS).forEach { it.hungUntil = time.nowMs + fault.forMs }
--- a/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
+++ b/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
@@ -57,7 +57,7 @@
 
     /** Calls off up to [count] jobs that run, and returns the machines that hold them. */
     fun cancelRunning(count: Int): Set<SimWorker> {
-        val calledOff = drawRunning(fleet.cloud.workers, count, time.random)
+        val calledOff = drawRunningJobs(fleet.cloud.workers, count, time.random)
         for (id in calledOff.keys) time.after(time.between(0, SPREAD_MS)) { users.cancel(JobId(id)) }
         return calledOff.values.flatten().toSet()
     }
--- a/src/scale/kotlin/oxbowlug/standin/InvariantChecker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/InvariantChecker.kt
@@ -93,7 +93,7 @@
                 if (spec.oneZone && other.zone != machine.zone) fail("wrong_place", "$attempt outside its job's zone")
             }
         }
-        if (tasksInZone > spec.zoneCap) fail("wrong_place", "$attempt is task $tasksInZone of $spec in ${machine.zone}")
+        if (tasksInZone > spec.maxTasksPerZone) fail("wrong_place", "$attempt is task $tasksInZone of $spec in ${machine.zone}")
         checkConstraints(machine, attempt, spec)
         if (!isStored(attempt)) fail("orphaned", "$attempt starts on ${machine.id}, and no stored record contains it")
         val cancelledAt = job.cancelledAt
--- a/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
@@ -140,7 +140,7 @@
     var answersLostUntil = 0L
 
     /** Seconds until the cloud takes this spot machine back; null: no notice. */
-    var noticeS: Double? = null
+    var interruptionNoticeS: Double? = null
     val isHung: Boolean get() = time.nowMs < hungUntil
 
     /** The last 20 heartbeats, for faults that deliver an old one again. */
@@ -274,7 +274,7 @@
     /** The worker's present state, with the next sequence number. */
     fun newHeartbeat(): WorkerHeartbeat = WorkerHeartbeat(
         machine = id, endpoint = endpoint, type = type.name, zone = zone, spot = spot, incarnation = incarnation,
-        sequence = ++sequence, token = token, noticeS = noticeS,
+        sequence = ++sequence, token = token, interruptionNoticeS = interruptionNoticeS,
         tasks = tasks.values.map { TaskStatus(it.attempt, it.state, it.cause, it.saved) },
     )
 
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -135,7 +135,7 @@
                 cluster.machine(MachineId("host-%06d".format(task))) ?: error("the machine was removed"),
             )
         }
-        job.nextRound()
+        job.advanceAttemptNumber()
     }
 
     private fun flush(times: Int = 1) =
@@ -159,18 +159,18 @@
         flush(2)
         val job = cluster.jobs.getValue(JobId("big"))
         assertEquals(200, stored("big").placements.size)
-        assertTrue(job.attempts.values.all { it.committed })
+        assertTrue(job.attempts.values.all { it.isCommitted })
         assertTrue(store.keys(Keys.PARTS).isNotEmpty())
         for (task in 0..198) {
             job.markDone(task, clock.steadyMs())
-            job.drop(task, clock.steadyMs())
+            job.removeAttempt(task, clock.steadyMs())
         }
         place("big", 200..239)
         flush(3)
         assertEquals(41, stored("big").placements.size)
         for (task in 199..239) {
             job.markDone(task, clock.steadyMs())
-            job.drop(task, clock.steadyMs())
+            job.removeAttempt(task, clock.steadyMs())
         }
         flush(3)
         assertEquals(Phase.DONE, stored("big").phase)
@@ -182,7 +182,7 @@
     fun `deferred writes of task ends leave tokens for placements and are made in the end`() {
         val arrays = List(12) { record("array-$it", 40, placed = 1) }
         lead(isFormatEnabled = true, *arrays.toTypedArray(), record("service", 2), rate = 8.0)
-        for (array in arrays) cluster.jobs.getValue(array.spec.id).drop(0, clock.steadyMs())
+        for (array in arrays) cluster.jobs.getValue(array.spec.id).removeAttempt(0, clock.steadyMs())
         time.after(timing.deferredWriteMs) {}
         time.runUntil(time.nowMs + timing.deferredWriteMs)
         writer.flush()
@@ -200,7 +200,7 @@
         place("big", 0..199)
         flush()
         val first = sent.last().changes.size
-        cluster.jobs.getValue(JobId("big")).drop(199, clock.steadyMs())
+        cluster.jobs.getValue(JobId("big")).removeAttempt(199, clock.steadyMs())
         flush(2)
         assertTrue(first == 3 && sent.last().changes.size == 2, "$first, then ${sent.last().changes.size}")
     }
@@ -254,11 +254,11 @@
         assertEquals(2, inFlight.size, "the second write is in flight")
         inFlight[0].answer(CommitOutcome.Applied(store.revision))
         val job = cluster.jobs.getValue(JobId("job"))
-        assertEquals(listOf(true, false), job.attempts.values.map { it.committed }, "attempts that may be started")
+        assertEquals(listOf(true, false), job.attempts.values.map { it.isCommitted }, "attempts that may be started")
         inFlight[1].answer(CommitOutcome.Refused)
         heldCommits = null
         flush(2)
         assertEquals(setOf(0, 1), stored("job").placements.keys, "the refused write is made again")
-        assertEquals(listOf(true, true), job.attempts.values.map { it.committed })
+        assertEquals(listOf(true, true), job.attempts.values.map { it.isCommitted })
     }
 }
--- a/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
@@ -51,7 +51,7 @@
         oneZone = false,
         spread = false,
         spot = false,
-        estimateS = 0.0,
+        runEstimateS = 0.0,
         checkpointS = 0.0,
         saveS = 0.0,
         deadlineS = null,
@@ -66,7 +66,7 @@
         IntArray(spec.tasks) { it },
         emptyMap(),
         1.0,
-        spec.estimateS,
+        spec.runEstimateS,
         deadlineInS,
         1.0,
         emptySet(),
@@ -200,8 +200,8 @@
 
     @Test
     fun `jobs are ranked by priority, then by the penalty of postponing them`() {
-        val late = job(spec("run-1", JobKind.ARRAY, Priority.NORMAL).copy(estimateS = 50.0), deadlineInS = 60.0)
-        val early = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL).copy(estimateS = 50.0), deadlineInS = 600.0)
+        val late = job(spec("run-1", JobKind.ARRAY, Priority.NORMAL).copy(runEstimateS = 50.0), deadlineInS = 60.0)
+        val early = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL).copy(runEstimateS = 50.0), deadlineInS = 600.0)
         val urgent = job(spec("run-3", priority = Priority.HIGH))
         val order = Ranking.order(listOf(early, late, urgent), 30.0, 100.0).map { it.id.value }
         assertEquals(listOf("run-3", "run-1", "run-2"), order)
@@ -388,7 +388,7 @@
     fun `a job that can use spot machines leaves scarce on-demand capacity to other jobs`() {
         // Guards against arrays filling the on-demand machines when the cloud refuses more of them: replicas had to
         // wait for preemptions although spot machines were available.
-        val array = spec("run-1", JobKind.ARRAY, Priority.NORMAL, tasks = 8).copy(spot = true, estimateS = 100.0)
+        val array = spec("run-1", JobKind.ARRAY, Priority.NORMAL, tasks = 8).copy(spot = true, runEstimateS = 100.0)
         val refused =
             listOf(zoneA, zoneB).associate {
                 MachineKind(g8.name, it, false) to
@@ -405,7 +405,7 @@
         assertEquals(emptyList<Start>(), spotPreferred.starts)
         val late = plan(snapshot(listOf(job(array, 100.0)), listOf(machine("m1")), refusals = refused))
         assertEquals(8, late.starts.size, "waiting for a boot would make it late")
-        val short = job(array.copy(estimateS = 20.0), 300.0)
+        val short = job(array.copy(runEstimateS = 20.0), 300.0)
         val brief = plan(snapshot(listOf(short), listOf(machine("m1")), refusals = refused))
         assertEquals(8, brief.starts.size, "the tasks end before a spot machine is up")
         val notRefused = plan(snapshot(listOf(job(array, 300.0)), listOf(machine("m1"))))
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -16,7 +16,7 @@
 import oxbowlug.port.WorkerPort
 import oxbowlug.request.UserResponse
 import oxbowlug.standin.VirtualTime
-import oxbowlug.wire.AnswerCodec
+import oxbowlug.wire.ResponseCodec
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.FencingToken
@@ -25,7 +25,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.RentalRequest
-import oxbowlug.wire.StoreCodec
+import oxbowlug.wire.StateCodec
 import oxbowlug.wire.Transaction
 import oxbowlug.wire.WorkerCodec
 import oxbowlug.wire.WorkerCommand
@@ -75,8 +75,8 @@
     ) {
         val (status, body) =
             when (answer) {
-                is HeartbeatResponse.Renewed -> 200 to WorkerCodec.encodeAnswer(answer.token, answer.commands)
-                is HeartbeatResponse.Redirect -> 421 to AnswerCodec.redirect(answer.label)
+                is HeartbeatResponse.Renewed -> 200 to WorkerCodec.encodeResponse(answer.token, answer.commands)
+                is HeartbeatResponse.Redirect -> 421 to ResponseCodec.redirect(answer.label)
                 HeartbeatResponse.Unavailable -> 503 to emptyMap()
             }
         note(atMs, sender, "report ${report.machine.value} $status", Cbor.encode(body))
@@ -89,12 +89,12 @@
         val (status, body) =
             when (answer) {
                 null -> 0 to emptyMap()
-                is UserResponse.Accepted -> 201 to AnswerCodec.accepted(answer.status)
-                is UserResponse.Known -> 200 to AnswerCodec.polled(answer.status)
-                is UserResponse.Malformed -> 400 to AnswerCodec.problem(answer.problem)
-                is UserResponse.Rejected -> 422 to AnswerCodec.problem(answer.problem)
+                is UserResponse.Accepted -> 201 to ResponseCodec.accepted(answer.status)
+                is UserResponse.Known -> 200 to ResponseCodec.polled(answer.status)
+                is UserResponse.Malformed -> 400 to ResponseCodec.problem(answer.problem)
+                is UserResponse.Rejected -> 422 to ResponseCodec.problem(answer.problem)
                 UserResponse.NotFound -> 404 to emptyMap()
-                is UserResponse.Unavailable -> 503 to AnswerCodec.problem(answer.reason)
+                is UserResponse.Unavailable -> 503 to ResponseCodec.problem(answer.reason)
                 is UserResponse.Overloaded -> 429 to emptyMap()
             }
         note(atMs, "user", "$status", Cbor.encode(body))
@@ -127,7 +127,7 @@
         transaction: Transaction,
         done: (CommitOutcome) -> Unit,
     ) {
-        note("commit", Cbor.encode(StoreCodec.encode(transaction)))
+        note("commit", Cbor.encode(StateCodec.encode(transaction)))
         state.commit(transaction, done)
     }
 
@@ -188,7 +188,7 @@
         machines: List<MachineId>,
         done: (Boolean) -> Unit,
     ) {
-        note("return", Cbor.encode(CloudCodec.encodeReturn(machines)))
+        note("return", Cbor.encode(CloudCodec.encodeRelease(machines)))
         cloud.releaseMachines(machines, done)
     }
 
@@ -212,7 +212,7 @@
         commands: List<WorkerCommand>,
         done: (CommandOutcome) -> Unit,
     ) {
-        note("command $endpoint", Cbor.encode(WorkerCodec.encodeDirect(token, incarnation, commands)))
+        note("command $endpoint", Cbor.encode(WorkerCodec.encodeDirectCommands(token, incarnation, commands)))
         workers.command(endpoint, token, incarnation, commands, done)
     }
 
--- a/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
@@ -123,7 +123,7 @@
                 oneZone = false,
                 spread = false,
                 spot = false,
-                estimateS = 0.0,
+                runEstimateS = 0.0,
                 checkpointS = 0.0,
                 saveS = 0.0,
                 deadlineS = null,
--- a/src/test/kotlin/oxbowlug/sim/Serving.kt
+++ b/src/test/kotlin/oxbowlug/sim/Serving.kt
@@ -71,7 +71,7 @@
         if (spec.zone != null && spec.zone != host.zone) return false
         if (spec.types?.contains(host.type.name) == false) return false
         if (spec.oneZone && others.any { it.zone != host.zone }) return false
-        if (others.count { it.zone == host.zone } >= spec.zoneCap) return false
+        if (others.count { it.zone == host.zone } >= spec.maxTasksPerZone) return false
         return host.hasCapacityFor(spec)
     }
 
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -188,7 +188,7 @@
             cloudAddress = Address("127.0.0.1", 8443),
             stateAddress = Address("127.0.0.1", 2379),
             zones = zones,
-            skewMs = 100.0,
+            maxClockSkewMs = 100.0,
             teams =
                 shape.teamLimits
                     .map { (name, limit) ->
@@ -270,7 +270,7 @@
             spread = false,
             oneZone = false,
             spot = true,
-            estimateS = 4.0,
+            runEstimateS = 4.0,
             deadlineS = null,
             dependsOn = needs.map { it.id },
         )
@@ -434,7 +434,7 @@
             oneZone = false,
             spread = false,
             spot = !isService,
-            estimateS = if (isService) 0.0 else 8.0,
+            runEstimateS = if (isService) 0.0 else 8.0,
             checkpointS = if (isService) 0.0 else 3.0,
             saveS = if (isService) 0.0 else 1.0,
             deadlineS = if (isService) null else 60.0,
--- a/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
@@ -46,7 +46,7 @@
                 oneZone = false,
                 spread = true,
                 spot = false,
-                estimateS = TASK_MS / 1000.0,
+                runEstimateS = TASK_MS / 1000.0,
                 checkpointS = 0.0,
             ),
             TASK_MS,
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -75,13 +75,13 @@
             mapOf(
                 "head" to form.head,
                 "format" to DataFormat.encode(DataFormat.NEWEST),
-                "transaction" to StoreCodec.encode(transaction),
-                "report answer" to WorkerCodec.encodeAnswer(FencingToken(9), commands),
-                "direct command" to WorkerCodec.encodeDirect(FencingToken(9), 4, commands),
-                "redirect" to AnswerCodec.redirect("n1"),
-                "accepted" to AnswerCodec.accepted(view),
-                "polled" to AnswerCodec.polled(view),
-                "problem" to AnswerCodec.problem("a field is missing"),
+                "transaction" to StateCodec.encode(transaction),
+                "report answer" to WorkerCodec.encodeResponse(FencingToken(9), commands),
+                "direct command" to WorkerCodec.encodeDirectCommands(FencingToken(9), 4, commands),
+                "redirect" to ResponseCodec.redirect("n1"),
+                "accepted" to ResponseCodec.accepted(view),
+                "polled" to ResponseCodec.polled(view),
+                "problem" to ResponseCodec.problem("a field is missing"),
                 "keys" to
                     mapOf(
                         "all" to Keys.ROOT,
