--- a/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
@@ -9,134 +9,152 @@
 import oxbowlug.wire.JobKind
 
 /**
- * The state service refuses the leader alone, other controllers confirm cancellations, and then it is down for all for
- * longer than a cancellation may take, while workers go on reporting to the old leader.
+ * The state service refuses only the leader's requests, another controller confirms cancellations, and then the state
+ * service is down for all controllers for longer than the cancellation deadline. Meanwhile workers keep sending
+ * heartbeats to the old leader, which didn't see the cancellations in the state service.
  */
 internal class CancellationInOutageTest {
     class Case(
         val name: String,
-        /** Whether all that isn't cancelled has to run on through the outage. */
-        val runsOn: Boolean = true,
-        val cancels: Boolean = true,
-        /** How long what was cancelled may still be there; null: as long as the protocol allows. */
-        val goneWithinMs: Long? = null,
+        /** Whether every service task that isn't cancelled has to keep running through the outage. */
+        val expectsNoLoss: Boolean = true,
+        val cancelsJobs: Boolean = true,
+        /** Cancelled tasks must have stopped this long after the cancellation; null for the protocol's deadline. */
+        val stoppedWithinMs: Long? = null,
         val outageMs: Long = 45_000,
-        val trouble: Gap.() -> Unit = {},
+        val setUp: ScenarioRun.() -> Unit = {},
     ) {
         override fun toString() = name
     }
 
-    class Gap(
+    class ScenarioRun(
         seed: Long,
     ) {
-        val day =
+        val simulation =
             Simulation(
                 seed,
-                shape = Shape(nodes = 5, machinesUp = 12, jobsAtStart = 40, serviceMs = LATER),
+                shape = Shape(nodes = 5, machinesUp = 12, jobsAtStart = 40, serviceMs = SERVICE_DURATION_MS),
             )
+
+        /** The leader at the start, which is then cut off from the state service. */
         lateinit var leader: SimNode
+
+        /** The controller that users ask to cancel jobs. */
         lateinit var confirmer: SimNode
 
-        /** Running services, those to be cancelled first. */
-        lateinit var running: List<String>
-        val cancelled: List<String> get() = running.take(CANCELLED)
+        /** Services that run at the start; the first ones of the list are cancelled. */
+        lateinit var serviceJobs: List<String>
+        val cancelledJobs: List<String> get() = serviceJobs.take(CANCELLED_JOBS)
 
+        /** Schedules [action] for [ms] after the leader is cut off. */
         fun at(
             ms: Long,
             action: () -> Unit,
-        ) = day.world.after(REFUSED_MS + ms - day.world.nowMs, action)
+        ) = simulation.world.after(LEADER_CUT_OFF_AT_MS + ms - simulation.world.nowMs, action)
 
-        fun running(): Set<AttemptId> =
-            day.cloud.workers
+        /** Running attempts of services. */
+        fun runningAttempts(): Set<AttemptId> =
+            simulation.cloud.workers
                 .flatMap { it.onMachine() }
-                .filter { day.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
+                .filter { simulation.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
                 .map { it.attempt }
                 .toSet()
 
-        fun hosts(job: String): List<SimWorker> =
-            day.cloud.workers.filter { worker ->
+        fun machinesOf(job: String): List<SimWorker> =
+            simulation.cloud.workers.filter { worker ->
                 worker.onMachine().any { it.attempt.task.job.value == job }
             }
 
-        private var told = 0
-        var endsAfterAnswers = Int.MAX_VALUE
+        private var answerCount = 0
 
-        /** So that no watch brings the last ones to the others. */
-        var outageAtOnce = false
+        /** Number of answers to cancellations after which [confirmer] crashes. */
+        var crashAfterAnswers = Int.MAX_VALUE
 
-        /** The confirmer's last deed is its answer to a user. */
-        private fun whenTold() {
-            if (++told != endsAfterAnswers) return
-            day.world.after(0) {
+        /** The outage begins with the crash, so that no watch delivers the last cancellations to the others. */
+        var outageAtCrash = false
+
+        /** Crashes [confirmer] right after it has sent the last of [crashAfterAnswers] answers. */
+        private fun onCancellationAnswered() {
+            if (++answerCount != crashAfterAnswers) return
+            simulation.world.after(0) {
                 confirmer.crash()
-                if (outageAtOnce) day.store.down = true
+                if (outageAtCrash) simulation.store.down = true
             }
         }
 
-        fun leaveAllTo(one: SimNode) {
-            for (node in day.nodes) {
-                node.withoutWorkers = node !== one
-                node.withoutCloud = node !== one
+        /** Cuts all controllers but [reachable] off from workers and cloud until the outage ends. */
+        fun leaveOnlyReachable(reachable: SimNode) {
+            for (node in simulation.nodes) {
+                node.withoutWorkers = node !== reachable
+                node.withoutCloud = node !== reachable
             }
             at(47_000) {
-                for (node in day.nodes) {
+                for (node in simulation.nodes) {
                     node.withoutWorkers = false
                     node.withoutCloud = false
                 }
             }
         }
 
-        fun refuse(forMs: Long) {
+        fun cutLeaderFromState(forMs: Long) {
             leader.withoutState = true
-            day.world.after(forMs) { leader.withoutState = false }
+            simulation.world.after(forMs) { leader.withoutState = false }
         }
 
-        fun play(case: Case) {
-            day.run(REFUSED_MS)
-            leader = day.leader
-            confirmer = day.nodes.first { it !== leader }
-            running = running().map { it.task.job.value }.distinct().sortedByDescending { hosts(it).size }
-            refuse(14_000)
-            case.trouble(this)
-            if (case.cancels) {
-                at(500) { cancelled.forEach { day.cancelAt(confirmer, it, ::whenTold) } }
+        fun execute(case: Case) {
+            simulation.run(LEADER_CUT_OFF_AT_MS)
+            leader = simulation.leader
+            confirmer = simulation.nodes.first { it !== leader }
+            serviceJobs =
+                runningAttempts().map { it.task.job.value }.distinct().sortedByDescending { machinesOf(it).size }
+            cutLeaderFromState(14_000)
+            case.setUp(this)
+            if (case.cancelsJobs) {
+                at(500) { cancelledJobs.forEach { simulation.cancelAt(confirmer, it, ::onCancellationAnswered) } }
             }
-            at(2_000) { day.store.down = true }
-            day.run(REFUSED_MS + 2_000)
-            val returned = day.cloud.returnedBusy
-            case.goneWithinMs?.let {
-                day.run(REFUSED_MS + 500 + it)
-                assertEquals(emptyList<SimWorker>(), cancelled.flatMap(::hosts), "${case.name}: still there")
-                assertEquals(returned, day.cloud.returnedBusy, "${case.name}: returned for it")
+            at(2_000) { simulation.store.down = true }
+            simulation.run(LEADER_CUT_OFF_AT_MS + 2_000)
+            val returnedBefore = simulation.cloud.returnedBusy
+            case.stoppedWithinMs?.let {
+                simulation.run(LEADER_CUT_OFF_AT_MS + 500 + it)
+                assertEquals(
+                    emptyList<SimWorker>(),
+                    cancelledJobs.flatMap(::machinesOf),
+                    "${case.name}: tasks of cancelled jobs still run",
+                )
+                assertEquals(returnedBefore, simulation.cloud.returnedBusy, "${case.name}: busy machines were returned")
             }
-            val before = running().filter { !case.cancels || it.task.job.value !in cancelled }.toSet()
-            day.run(REFUSED_MS + 2_000 + case.outageMs)
-            val lost = before - running()
-            day.store.down = false
-            day.run(300_000)
-            assertEquals(emptyList<String>(), day.rules.broken.take(5), case.name)
-            if (case.cancels) {
-                val confirmed =
-                    cancelled.count {
-                        day.rules.jobs
+            val runningBefore =
+                runningAttempts()
+                    .filter { !case.cancelsJobs || it.task.job.value !in cancelledJobs }
+                    .toSet()
+            simulation.run(LEADER_CUT_OFF_AT_MS + 2_000 + case.outageMs)
+            val endedTasks = runningBefore - runningAttempts()
+            simulation.store.down = false
+            simulation.run(300_000)
+            assertEquals(emptyList<String>(), simulation.rules.broken.take(5), case.name)
+            if (case.cancelsJobs) {
+                val confirmedCount =
+                    cancelledJobs.count {
+                        simulation.rules.jobs
                             .getValue(it)
                             .cancelledAt != null
                     }
-                assertEquals(CANCELLED, confirmed, "${case.name}: cancellations confirmed")
+                assertEquals(CANCELLED_JOBS, confirmedCount, "${case.name}: cancellations confirmed")
             }
-            assertTrue(before.isNotEmpty(), "${case.name}: nothing ran")
-            if (case.runsOn) assertEquals(emptySet<AttemptId>(), lost, "${case.name}: ended in the outage")
-            assertEquals(emptyList<String>(), day.rules.unfinished(), "${case.name}: not served")
+            assertTrue(runningBefore.isNotEmpty(), "${case.name}: nothing ran")
+            if (case.expectsNoLoss) assertEquals(emptySet<AttemptId>(), endedTasks, "${case.name}: ended in the outage")
+            assertEquals(emptyList<String>(), simulation.rules.unfinished(), "${case.name}: not served")
         }
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    fun `a confirmed cancellation ends in time, and everything else runs on`(case: Case) {
+    fun `a confirmed cancellation stops its tasks in time, and all other tasks keep running`(case: Case) {
         for (seed in Seeds.all) {
-            val gap = Gap(seed)
+            val scenarioRun = ScenarioRun(seed)
             try {
-                gap.play(case)
+                scenarioRun.execute(case)
             } catch (e: AssertionError) {
                 throw AssertionError("seed $seed: ${e.message}", e)
             }
@@ -144,98 +162,123 @@
     }
 
     companion object {
-        private val LATER = 150_000L..160_000L
-        private const val REFUSED_MS = 40_000L
-        private const val CANCELLED = 4
+        private val SERVICE_DURATION_MS = 150_000L..160_000L
+
+        /** Virtual time at which the leader is cut off from the state service. */
+        private const val LEADER_CUT_OFF_AT_MS = 40_000L
+        private const val CANCELLED_JOBS = 4
 
         @JvmStatic
         fun cases(): List<Case> =
             listOf(
-                Case("the gap", goneWithinMs = 2_900),
-                Case("a plain outage, nothing cancelled", cancels = false) { leader.withoutState = false },
-                Case("the confirmer ends right after confirming, and stays away", runsOn = false) {
-                    endsAfterAnswers = CANCELLED
-                },
-                Case("the confirmer ends right after confirming, as the outage begins, and is back") {
-                    endsAfterAnswers = CANCELLED
-                    outageAtOnce = true
+                Case("the outage follows confirmed cancellations", stoppedWithinMs = 2_900),
+                Case("an outage without cancellations", cancelsJobs = false) { leader.withoutState = false },
+                Case("the confirming controller crashes after its answers and stays down", expectsNoLoss = false) {
+                    crashAfterAnswers = CANCELLED_JOBS
+                },
+                Case("the confirming controller crashes after its answers as the outage begins, and restarts") {
+                    crashAfterAnswers = CANCELLED_JOBS
+                    outageAtCrash = true
                     at(6_000) { confirmer.start() }
                 },
-                Case("the confirmer is restarted") {
-                    endsAfterAnswers = CANCELLED
+                Case("the confirming controller crashes after its answers and restarts before the outage") {
+                    crashAfterAnswers = CANCELLED_JOBS
                     at(820) { confirmer.start() }
                 },
-                Case("the confirmer is cut from all others, and ends", runsOn = false) {
+                Case("the confirming controller is cut off from its peers and crashes", expectsNoLoss = false) {
                     confirmer.withoutPeers = true
                     at(520) { confirmer.crash() }
                     at(6_000) { confirmer.start() }
                     at(60_000) { confirmer.withoutPeers = false }
                 },
-                Case("the confirmer is cut from all others, and lives", runsOn = false) {
+                Case("the confirming controller is cut off from its peers and stays up", expectsNoLoss = false) {
                     confirmer.withoutPeers = true
                     at(60_000) { confirmer.withoutPeers = false }
                 },
-                Case("a zone is cut off, nothing cancelled", cancels = false) {
+                Case("the leader's zone is cut off, without cancellations", cancelsJobs = false) {
                     leader.withoutState = false
-                    at(2_500) { day.weather.cutZones.add(leader.zone) }
-                    at(47_000) { day.weather.cutZones.clear() }
+                    at(2_500) { simulation.weather.cutZones.add(leader.zone) }
+                    at(47_000) { simulation.weather.cutZones.clear() }
                 },
-                Case("the leader's zone is cut off, and jobs there are cancelled from the other", runsOn = false) {
+                Case(
+                    "the leader's zone is cut off, and its jobs are cancelled through the other zone",
+                    expectsNoLoss = false,
+                ) {
                     leader.withoutState = false
-                    confirmer = day.nodes.first { it.zone != leader.zone }
-                    running = running.filter { job -> hosts(job).any { it.zone == leader.zone } }
-                    day.weather.cutZones.add(leader.zone)
-                    at(50_000) { day.weather.cutZones.clear() }
+                    confirmer = simulation.nodes.first { it.zone != leader.zone }
+                    serviceJobs = serviceJobs.filter { job -> machinesOf(job).any { it.zone == leader.zone } }
+                    simulation.weather.cutZones.add(leader.zone)
+                    at(50_000) { simulation.weather.cutZones.clear() }
                 },
-                Case("the old leader ends, and a deputy renews", runsOn = false) { at(1_500) { leader.crash() } },
-                Case("the old leader is also cut from its peers", runsOn = false) {
+                Case("the old leader crashes, and a delegate renews leases", expectsNoLoss = false) {
+                    at(1_500) { leader.crash() }
+                },
+                Case("the old leader is also cut off from its peers", expectsNoLoss = false) {
                     leader.withoutPeers = true
                     at(60_000) { leader.withoutPeers = false }
                 },
-                Case("machines that hold cancelled work hang and go on later", runsOn = false) {
-                    at(400) { hosts(cancelled.first()).forEach { it.hungUntil = day.world.nowMs + 8_000 } }
-                    at(450) { hosts(cancelled.last()).forEach { it.hungUntil = day.world.nowMs + 33_000 } }
+                Case("machines with cancelled tasks hang and resume later", expectsNoLoss = false) {
+                    at(400) {
+                        machinesOf(cancelledJobs.first()).forEach { it.hungUntil = simulation.world.nowMs + 8_000 }
+                    }
+                    at(450) {
+                        machinesOf(cancelledJobs.last()).forEach { it.hungUntil = simulation.world.nowMs + 33_000 }
+                    }
                 },
-                Case("machines that hold cancelled work hear nothing", runsOn = false) {
-                    at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 60_000 } }
+                Case("no response or command reaches machines with cancelled tasks", expectsNoLoss = false) {
+                    at(400) {
+                        machinesOf(cancelledJobs.first()).forEach {
+                            it.unresponsiveUntil =
+                                simulation.world.nowMs + 60_000
+                        }
+                    }
                 },
-                Case("only the old leader reaches workers, and learns of it when it no longer leads") {
-                    leaveAllTo(leader)
+                Case("only the old leader reaches workers, and is cut off from its peers until its term has ended") {
+                    leaveOnlyReachable(leader)
                     leader.withoutPeers = true
                     at(6_000) { leader.withoutPeers = false }
                 },
                 Case(
-                    "only the old leader reaches the cloud, and machines of cancelled work hear nothing",
-                    runsOn = false,
+                    "only the old leader reaches workers and cloud, but not machines with cancelled tasks",
+                    expectsNoLoss = false,
                 ) {
-                    leaveAllTo(leader)
+                    leaveOnlyReachable(leader)
                     leader.withoutPeers = true
                     at(6_000) { leader.withoutPeers = false }
-                    at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 7_000 } }
-                    // Each time within the lease, and not awake for long enough to take an order.
+                    at(400) {
+                        machinesOf(cancelledJobs.first()).forEach {
+                            it.unresponsiveUntil =
+                                simulation.world.nowMs + 7_000
+                        }
+                    }
+                    // Each hang is shorter than the lease, and the time between two of them is too short to execute a
+                    // command.
                     for (ms in 7_500L..44_000L step 8_000) {
-                        at(ms) { hosts(cancelled.first()).forEach { it.hungUntil = day.world.nowMs + 7_950 } }
+                        at(ms) {
+                            machinesOf(cancelledJobs.first()).forEach { it.hungUntil = simulation.world.nowMs + 7_950 }
+                        }
                     }
                 },
-                Case("machines that hold cancelled work hang again and again", runsOn = false) {
-                    // Each time within the lease, and never awake for long enough to take an order.
-                    val hosts = hosts(cancelled.first())
+                Case("machines with cancelled tasks hang repeatedly", expectsNoLoss = false) {
+                    // Each hang is shorter than the lease, and the time between any two is too short to execute a
+                    // command.
+                    val machines = machinesOf(cancelledJobs.first())
                     for (ms in 400L..44_000L step 8_000) {
-                        at(
-                            ms,
-                        ) { hosts.forEach { it.hungUntil = day.world.nowMs + 7_950 } }
+                        at(ms) { machines.forEach { it.hungUntil = simulation.world.nowMs + 7_950 } }
                     }
                 },
-                Case("the refusal repeats before the first is settled") {
-                    at(48_000) { refuse(14_000) }
-                    at(49_000) { running.drop(CANCELLED).take(2).forEach { day.cancelAt(confirmer, it) } }
-                    at(49_500) { day.store.down = true }
-                    at(49_500 + 45_000) { day.store.down = false }
+                Case("the leader is cut off again before the first cancellations are complete") {
+                    at(48_000) { cutLeaderFromState(14_000) }
+                    at(49_000) {
+                        serviceJobs.drop(CANCELLED_JOBS).take(2).forEach { simulation.cancelAt(confirmer, it) }
+                    }
+                    at(49_500) { simulation.store.down = true }
+                    at(49_500 + 45_000) { simulation.store.down = false }
                 },
-                Case("jobs cancelled as their starts are sent") {
-                    at(-300) { repeat(6) { day.submit(day.randomSpec("late-00000$it").copy(tasks = 2)) } }
+                Case("jobs are cancelled while their start commands are sent") {
+                    at(-300) { repeat(6) { simulation.submit(simulation.randomSpec("late-00000$it").copy(tasks = 2)) } }
                     for (ms in 100L..1_500L step 100) {
-                        at(ms) { repeat(6) { day.cancelAt(confirmer, "late-00000$it") } }
+                        at(ms) { repeat(6) { simulation.cancelAt(confirmer, "late-00000$it") } }
                     }
                 },
             ).filter(Seeds::takes)
--- a/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
@@ -6,56 +6,59 @@
 import org.junit.jupiter.params.provider.MethodSource
 import oxbowlug.config.WriteLimits
 
-/** What a large deployment brings, made small: answers that take long, refused writes, a short history of changes. */
+/** Faults of large deployments on a small fleet: slow answers, refused writes and a short change history. */
 internal class LargeFleetFaultsTest {
     class Case(
         val name: String,
         val keptChanges: Int = 10_000,
-        val play: Simulation.() -> Unit,
+        val setUp: Simulation.() -> Unit,
     ) {
         override fun toString() = name
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    fun `no rule is broken, and all is served in the end`(case: Case) {
-        for (seed in Seeds.all) play(case, seed)
+    fun `no rule is broken, and all jobs are served in the end`(case: Case) {
+        for (seed in Seeds.all) runCase(case, seed)
     }
 
-    /** Found with seed 5: the answer to a job's first write was taken for that to its second. */
+    /**
+     * Guards against a fault found with seed 5: the controller took the answer to a job's first write for the answer to
+     * its second write.
+     */
     @Test
-    fun `what starts is stored, however slow answers are and whatever is refused`() {
-        for (seed in SLOW_ANSWER_SEEDS) play(cases().first { it.name == SLOW_ANSWERS }, seed)
+    fun `every started task is stored when answers are slow and writes are refused`() {
+        for (seed in SLOW_ANSWER_SEEDS) runCase(cases().first { it.name == SLOW_ANSWERS_CASE }, seed)
     }
 
-    private fun play(
+    private fun runCase(
         case: Case,
         seed: Long,
     ) {
-        val day = Simulation(seed, shape = shapeOf(case))
-        day.users(everyMs = 2_500, untilMs = 90_000)
-        day.pipelines(everyMs = 5_000, untilMs = 90_000)
-        case.play(day)
-        day.run(280_000)
-        assertEquals(emptyList<String>(), day.rules.broken.take(5), "$case, seed $seed")
-        assertEquals(emptyList<String>(), day.serving.broken.take(5), "$case, seed $seed")
-        assertEquals(emptyList<String>(), day.rules.unfinished(), "$case, seed $seed: not served")
+        val simulation = Simulation(seed, shape = parametersOf(case))
+        simulation.users(everyMs = 2_500, untilMs = 90_000)
+        simulation.pipelines(everyMs = 5_000, untilMs = 90_000)
+        case.setUp(simulation)
+        simulation.run(280_000)
+        assertEquals(emptyList<String>(), simulation.rules.broken.take(5), "$case, seed $seed")
+        assertEquals(emptyList<String>(), simulation.serving.broken.take(5), "$case, seed $seed")
+        assertEquals(emptyList<String>(), simulation.rules.unfinished(), "$case, seed $seed: not served")
     }
 
-    private fun shapeOf(case: Case) =
-        Shape(nodes = 5, machinesUp = 8, nextLimits = NEXT, keptChanges = case.keptChanges)
+    private fun parametersOf(case: Case) =
+        Shape(nodes = 5, machinesUp = 8, nextLimits = NEXT_LIMITS, keptChanges = case.keptChanges)
 
     companion object {
-        private const val SLOW_ANSWERS = "answers are slow and writes are refused"
+        private const val SLOW_ANSWERS_CASE = "answers are slow and writes are refused"
         private val SLOW_ANSWER_SEEDS = 4L..6L
-        private val NEXT = WriteLimits(writeRps = 30.0, valueKb = 0.58, txnOps = 4)
+        private val NEXT_LIMITS = WriteLimits(writeRps = 30.0, valueKb = 0.58, txnOps = 4)
 
         private fun Simulation.at(
             ms: Long,
             action: Simulation.() -> Unit,
         ) = world.after(ms) { action() }
 
-        private fun Simulation.spell(
+        private fun Simulation.during(
             atMs: Long,
             forMs: Long,
             begin: () -> Unit,
@@ -65,7 +68,7 @@
             at(atMs + forMs) { end() }
         }
 
-        private fun Simulation.leaderEnds(atMs: Long) =
+        private fun Simulation.crashLeader(atMs: Long) =
             at(atMs) {
                 val node = leader
                 if (node.isUp) {
@@ -74,8 +77,8 @@
                 }
             }
 
-        private fun Simulation.slowState() =
-            spell(
+        private fun Simulation.slowStateService() =
+            during(
                 15_000,
                 80_000,
                 {
@@ -88,7 +91,7 @@
                 },
             )
 
-        private fun Simulation.running(): List<String> =
+        private fun Simulation.runningJobs(): List<String> =
             cloud.workers
                 .flatMap { it.onMachine() }
                 .map { it.attempt.task.job.value }
@@ -97,22 +100,25 @@
         private fun Simulation.cancelRunning(
             atMs: Long,
             count: Int,
-        ) = at(atMs) { running().shuffled(world.random).take(count).forEach(::cancel) }
+        ) = at(atMs) { runningJobs().shuffled(world.random).take(count).forEach(::cancel) }
 
-        private fun Simulation.hangs(
+        private fun Simulation.hangMachine(
             atMs: Long,
             forMs: Long,
         ) = at(atMs) { randomWorker()?.let { it.hungUntil = world.nowMs + forMs } }
 
-        /** One controller after the other, or the leader, is refused for long enough that changes are forgotten. */
-        private fun Simulation.refusals(
+        /**
+         * Cuts the leader, or each controller in turn, off from the state service for 6 s. Meanwhile the state service
+         * drops changes from its history that this controller hasn't read.
+         */
+        private fun Simulation.cutFromState(
             fromMs: Long,
-            leaders: Boolean,
+            onlyLeader: Boolean,
         ) {
-            for ((turn, ms) in (fromMs..90_000L step 12_000).withIndex()) {
+            for ((index, ms) in (fromMs..90_000L step 12_000).withIndex()) {
                 at(ms) {
-                    val node = if (leaders) leader else nodes[turn % nodes.size]
-                    spell(0, 6_000, { node.withoutState = true }, { node.withoutState = false })
+                    val node = if (onlyLeader) leader else nodes[index % nodes.size]
+                    during(0, 6_000, { node.withoutState = true }, { node.withoutState = false })
                 }
             }
         }
@@ -120,41 +126,41 @@
         @JvmStatic
         fun cases(): List<Case> =
             listOf(
-                Case(SLOW_ANSWERS) { slowState() },
-                Case("answers are slow, and leaders end") {
-                    slowState()
-                    for (ms in 25_000L..90_000L step 9_000) leaderEnds(ms)
+                Case(SLOW_ANSWERS_CASE) { slowStateService() },
+                Case("answers are slow, and leaders crash") {
+                    slowStateService()
+                    for (ms in 25_000L..90_000L step 9_000) crashLeader(ms)
                 },
-                Case("answers are slow, leaders end, machines hang and jobs are cancelled") {
-                    slowState()
+                Case("answers are slow, leaders crash, machines hang and jobs are cancelled") {
+                    slowStateService()
                     cancelsAtEnd = 0.1
-                    for (ms in 25_000L..90_000L step 9_000) leaderEnds(ms)
+                    for (ms in 25_000L..90_000L step 9_000) crashLeader(ms)
                     for (ms in 22_000L..90_000L step 3_000) {
-                        hangs(ms, world.between(2_000, 20_000))
+                        hangMachine(ms, world.between(2_000, 20_000))
                         cancelRunning(ms + 500, count = 1)
                     }
                 },
-                Case("changes are forgotten, and controllers read everything again", keptChanges = 10) {
+                Case("the change history is too short, and controllers resync in full", keptChanges = 10) {
                     weather.slowPages = 20L..200L
-                    refusals(18_000, leaders = false)
-                    for (ms in 30_000L..80_000L step 16_000) leaderEnds(ms)
+                    cutFromState(18_000, onlyLeader = false)
+                    for (ms in 30_000L..80_000L step 16_000) crashLeader(ms)
                     for (ms in 22_000L..90_000L step 5_000) cancelRunning(ms, count = 1)
                 },
-                Case("the leader reads everything again, again and again, while answers are slow", keptChanges = 10) {
-                    slowState()
+                Case("the leader resyncs in full repeatedly while answers are slow", keptChanges = 10) {
+                    slowStateService()
                     weather.slowPages = 50L..400L
                     closeLooks = 0.1
-                    refusals(20_000, leaders = true)
+                    cutFromState(20_000, onlyLeader = true)
                     for (ms in 22_000L..90_000L step 5_000) cancelRunning(ms, count = 1)
                 },
-                Case("the leader reads everything again, ends, and an outage begins as many jobs are cancelled", 10) {
+                Case("the leader resyncs and crashes, and an outage begins as many jobs are cancelled", 10) {
                     weather.slowPages = 20L..200L
-                    refusals(20_000, leaders = true)
+                    cutFromState(20_000, onlyLeader = true)
                     for (ms in listOf(30_000L, 62_000L)) {
-                        repeat(3) { hangs(ms - 100, forMs = 25_000) }
+                        repeat(3) { hangMachine(ms - 100, forMs = 25_000) }
                         cancelRunning(ms, count = 8)
-                        leaderEnds(ms + 400)
-                        spell(ms + 500, 22_000, { store.down = true }, { store.down = false })
+                        crashLeader(ms + 400)
+                        during(ms + 500, 22_000, { store.down = true }, { store.down = false })
                     }
                 },
             ).filter(Seeds::takes)
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -7,58 +7,58 @@
 import oxbowlug.config.WriteLimits
 import oxbowlug.record.Keys
 
-/** Pipelines of dependent jobs, rolling upgrades and falling limits of the state service, with troubles beside them. */
+/** Pipelines of dependent jobs during rolling upgrades, lowered write limits of the state service and other faults. */
 internal class PipelinesTest {
     class Case(
         val name: String,
-        /** Controllers run the version before until they are restarted. */
-        val startsOld: Boolean = false,
-        /** The limits fall so early that a transaction on its way may be larger. */
-        val fallsUnprepared: Boolean = false,
-        val play: Simulation.() -> Unit,
+        /** Controllers run the previous version until they are restarted. */
+        val startsOnOldVersion: Boolean = false,
+        /** The limits are lowered so early that a transaction in flight may exceed them. */
+        val lowersLimitsEarly: Boolean = false,
+        val setUp: Simulation.() -> Unit,
     ) {
         override fun toString() = name
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    fun `stages start in order, a cancellation ends what comes after it, and all else is served`(case: Case) {
+    fun `stages start in order, a cancellation ends dependent stages, and all other jobs are served`(case: Case) {
         for (seed in Seeds.all) {
-            val day = Simulation(seed, shape = Shape(nodes = 5, machinesUp = 8, nextLimits = NEXT))
-            if (case.startsOld) day.nodes.forEach { it.isOld = true }
-            day.users(everyMs = 4_000, untilMs = 90_000)
-            day.pipelines(everyMs = 5_000, untilMs = 90_000)
-            case.play(day)
-            // On so many machines that its record has to be divided, whatever else the day brings.
-            day.at(92_000) { submit(stage("wide").copy(tasks = 24, cores = 16.0)) }
-            day.run(280_000)
-            val what = "${case.name}, seed $seed"
-            assertEquals(emptyList<String>(), day.rules.broken.take(5), what)
-            assertEquals(emptyList<String>(), day.serving.broken.take(5), what)
-            assertEquals(emptyList<String>(), day.rules.unfinished(), "$what: not served")
-            assertTrue(day.store.entry(Keys.FORMAT_MARKER) != null, "$what: the format isn't switched on")
-            if (!case.fallsUnprepared) assertEquals(0, day.store.refusedForSize, "$what: refused for their size")
-            assertTrue(day.store.partsWritten > 0, "$what: no record was divided")
+            val simulation = Simulation(seed, shape = Shape(nodes = 5, machinesUp = 8, nextLimits = NEXT_LIMITS))
+            if (case.startsOnOldVersion) simulation.nodes.forEach { it.isOld = true }
+            simulation.users(everyMs = 4_000, untilMs = 90_000)
+            simulation.pipelines(everyMs = 5_000, untilMs = 90_000)
+            case.setUp(simulation)
+            // This job runs on so many machines that its record is split in every scenario.
+            simulation.at(92_000) { submit(stage("wide").copy(tasks = 24, cores = 16.0)) }
+            simulation.run(280_000)
+            val context = "${case.name}, seed $seed"
+            assertEquals(emptyList<String>(), simulation.rules.broken.take(5), context)
+            assertEquals(emptyList<String>(), simulation.serving.broken.take(5), context)
+            assertEquals(emptyList<String>(), simulation.rules.unfinished(), "$context: not served")
+            assertTrue(simulation.store.entry(Keys.FORMAT_MARKER) != null, "$context: the format isn't enabled")
+            if (!case.lowersLimitsEarly) assertEquals(0, simulation.store.refusedForSize, "$context: oversized writes")
+            assertTrue(simulation.store.partsWritten > 0, "$context: no record was split")
             val stages =
-                day.rules.jobs
+                simulation.rules.jobs
                     .filterKeys { it.startsWith("pipe-") }
                     .values
-            assertTrue(stages.count { it.started.isNotEmpty() } > 20, "$what: few stages started")
+            assertTrue(stages.count { it.started.isNotEmpty() } > 20, "$context: few stages started")
         }
     }
 
     companion object {
-        /** Smaller than the record of a stage on several machines. */
-        private val NEXT = WriteLimits(writeRps = 30.0, valueKb = 0.58, txnOps = 4)
+        /** The value size is less than that of a record of a stage on several machines. */
+        private val NEXT_LIMITS = WriteLimits(writeRps = 30.0, valueKb = 0.58, txnOps = 4)
 
         private fun Simulation.at(
             ms: Long,
             action: Simulation.() -> Unit,
         ) = world.after(ms) { action() }
 
-        private fun Simulation.limitsFall(atMs: Long) = at(atMs) { store.limits = NEXT }
+        private fun Simulation.lowerLimits(atMs: Long) = at(atMs) { store.limits = NEXT_LIMITS }
 
-        private fun Simulation.end(
+        private fun Simulation.restart(
             node: SimNode,
             forMs: Long,
             isOld: Boolean = false,
@@ -71,40 +71,45 @@
             }
         }
 
-        private fun Simulation.leaderEnds(
+        private fun Simulation.crashLeader(
             atMs: Long,
             forMs: Long = 3_000,
-        ) = at(atMs) { end(leader, forMs) }
+        ) = at(atMs) { restart(leader, forMs) }
 
-        /** In the order of [indexes], so many at a time. */
+        /** Restarts controllers on the new version in the order of [indexes], [batchSize] at a time. */
         private fun Simulation.upgrade(
             fromMs: Long,
             everyMs: Long,
             indexes: List<Int>,
-            atOnce: Int = 1,
+            batchSize: Int = 1,
         ) {
-            for ((turn, group) in indexes.chunked(atOnce).withIndex()) {
-                at(fromMs + turn * everyMs) { for (index in group) end(nodes[index], forMs = 3_000) }
+            for ((batchIndex, group) in indexes.chunked(batchSize).withIndex()) {
+                at(fromMs + batchIndex * everyMs) { for (index in group) restart(nodes[index], forMs = 3_000) }
             }
         }
 
-        /** The leader of the moment is taken first each time, or is left for last. */
+        /** Restarts the controllers on the new version, each time the current leader first or last of those left. */
         private fun Simulation.upgradeByLeader(
             fromMs: Long,
             everyMs: Long,
             leaderFirst: Boolean,
         ) {
-            repeat(nodes.size) { turn ->
-                at(fromMs + turn * everyMs) {
-                    val old = nodes.filter { it.isOld && it.isUp }
-                    val lead = old.firstOrNull { it === leader }
-                    val next = if (leaderFirst) lead ?: old.firstOrNull() else old.firstOrNull { it !== lead } ?: lead
-                    if (next != null) end(next, forMs = 3_000)
+            repeat(nodes.size) { batchIndex ->
+                at(fromMs + batchIndex * everyMs) {
+                    val oldNodes = nodes.filter { it.isOld && it.isUp }
+                    val oldLeader = oldNodes.firstOrNull { it === leader }
+                    val nextNode =
+                        if (leaderFirst) {
+                            oldLeader ?: oldNodes.firstOrNull()
+                        } else {
+                            oldNodes.firstOrNull { it !== oldLeader } ?: oldLeader
+                        }
+                    if (nextNode != null) restart(nextNode, forMs = 3_000)
                 }
             }
         }
 
-        private fun Simulation.spell(
+        private fun Simulation.during(
             atMs: Long,
             forMs: Long,
             begin: () -> Unit,
@@ -117,98 +122,96 @@
         private fun Simulation.unansweredWrites(
             atMs: Long,
             forMs: Long,
-        ) = spell(atMs, forMs, { weather.unansweredWrites = 0.2 }, { weather.unansweredWrites = 0.0 })
+        ) = during(atMs, forMs, { weather.unansweredWrites = 0.2 }, { weather.unansweredWrites = 0.0 })
 
         private fun Simulation.lateWrites(
             atMs: Long,
             forMs: Long,
-        ) = spell(atMs, forMs, { weather.lateWrites = 0.2 }, { weather.lateWrites = 0.0 })
+        ) = during(atMs, forMs, { weather.lateWrites = 0.2 }, { weather.lateWrites = 0.0 })
 
-        /** The job that a running or waiting stage needs is called off, and users ask about everything at once. */
+        /** Users cancel the latest [count] first stages that aren't over, on which running or waiting stages depend. */
         private fun Simulation.cancelFirstStages(
             count: Int,
             atMs: Long,
         ) = at(atMs) {
-            val first =
+            val firstStages =
                 rules.jobs.values.filter {
                     it.spec.id.value
                         .endsWith("-a") &&
                         it.accepted &&
-                        it.told?.isOverQuota != true
+                        it.told?.isFinal != true
                 }
-            for (job in first.takeLast(count)) world.after(world.between(0, 200)) { cancel(job.spec.id.value) }
+            for (job in firstStages.takeLast(count)) world.after(world.between(0, 200)) { cancel(job.spec.id.value) }
         }
 
-        private val oxbowlug.wire.JobState.isOverQuota: Boolean
+        private val oxbowlug.wire.JobState.isFinal: Boolean
             get() = this == oxbowlug.wire.JobState.DONE || this == oxbowlug.wire.JobState.CANCELLED
 
         @JvmStatic
         fun cases(): List<Case> =
             listOf(
-                Case("a quiet day") {},
-                Case("the limits fall") { limitsFall(40_000) },
-                Case("the leader ends again and again, and the limits fall") {
-                    limitsFall(30_000)
-                    for (ms in 25_000L..85_000L step 12_000) leaderEnds(ms)
+                Case("no faults") {},
+                Case("the limits are lowered") { lowerLimits(40_000) },
+                Case("the leader crashes repeatedly, and the limits are lowered") {
+                    lowerLimits(30_000)
+                    for (ms in 25_000L..85_000L step 12_000) crashLeader(ms)
                 },
-                Case("all controllers end, and the limits fall meanwhile") {
-                    at(40_000) { nodes.forEach { end(it, forMs = 5_000) } }
-                    limitsFall(42_000)
-                    at(60_000) { nodes.forEach { end(it, forMs = 400) } }
+                Case("all controllers crash, and the limits are lowered meanwhile") {
+                    at(40_000) { nodes.forEach { restart(it, forMs = 5_000) } }
+                    lowerLimits(42_000)
+                    at(60_000) { nodes.forEach { restart(it, forMs = 400) } }
                 },
-                Case("answers of transactions are lost while stages end and the leader does") {
+                Case("transaction answers are lost while stages end and the leader crashes") {
                     closeLooks = 0.3
                     unansweredWrites(20_000, 70_000)
-                    leaderEnds(40_000)
-                    leaderEnds(60_000, forMs = 300)
+                    crashLeader(40_000)
+                    crashLeader(60_000, forMs = 300)
                 },
-                Case("transactions are carried out late while first stages are called off") {
+                Case("transactions are applied late while first stages are cancelled") {
                     closeLooks = 0.2
                     lateWrites(20_000, 70_000)
                     for (ms in 25_000L..80_000L step 8_000) cancelFirstStages(2, ms)
-                    leaderEnds(45_000)
+                    crashLeader(45_000)
                 },
-                Case("jobs are called off in the moment of their end") {
+                Case("jobs are cancelled at the moment of their end") {
                     cancelsAtEnd = 0.15
                     closeLooks = 0.3
-                    leaderEnds(50_000)
+                    crashLeader(50_000)
                 },
-                Case(
-                    "the leader is refused by the state service, first stages are called off, then an outage for all",
-                ) {
+                Case("the leader loses the state service, first stages are cancelled, then an outage for all") {
                     closeLooks = 0.2
                     at(40_000) {
                         val node = leader
-                        spell(0, 14_000, { node.withoutState = true }, { node.withoutState = false })
+                        during(0, 14_000, { node.withoutState = true }, { node.withoutState = false })
                     }
                     cancelFirstStages(3, 41_000)
-                    spell(42_000, 45_000, { store.down = true }, { store.down = false })
+                    during(42_000, 45_000, { store.down = true }, { store.down = false })
                 },
-                Case("a zone is cut off, and first stages are called off") {
-                    spell(40_000, 25_000, { weather.cutZones.add(zones[0]) }, { weather.cutZones.clear() })
+                Case("a zone is cut off, and first stages are cancelled") {
+                    during(40_000, 25_000, { weather.cutZones.add(zones[0]) }, { weather.cutZones.clear() })
                     cancelFirstStages(3, 44_000)
-                    leaderEnds(50_000)
+                    crashLeader(50_000)
                 },
-                Case("a rolling upgrade, one by one", startsOld = true) {
+                Case("a rolling upgrade, one by one", startsOnOldVersion = true) {
                     upgrade(20_000, 8_000, listOf(0, 1, 2, 3, 4))
-                    limitsFall(75_000)
+                    lowerLimits(75_000)
                 },
-                Case("a rolling upgrade, two at once", startsOld = true) {
-                    upgrade(20_000, 10_000, listOf(3, 1, 4, 0, 2), atOnce = 2)
-                    limitsFall(70_000)
+                Case("a rolling upgrade, two at once", startsOnOldVersion = true) {
+                    upgrade(20_000, 10_000, listOf(3, 1, 4, 0, 2), batchSize = 2)
+                    lowerLimits(70_000)
                 },
-                Case("a rolling upgrade, the leader first each time", startsOld = true) {
+                Case("a rolling upgrade, the leader first each time", startsOnOldVersion = true) {
                     upgradeByLeader(20_000, 9_000, leaderFirst = true)
-                    limitsFall(80_000)
+                    lowerLimits(80_000)
                 },
-                Case("a rolling upgrade, the leader last, while writes are late", startsOld = true) {
+                Case("a rolling upgrade, the leader last, while writes are delayed", startsOnOldVersion = true) {
                     lateWrites(15_000, 60_000)
                     upgradeByLeader(20_000, 9_000, leaderFirst = false)
-                    limitsFall(85_000)
+                    lowerLimits(85_000)
                 },
-                Case("frames between old and new controllers are held while jobs are called off", startsOld = true) {
+                Case("links between old and new controllers stall during cancellations", startsOnOldVersion = true) {
                     closeLooks = 0.2
-                    spell(15_000, 80_000, { weather.heldFrames = 0.01 }, { weather.heldFrames = 0.0 })
+                    during(15_000, 80_000, { weather.heldFrames = 0.01 }, { weather.heldFrames = 0.0 })
                     upgrade(20_000, 8_000, listOf(1, 3, 0, 2, 4))
                     for (ms in 22_000L..80_000L step 6_000) cancelFirstStages(1, ms)
                     for (ms in 24_000L..60_000L step 6_000) {
@@ -217,44 +220,46 @@
                             running.distinct().take(1).forEach(::cancel)
                         }
                     }
-                    limitsFall(75_000)
+                    lowerLimits(75_000)
                 },
-                Case("old processes end and come back old during the upgrade", startsOld = true) {
-                    at(24_000) { nodes.filter { it.isOld }.take(2).forEach { end(it, forMs = 2_000, isOld = true) } }
+                Case("controllers crash and restart on the old version during the upgrade", startsOnOldVersion = true) {
+                    at(24_000) {
+                        nodes.filter { it.isOld }.take(2).forEach { restart(it, forMs = 2_000, isOld = true) }
+                    }
                     upgrade(20_000, 9_000, listOf(0, 1, 2, 3))
-                    at(58_000) { end(nodes[4], forMs = 4_000, isOld = true) }
-                    at(70_000) { end(nodes[4], forMs = 4_000) }
-                    limitsFall(90_000)
+                    at(58_000) { restart(nodes[4], forMs = 4_000, isOld = true) }
+                    at(70_000) { restart(nodes[4], forMs = 4_000) }
+                    lowerLimits(90_000)
                 },
-                Case("large records are written whole, and the limits fall as the format changes", true, true) {
+                Case("large records are unsplit, and the limits are lowered as the format changes", true, true) {
                     at(12_000) {
                         repeat(4) { submit(stage("large-$it").copy(tasks = 40, cores = 8.0), taskMs = 20_000) }
                     }
                     upgrade(20_000, 5_000, listOf(2, 0, 4, 1, 3))
-                    var hasFallen = false
+                    var areLimitsLowered = false
                     world.every(20) {
-                        if (!hasFallen && store.entry(Keys.FORMAT_MARKER) != null) {
-                            hasFallen = true
-                            store.limits = NEXT
+                        if (!areLimitsLowered && store.entry(Keys.FORMAT_MARKER) != null) {
+                            areLimitsLowered = true
+                            store.limits = NEXT_LIMITS
                             cancel("large-0")
-                            world.after(300) { end(leader, forMs = 2_000) }
+                            world.after(300) { restart(leader, forMs = 2_000) }
                             world.after(2_000) { cancel("large-1") }
                         }
                     }
                 },
-                Case("stages end, are called off, and the leader ends, within milliseconds") {
+                Case("stages end, are cancelled, and the leader crashes, within milliseconds") {
                     closeLooks = 0.2
                     cancelsAtEnd = 0.3
-                    limitsFall(30_000)
-                    var nextEndAt = 25_000L
+                    lowerLimits(30_000)
+                    var nextCrashAt = 25_000L
                     onAnyDone = {
-                        if (world.nowMs >= nextEndAt && world.nowMs < 90_000) {
-                            nextEndAt = world.nowMs + 9_000
-                            world.after(world.between(0, 40)) { end(leader, forMs = 1_000) }
+                        if (world.nowMs >= nextCrashAt && world.nowMs < 90_000) {
+                            nextCrashAt = world.nowMs + 9_000
+                            world.after(world.between(0, 40)) { restart(leader, forMs = 1_000) }
                         }
                     }
                 },
-                Case("jobs are called off and a zone is cut during the upgrade", startsOld = true) {
+                Case("jobs are cancelled and a zone is cut off during the upgrade", startsOnOldVersion = true) {
                     closeLooks = 0.2
                     upgrade(20_000, 8_000, listOf(4, 2, 0, 1, 3))
                     for (ms in 22_000L..60_000L step 6_000) {
@@ -268,8 +273,8 @@
                             running.take(1).forEach(::cancel)
                         }
                     }
-                    spell(30_000, 12_000, { weather.cutZones.add(zones[1]) }, { weather.cutZones.clear() })
-                    limitsFall(80_000)
+                    during(30_000, 12_000, { weather.cutZones.add(zones[1]) }, { weather.cutZones.clear() })
+                    lowerLimits(80_000)
                 },
             ).filter(Seeds::takes)
     }
