--- a/src/main/kotlin/oxbowlug/cache/StateCache.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCache.kt
@@ -140,7 +140,7 @@
                     applyChanges(outcome, sentAt)
                     true
                 }
-                ChangesOutcome.TooOld -> {
+                ChangesOutcome.Compacted -> {
                     requireResync(from)
                     false
                 }
--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -65,7 +65,7 @@
     var movingUntil = 0L
 
     /** Backing off after errors: no new starts before this. */
-    var holdUntil = 0L
+    var backoffUntil = 0L
     var failures = 0
     val avoid = HashMap<MachineId, Long>()
     val failedOn = HashSet<MachineId>()
@@ -78,7 +78,7 @@
         for ((task, placement) in record.placements) {
             attempts[task] =
                 TaskAttempt(this, task, placement.machine, placement.attempt).apply {
-                    committed = true
+                    isCommitted = true
                     isInherited = true
                 }
         }
@@ -97,7 +97,7 @@
     }
 
     /** Tasks placed in one round share an attempt number, which keeps the record short. */
-    fun nextRound() {
+    fun advanceAttemptNumber() {
         nextAttempt++
     }
 
@@ -113,7 +113,7 @@
     }
 
     /** Removes the attempt of [task]. Only [ClusterState.remove] may call it, for a proof. */
-    fun drop(
+    fun removeAttempt(
         task: Int,
         now: Long,
     ) {
@@ -191,7 +191,7 @@
     fun isWriting(record: JobRecord): Boolean = pendingRecord === record
 
     /** [record] is stored at [revision]. An answer that comes after the watch has brought the same changes nothing. */
-    fun written(
+    fun completeWrite(
         record: JobRecord,
         revision: Long,
     ) {
@@ -205,7 +205,7 @@
         lastWrite = record.writeId
         for ((task, placement) in record.placements) {
             val attempt = attempts[task]
-            if (attempt != null && attempt.number == placement.attempt) attempt.committed = true
+            if (attempt != null && attempt.number == placement.attempt) attempt.isCommitted = true
         }
     }
 
@@ -225,7 +225,7 @@
     }
 
     /** [record] is surely not written, or it isn't known: written again, under the same condition on the version. */
-    fun notWritten(
+    fun requeueWrite(
         record: JobRecord,
         now: Long,
     ) {
@@ -246,7 +246,7 @@
         now: Long,
     ): Boolean {
         val pending = pendingRecord
-        if (pending != null && record.writeId == pending.writeId) written(pending, newVersion)
+        if (pending != null && record.writeId == pending.writeId) completeWrite(pending, newVersion)
         version = newVersion
         stored = record.placements
         if (record.partCount != storedParts.size) {
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -45,7 +45,7 @@
         private set
 
     /** Number of jobs with changes that no write in flight contains. */
-    val backlog: Int get() = cluster.dirty.size
+    val backlog: Int get() = cluster.dirtyJobs.size
 
     /** Sends the writes that are due, within the write rate and the limit on transactions in flight. */
     fun flush() {
@@ -58,7 +58,7 @@
     }
 
     private fun nextBatch(now: Long): List<PreparedWrite> {
-        if (cluster.dirty.isEmpty() || cache.writableFormat == WritableFormat.NONE) return emptyList()
+        if (cluster.dirtyJobs.isEmpty() || cache.writableFormat == WritableFormat.NONE) return emptyList()
         val limits = preparer.limits()
         val tokens = budget.available(now)
         if (tokens < 1.0) return emptyList()
@@ -83,7 +83,7 @@
         spareTokens: Double,
         now: Long,
     ): List<Job> =
-        cluster.dirty
+        cluster.dirtyJobs
             .filter { job ->
                 !job.isWriting && now >= job.writeNotBefore && (job.isUrgent || isDeferredDue(job, spareTokens, now))
             }.sortedWith(compareBy<Job> { !it.isUrgent }.thenBy { it.priority })
@@ -146,7 +146,7 @@
             val job = prepared.job
             conditions.add(Condition(Keys.job(job.id.value), job.version))
             job.beginWrite(prepared.record, prepared.stored.parts)
-            cluster.dirty.remove(job)
+            cluster.dirtyJobs.remove(job)
         }
         state.commit(Transaction(conditions, changes)) { outcome ->
             inFlight--
@@ -169,7 +169,7 @@
                 )
                 for (prepared in batch) {
                     // The watch may have delivered this write before its answer arrived; then this call has no effect.
-                    prepared.job.written(prepared.record, outcome.revision)
+                    prepared.job.completeWrite(prepared.record, outcome.revision)
                     queueCommands(prepared.job)
                 }
             }
@@ -186,7 +186,7 @@
                 requeue(batch, now)
                 nextWriteAt = now + timing.retryMs()
             }
-            CommitOutcome.Invalid, CommitOutcome.LeaseOver -> handleTooLarge(batch, now)
+            CommitOutcome.Invalid, CommitOutcome.LeaseExpired -> handleTooLarge(batch, now)
             // The transaction may have been applied or may still be: catch up first, then write again with the same
             // compare-and-swap versions.
             CommitOutcome.Unanswered -> cache.catchUp { requeue(batch, clock.steadyMs()) }
@@ -209,7 +209,7 @@
     /** Queues the machines whose workers can now receive starts or stops of [job]. */
     private fun queueCommands(job: Job) {
         for (attempt in job.attempts.values) {
-            if (attempt.workerState == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(attempt.machine)
+            if (attempt.workerState == null || job.phase == Phase.CANCELLED) cluster.commandQueue.add(attempt.machine)
         }
     }
 
@@ -217,7 +217,7 @@
         batch: List<PreparedWrite>,
         now: Long,
     ) {
-        for (prepared in batch) prepared.job.notWritten(prepared.record, now)
+        for (prepared in batch) prepared.job.requeueWrite(prepared.record, now)
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -24,7 +24,7 @@
     ) {
         val missing = cache.stopsForCancelledTasks(heartbeat).missingFrom(commands)
         if (missing.isEmpty()) return
-        invariants.violated(
+        invariants.recordViolation(
             Invariant.CANCELLED_WORK_IS_STOPPED,
             "${missing.map { it.attempt }} on ${heartbeat.machine}",
         )
@@ -35,9 +35,9 @@
         machine: Machine,
         commands: List<WorkerCommand>,
     ): List<WorkerCommand> {
-        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.committed != true }
+        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.isCommitted != true }
         if (unstored.isEmpty()) return commands
-        invariants.violated(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
+        invariants.recordViolation(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
         return commands - unstored.toSet()
     }
 }
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -12,8 +12,8 @@
 import oxbowlug.record.RecordLayout
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.standin.VirtualTime
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
@@ -34,8 +34,8 @@
  * Each job record that the state cache reports for a revision must equal the record stored at that revision.
  */
 internal class TornRecordTest {
-    private val world = World(1)
-    private val clock = DriftingClock(world, 0.0, 0)
+    private val time = VirtualTime(1)
+    private val clock = DriftingClock(time, 0.0, 0)
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
 
@@ -164,7 +164,7 @@
 
     private inner class RecordingListener(
         private val applied: MutableList<Applied>,
-    ) : StateCacheListener by IgnoringListener {
+    ) : StateCacheListener by NoOpStateCacheListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
@@ -177,7 +177,7 @@
     @Test
     fun `a record is never merged from values of different revisions`() {
         for (seed in 1L..SEEDS) {
-            val store = SimStore(world)
+            val store = SimStore(time)
             val writer = Writer(store, Random(seed), spec)
             repeat(WRITES_BEFORE_RESYNC) { writer.step() }
             val applied = ArrayList<Applied>()
--- a/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
@@ -50,19 +50,19 @@
         fun at(
             ms: Long,
             action: () -> Unit,
-        ) = simulation.world.after(LEADER_CUT_OFF_AT_MS + ms - simulation.world.nowMs, action)
+        ) = simulation.time.after(LEADER_CUT_OFF_AT_MS + ms - simulation.time.nowMs, action)
 
         /** Running attempts of services. */
         fun runningAttempts(): Set<AttemptId> =
             simulation.cloud.workers
-                .flatMap { it.onMachine() }
+                .flatMap { it.runningTasks() }
                 .filter { simulation.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
                 .map { it.attempt }
                 .toSet()
 
         fun machinesOf(job: String): List<SimWorker> =
             simulation.cloud.workers.filter { worker ->
-                worker.onMachine().any { it.attempt.task.job.value == job }
+                worker.runningTasks().any { it.attempt.task.job.value == job }
             }
 
         private var answerCount = 0
@@ -76,7 +76,7 @@
         /** Crashes [confirmer] right after it has sent the last of [crashAfterAnswers] answers. */
         private fun onCancellationAnswered() {
             if (++answerCount != crashAfterAnswers) return
-            simulation.world.after(0) {
+            simulation.time.after(0) {
                 confirmer.crash()
                 if (outageAtCrash) simulation.store.down = true
             }
@@ -98,7 +98,7 @@
 
         fun cutLeaderFromState(forMs: Long) {
             leader.withoutState = true
-            simulation.world.after(forMs) { leader.withoutState = false }
+            simulation.time.after(forMs) { leader.withoutState = false }
         }
 
         fun execute(case: Case) {
@@ -114,7 +114,7 @@
             }
             at(2_000) { simulation.store.down = true }
             simulation.run(LEADER_CUT_OFF_AT_MS + 2_000)
-            val returnedBefore = simulation.cloud.returnedBusy
+            val returnedBefore = simulation.cloud.busyMachinesReturned
             case.stoppedWithinMs?.let {
                 simulation.run(LEADER_CUT_OFF_AT_MS + 500 + it)
                 assertEquals(
@@ -122,7 +122,7 @@
                     cancelledJobs.flatMap(::machinesOf),
                     "${case.name}: tasks of cancelled jobs still run",
                 )
-                assertEquals(returnedBefore, simulation.cloud.returnedBusy, "${case.name}: busy machines were returned")
+                assertEquals(returnedBefore, simulation.cloud.busyMachinesReturned, "${case.name}: busy machines were returned")
             }
             val runningBefore =
                 runningAttempts()
@@ -132,11 +132,11 @@
             val endedTasks = runningBefore - runningAttempts()
             simulation.store.down = false
             simulation.run(300_000)
-            assertEquals(emptyList<String>(), simulation.rules.broken.take(5), case.name)
+            assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), case.name)
             if (case.cancelsJobs) {
                 val confirmedCount =
                     cancelledJobs.count {
-                        simulation.rules.jobs
+                        simulation.checker.jobs
                             .getValue(it)
                             .cancelledAt != null
                     }
@@ -144,7 +144,7 @@
             }
             assertTrue(runningBefore.isNotEmpty(), "${case.name}: nothing ran")
             if (case.expectsNoLoss) assertEquals(emptySet<AttemptId>(), endedTasks, "${case.name}: ended in the outage")
-            assertEquals(emptyList<String>(), simulation.rules.unfinished(), "${case.name}: not served")
+            assertEquals(emptyList<String>(), simulation.checker.unfinished(), "${case.name}: not served")
         }
     }
 
@@ -219,17 +219,17 @@
                 },
                 Case("machines with cancelled tasks hang and resume later", expectsNoLoss = false) {
                     at(400) {
-                        machinesOf(cancelledJobs.first()).forEach { it.hungUntil = simulation.world.nowMs + 8_000 }
+                        machinesOf(cancelledJobs.first()).forEach { it.hungUntil = simulation.time.nowMs + 8_000 }
                     }
                     at(450) {
-                        machinesOf(cancelledJobs.last()).forEach { it.hungUntil = simulation.world.nowMs + 33_000 }
+                        machinesOf(cancelledJobs.last()).forEach { it.hungUntil = simulation.time.nowMs + 33_000 }
                     }
                 },
                 Case("no response or command reaches machines with cancelled tasks", expectsNoLoss = false) {
                     at(400) {
                         machinesOf(cancelledJobs.first()).forEach {
                             it.unresponsiveUntil =
-                                simulation.world.nowMs + 60_000
+                                simulation.time.nowMs + 60_000
                         }
                     }
                 },
@@ -248,14 +248,14 @@
                     at(400) {
                         machinesOf(cancelledJobs.first()).forEach {
                             it.unresponsiveUntil =
-                                simulation.world.nowMs + 7_000
+                                simulation.time.nowMs + 7_000
                         }
                     }
                     // Each hang is shorter than the lease, and the time between two of them is too short to execute a
                     // command.
                     for (ms in 7_500L..44_000L step 8_000) {
                         at(ms) {
-                            machinesOf(cancelledJobs.first()).forEach { it.hungUntil = simulation.world.nowMs + 7_950 }
+                            machinesOf(cancelledJobs.first()).forEach { it.hungUntil = simulation.time.nowMs + 7_950 }
                         }
                     }
                 },
@@ -264,7 +264,7 @@
                     // command.
                     val machines = machinesOf(cancelledJobs.first())
                     for (ms in 400L..44_000L step 8_000) {
-                        at(ms) { machines.forEach { it.hungUntil = simulation.world.nowMs + 7_950 } }
+                        at(ms) { machines.forEach { it.hungUntil = simulation.time.nowMs + 7_950 } }
                     }
                 },
                 Case("the leader is cut off again before the first cancellations are complete") {
--- a/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
@@ -11,20 +11,20 @@
 internal class ConcurrentFaultsTest {
     private fun Simulation.runningServices(): Set<AttemptId> =
         cloud.workers
-            .flatMap { it.onMachine() }
+            .flatMap { it.runningTasks() }
             .filter { spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
             .map { it.attempt }
             .toSet()
 
     private fun Simulation.machinesOf(job: String) =
-        cloud.workers.filter { worker -> worker.onMachine().any { it.attempt.task.job.value == job } }
+        cloud.workers.filter { worker -> worker.runningTasks().any { it.attempt.task.job.value == job } }
 
     private fun simulationWithRunningServices(seed: Long) =
         Simulation(seed, shape = Shape(nodes = 5, machinesUp = 12, jobsAtStart = 40, serviceMs = 150_000L..160_000L))
 
     private fun Simulation.assertRulesHoldAndJobsServed(context: String) {
-        assertEquals(emptyList<String>(), rules.broken.take(5), context)
-        assertEquals(emptyList<String>(), rules.unfinished(), "$context: not served")
+        assertEquals(emptyList<String>(), checker.ruleViolations.take(5), context)
+        assertEquals(emptyList<String>(), checker.unfinished(), "$context: not served")
     }
 
     @Test
@@ -40,7 +40,7 @@
             assertTrue(simulation.leader !== formerLeader, "seed $seed: no other controller was elected")
             val cancelledJobs = runningBefore.map { it.task.job.value }.distinct().take(4)
             for (id in cancelledJobs) simulation.cancelAt(simulation.leader, id)
-            val returnedBefore = simulation.cloud.returnedBusy
+            val returnedBefore = simulation.cloud.busyMachinesReturned
             simulation.run(58_000)
             assertEquals(
                 emptyList<SimWorker>(),
@@ -53,7 +53,7 @@
                 "seed $seed: tasks ended with a worker's lease",
             )
             simulation.run(70_000)
-            assertEquals(returnedBefore, simulation.cloud.returnedBusy, "seed $seed: busy machines were returned")
+            assertEquals(returnedBefore, simulation.cloud.busyMachinesReturned, "seed $seed: busy machines were returned")
             formerLeader.withoutState = false
             formerLeader.withoutPeers = false
             simulation.run(300_000)
--- a/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
@@ -27,19 +27,19 @@
             )
         val simulation = Simulation(11, shape = shape)
         simulation.users(everyMs = 350, untilMs = 90_000)
-        simulation.world.after(35_000) { simulation.weather.cutZones.add(simulation.zones[1]) }
-        simulation.world.after(42_000) { crash(simulation, leader(simulation)) }
-        simulation.world.after(62_000) { simulation.weather.cutZones.clear() }
-        simulation.world.after(75_000) {
+        simulation.time.after(35_000) { simulation.weather.cutZones.add(simulation.zones[1]) }
+        simulation.time.after(42_000) { crash(simulation, leader(simulation)) }
+        simulation.time.after(62_000) { simulation.weather.cutZones.clear() }
+        simulation.time.after(75_000) {
             repeat(60) { simulation.randomWorker()?.let { simulation.cloud.fail(it.id) } }
         }
-        simulation.world.after(95_000) { simulation.store.down = true }
-        simulation.world.after(100_000) { for (node in simulation.nodes) crash(simulation, node) }
-        simulation.world.after(108_000) { simulation.store.down = false }
+        simulation.time.after(95_000) { simulation.store.down = true }
+        simulation.time.after(100_000) { for (node in simulation.nodes) crash(simulation, node) }
+        simulation.time.after(108_000) { simulation.store.down = false }
         simulation.run(260_000)
-        assertEquals(emptyList<String>(), simulation.rules.broken.take(5))
-        assertTrue(simulation.rules.starts > 4_000, "only ${simulation.rules.starts} starts")
-        assertEquals(emptyList<String>(), simulation.rules.unfinished().take(5))
+        assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5))
+        assertTrue(simulation.checker.starts > 4_000, "only ${simulation.checker.starts} starts")
+        assertEquals(emptyList<String>(), simulation.checker.unfinished().take(5))
         assertCostBounds(simulation)
     }
 
@@ -57,12 +57,12 @@
         node: SimNode,
     ) {
         node.crash()
-        simulation.world.after(5_000) { if (!node.isUp) node.start() }
+        simulation.time.after(5_000) { if (!node.isUp) node.start() }
     }
 
     /** Bounds numbers of operations instead of elapsed time, which depends on the machine that runs the test. */
     private fun assertCostBounds(simulation: Simulation) {
-        val jobs = simulation.rules.jobs.values
+        val jobs = simulation.checker.jobs.values
         val plans = simulation.nodes.sumOf { it.plans }
         val priced = simulation.nodes.sumOf { it.priced }
         assertTrue(priced <= plans * MACHINES * 12, "$priced machines priced in $plans plans")
--- a/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
@@ -25,7 +25,7 @@
             )
         val simulation = Simulation(7, shape = shape)
         simulation.users(everyMs = 900, untilMs = 150_000)
-        simulation.world.after(90_000) {
+        simulation.time.after(90_000) {
             val label =
                 simulation.store
                     .entry(Keys.LEADERSHIP)
@@ -33,12 +33,12 @@
                     ?.get("leader")
             val leader = simulation.nodes.first { it.label == label }
             leader.crash()
-            simulation.world.after(5_000) { leader.start() }
+            simulation.time.after(5_000) { leader.start() }
         }
         simulation.run(240_000)
-        assertEquals(emptyList<String>(), simulation.rules.broken.take(5))
-        assertTrue(simulation.rules.starts > 500, "only ${simulation.rules.starts} starts")
-        assertEquals(emptyList<String>(), simulation.rules.unfinished().take(5))
+        assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5))
+        assertTrue(simulation.checker.starts > 500, "only ${simulation.checker.starts} starts")
+        assertEquals(emptyList<String>(), simulation.checker.unfinished().take(5))
         assertCostBounds(simulation)
     }
 
@@ -47,11 +47,11 @@
      * catch costs that grow with the fleet, and work that is repeated or done item by item.
      */
     private fun assertCostBounds(simulation: Simulation) {
-        val jobs = simulation.rules.jobs.values
+        val jobs = simulation.checker.jobs.values
         val tasks = jobs.sumOf { it.spec.tasks }
         val plans = simulation.nodes.sumOf { it.plans }
         val priced = simulation.nodes.sumOf { it.priced }
-        assertTrue(simulation.rules.starts <= tasks * 1.2, "${simulation.rules.starts} starts for $tasks tasks")
+        assertTrue(simulation.checker.starts <= tasks * 1.2, "${simulation.checker.starts} starts for $tasks tasks")
         assertTrue(priced <= plans * MACHINES * 12, "$priced machines priced in $plans plans")
         assertTrue(simulation.store.writes <= jobs.size * 8, "${simulation.store.writes} writes for ${jobs.size} jobs")
         assertTrue(simulation.cloud.rentalCalls <= MACHINES / 2, "${simulation.cloud.rentalCalls} rentals")
--- a/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
@@ -40,9 +40,9 @@
         simulation.pipelines(everyMs = 5_000, untilMs = 90_000)
         case.setUp(simulation)
         simulation.run(280_000)
-        assertEquals(emptyList<String>(), simulation.rules.broken.take(5), "$case, seed $seed")
-        assertEquals(emptyList<String>(), simulation.serving.broken.take(5), "$case, seed $seed")
-        assertEquals(emptyList<String>(), simulation.rules.unfinished(), "$case, seed $seed: not served")
+        assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), "$case, seed $seed")
+        assertEquals(emptyList<String>(), simulation.serving.ruleViolations.take(5), "$case, seed $seed")
+        assertEquals(emptyList<String>(), simulation.checker.unfinished(), "$case, seed $seed: not served")
     }
 
     private fun parametersOf(case: Case) =
@@ -56,7 +56,7 @@
         private fun Simulation.at(
             ms: Long,
             action: Simulation.() -> Unit,
-        ) = world.after(ms) { action() }
+        ) = time.after(ms) { action() }
 
         private fun Simulation.during(
             atMs: Long,
@@ -73,7 +73,7 @@
                 val node = leader
                 if (node.isUp) {
                     node.crash()
-                    world.after(3_000) { node.start() }
+                    time.after(3_000) { node.start() }
                 }
             }
 
@@ -93,19 +93,19 @@
 
         private fun Simulation.runningJobs(): List<String> =
             cloud.workers
-                .flatMap { it.onMachine() }
+                .flatMap { it.runningTasks() }
                 .map { it.attempt.task.job.value }
                 .distinct()
 
         private fun Simulation.cancelRunning(
             atMs: Long,
             count: Int,
-        ) = at(atMs) { runningJobs().shuffled(world.random).take(count).forEach(::cancel) }
+        ) = at(atMs) { runningJobs().shuffled(time.random).take(count).forEach(::cancel) }
 
         private fun Simulation.hangMachine(
             atMs: Long,
             forMs: Long,
-        ) = at(atMs) { randomWorker()?.let { it.hungUntil = world.nowMs + forMs } }
+        ) = at(atMs) { randomWorker()?.let { it.hungUntil = time.nowMs + forMs } }
 
         /**
          * Cuts the leader, or each controller in turn, off from the state service for 6 s. Meanwhile the state service
@@ -136,7 +136,7 @@
                     cancelsAtEnd = 0.1
                     for (ms in 25_000L..90_000L step 9_000) crashLeader(ms)
                     for (ms in 22_000L..90_000L step 3_000) {
-                        hangMachine(ms, world.between(2_000, 20_000))
+                        hangMachine(ms, time.between(2_000, 20_000))
                         cancelRunning(ms + 500, count = 1)
                     }
                 },
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -33,14 +33,14 @@
             simulation.at(92_000) { submit(stage("wide").copy(tasks = 24, cores = 16.0)) }
             simulation.run(280_000)
             val context = "${case.name}, seed $seed"
-            assertEquals(emptyList<String>(), simulation.rules.broken.take(5), context)
-            assertEquals(emptyList<String>(), simulation.serving.broken.take(5), context)
-            assertEquals(emptyList<String>(), simulation.rules.unfinished(), "$context: not served")
+            assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), context)
+            assertEquals(emptyList<String>(), simulation.serving.ruleViolations.take(5), context)
+            assertEquals(emptyList<String>(), simulation.checker.unfinished(), "$context: not served")
             assertTrue(simulation.store.entry(Keys.FORMAT_MARKER) != null, "$context: the format isn't enabled")
             if (!case.lowersLimitsEarly) assertEquals(0, simulation.store.refusedForSize, "$context: oversized writes")
             assertTrue(simulation.store.partsWritten > 0, "$context: no record was split")
             val stages =
-                simulation.rules.jobs
+                simulation.checker.jobs
                     .filterKeys { it.startsWith("pipe-") }
                     .values
             assertTrue(stages.count { it.started.isNotEmpty() } > 20, "$context: few stages started")
@@ -54,7 +54,7 @@
         private fun Simulation.at(
             ms: Long,
             action: Simulation.() -> Unit,
-        ) = world.after(ms) { action() }
+        ) = time.after(ms) { action() }
 
         private fun Simulation.lowerLimits(atMs: Long) = at(atMs) { store.limits = NEXT_LIMITS }
 
@@ -65,7 +65,7 @@
         ) {
             if (!node.isUp) return
             node.crash()
-            world.after(forMs) {
+            time.after(forMs) {
                 node.isOld = isOld
                 node.start()
             }
@@ -135,13 +135,13 @@
             atMs: Long,
         ) = at(atMs) {
             val firstStages =
-                rules.jobs.values.filter {
+                checker.jobs.values.filter {
                     it.spec.id.value
                         .endsWith("-a") &&
                         it.accepted &&
-                        it.told?.isFinal != true
+                        it.observed?.isFinal != true
                 }
-            for (job in firstStages.takeLast(count)) world.after(world.between(0, 200)) { cancel(job.spec.id.value) }
+            for (job in firstStages.takeLast(count)) time.after(time.between(0, 200)) { cancel(job.spec.id.value) }
         }
 
         private val oxbowlug.wire.JobState.isFinal: Boolean
@@ -216,7 +216,7 @@
                     for (ms in 22_000L..80_000L step 6_000) cancelFirstStages(1, ms)
                     for (ms in 24_000L..60_000L step 6_000) {
                         at(ms) {
-                            val running = cloud.workers.flatMap { it.onMachine() }.map { it.attempt.task.job.value }
+                            val running = cloud.workers.flatMap { it.runningTasks() }.map { it.attempt.task.job.value }
                             running.distinct().take(1).forEach(::cancel)
                         }
                     }
@@ -237,13 +237,13 @@
                     }
                     upgrade(20_000, 5_000, listOf(2, 0, 4, 1, 3))
                     var areLimitsLowered = false
-                    world.every(20) {
+                    time.every(20) {
                         if (!areLimitsLowered && store.entry(Keys.FORMAT_MARKER) != null) {
                             areLimitsLowered = true
                             store.limits = NEXT_LIMITS
                             cancel("large-0")
-                            world.after(300) { restart(leader, forMs = 2_000) }
-                            world.after(2_000) { cancel("large-1") }
+                            time.after(300) { restart(leader, forMs = 2_000) }
+                            time.after(2_000) { cancel("large-1") }
                         }
                     }
                 },
@@ -253,9 +253,9 @@
                     lowerLimits(30_000)
                     var nextCrashAt = 25_000L
                     onAnyDone = {
-                        if (world.nowMs >= nextCrashAt && world.nowMs < 90_000) {
-                            nextCrashAt = world.nowMs + 9_000
-                            world.after(world.between(0, 40)) { restart(leader, forMs = 1_000) }
+                        if (time.nowMs >= nextCrashAt && time.nowMs < 90_000) {
+                            nextCrashAt = time.nowMs + 9_000
+                            time.after(time.between(0, 40)) { restart(leader, forMs = 1_000) }
                         }
                     }
                 },
@@ -267,7 +267,7 @@
                             val running =
                                 cloud.workers
                                     .flatMap {
-                                        it.onMachine()
+                                        it.runningTasks()
                                     }.map { it.attempt.task.job.value }
                                     .distinct()
                             running.take(1).forEach(::cancel)
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -2,21 +2,21 @@
 
 import oxbowlug.config.Address
 import oxbowlug.lease.HeartbeatResponse
-import oxbowlug.peer.PeerFrames
+import oxbowlug.peer.PeerFrameCodec
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CloudPort
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.request.UserResponse
-import oxbowlug.standin.World
-import oxbowlug.wire.AnswerCodec
+import oxbowlug.standin.VirtualTime
+import oxbowlug.wire.ResponseCodec
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.FencingToken
@@ -25,7 +25,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.RentalRequest
-import oxbowlug.wire.StoreCodec
+import oxbowlug.wire.StateCodec
 import oxbowlug.wire.Transaction
 import oxbowlug.wire.WorkerCodec
 import oxbowlug.wire.WorkerCommand
@@ -65,7 +65,7 @@
         atMs: Long,
         sender: String,
         heartbeat: PeerHeartbeat,
-    ) = note(atMs, sender, "heartbeat", PeerFrames.encode(heartbeat).readByteArray())
+    ) = note(atMs, sender, "heartbeat", PeerFrameCodec.encode(heartbeat).readByteArray())
 
     fun reportAnswer(
         atMs: Long,
@@ -75,8 +75,8 @@
     ) {
         val (status, body) =
             when (answer) {
-                is HeartbeatResponse.Renewed -> 200 to WorkerCodec.encodeAnswer(answer.token, answer.commands)
-                is HeartbeatResponse.Redirect -> 421 to AnswerCodec.redirect(answer.label)
+                is HeartbeatResponse.Renewed -> 200 to WorkerCodec.encodeResponse(answer.token, answer.commands)
+                is HeartbeatResponse.Redirect -> 421 to ResponseCodec.redirect(answer.label)
                 HeartbeatResponse.Unavailable -> 503 to emptyMap()
             }
         note(atMs, sender, "report ${report.machine.value} $status", Cbor.encode(body))
@@ -89,12 +89,12 @@
         val (status, body) =
             when (answer) {
                 null -> 0 to emptyMap()
-                is UserResponse.Accepted -> 201 to AnswerCodec.accepted(answer.status)
-                is UserResponse.Known -> 200 to AnswerCodec.polled(answer.status)
-                is UserResponse.Malformed -> 400 to AnswerCodec.problem(answer.problem)
-                is UserResponse.Rejected -> 422 to AnswerCodec.problem(answer.problem)
+                is UserResponse.Accepted -> 201 to ResponseCodec.accepted(answer.status)
+                is UserResponse.Known -> 200 to ResponseCodec.polled(answer.status)
+                is UserResponse.Malformed -> 400 to ResponseCodec.problem(answer.problem)
+                is UserResponse.Rejected -> 422 to ResponseCodec.problem(answer.problem)
                 UserResponse.NotFound -> 404 to emptyMap()
-                is UserResponse.Unavailable -> 503 to AnswerCodec.problem(answer.reason)
+                is UserResponse.Unavailable -> 503 to ResponseCodec.problem(answer.reason)
                 is UserResponse.Overloaded -> 429 to emptyMap()
             }
         note(atMs, "user", "$status", Cbor.encode(body))
@@ -107,7 +107,7 @@
 
 /** Ports of one controller, each call of which is noted before it is made. */
 internal class TracedPorts(
-    private val world: World,
+    private val time: VirtualTime,
     private val label: String,
     private val trace: PortTrace,
     private val state: StatePort,
@@ -121,13 +121,13 @@
     private fun note(
         what: String,
         body: ByteArray = ByteArray(0),
-    ) = trace.note(world.nowMs, label, what, body)
+    ) = trace.note(time.nowMs, label, what, body)
 
     override fun commit(
         transaction: Transaction,
         done: (CommitOutcome) -> Unit,
     ) {
-        note("commit", Cbor.encode(StoreCodec.encode(transaction)))
+        note("commit", Cbor.encode(StateCodec.encode(transaction)))
         state.commit(transaction, done)
     }
 
@@ -150,25 +150,25 @@
         state.changes(prefix, from, waitMs, done)
     }
 
-    override fun grant(
-        lifeMs: Long,
+    override fun grantLease(
+        ttlMs: Long,
         done: (Long?) -> Unit,
     ) {
-        note("grant $lifeMs")
-        state.grant(lifeMs, done)
+        note("grant $ttlMs")
+        state.grantLease(ttlMs, done)
     }
 
-    override fun touch(
+    override fun keepLeaseAlive(
         lease: Long,
-        done: (TouchOutcome) -> Unit,
+        done: (LeaseRenewalOutcome) -> Unit,
     ) {
         note("touch $lease")
-        state.touch(lease, done)
+        state.keepLeaseAlive(lease, done)
     }
 
-    override fun release(lease: Long) {
+    override fun revokeLease(lease: Long) {
         note("release $lease")
-        state.release(lease)
+        state.revokeLease(lease)
     }
 
     override fun types(done: (List<MachineType>?) -> Unit) {
@@ -188,7 +188,7 @@
         machines: List<MachineId>,
         done: (Boolean) -> Unit,
     ) {
-        note("return", Cbor.encode(CloudCodec.encodeReturn(machines)))
+        note("return", Cbor.encode(CloudCodec.encodeRelease(machines)))
         cloud.releaseMachines(machines, done)
     }
 
@@ -210,9 +210,9 @@
         token: FencingToken,
         incarnation: Long,
         commands: List<WorkerCommand>,
-        done: (DirectOutcome) -> Unit,
+        done: (CommandOutcome) -> Unit,
     ) {
-        note("command $endpoint", Cbor.encode(WorkerCodec.encodeDirect(token, incarnation, commands)))
+        note("command $endpoint", Cbor.encode(WorkerCodec.encodeDirectCommands(token, incarnation, commands)))
         workers.command(endpoint, token, incarnation, commands, done)
     }
 
@@ -220,12 +220,12 @@
         label: String,
         notice: CancellationNotice,
     ) {
-        note("to $label", PeerFrames.encode(notice).readByteArray())
+        note("to $label", PeerFrameCodec.encode(notice).readByteArray())
         peers.send(label, notice)
     }
 
-    override fun heartbeatChanged() {
+    override fun broadcastHeartbeat() {
         note("heartbeat changed")
-        peers.heartbeatChanged()
+        peers.broadcastHeartbeat()
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/RandomFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RandomFaultsTest.kt
@@ -24,8 +24,8 @@
         val schedule = FaultSchedule.draw(seed, GROUPS, FROM_MS, TO_MS, shape.leaseMs)
         SimulatedFaults(day, shape.leaseMs).play(schedule)
         day.run(END_MS)
-        val broken = day.rules.broken.take(SHOWN)
-        return if (broken.isEmpty()) null else "seed $seed: $broken\n$schedule"
+        val ruleViolations = day.checker.ruleViolations.take(SHOWN)
+        return if (ruleViolations.isEmpty()) null else "seed $seed: $ruleViolations\n$schedule"
     }
 
     private companion object {
--- a/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
@@ -52,12 +52,12 @@
         var endedTasks = 0
         runSimulation(seed, policy) { simulation ->
             for (number in 0..2) {
-                simulation.world.after(5_000) {
+                simulation.time.after(5_000) {
                     simulation.submit(simulation.serviceInZoneWithoutController("lonely-$number"))
                 }
             }
             simulation.partitionRegions(30_000, 40_000)
-            simulation.world.after(69_500) {
+            simulation.time.after(69_500) {
                 endedTasks =
                     simulation.cloud.workers
                         .filter { it.zone == simulation.zones[ZONE_WITHOUT_CONTROLLER] }
@@ -72,9 +72,9 @@
     fun `no fault during a region partition breaks a rule, and all jobs are served afterwards`(scenario: Scenario) {
         for (seed in Seeds.all) {
             val simulation = runSimulation(seed, regionalPolicy, scenario.setUp)
-            assertEquals(emptyList<String>(), simulation.rules.broken.take(5), "$scenario, seed $seed")
-            assertTrue(simulation.rules.starts > 20, "$scenario, seed $seed: only ${simulation.rules.starts} starts")
-            assertEquals(emptyList<String>(), simulation.rules.unfinished(), "$scenario, seed $seed: not served")
+            assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), "$scenario, seed $seed")
+            assertTrue(simulation.checker.starts > 20, "$scenario, seed $seed: only ${simulation.checker.starts} starts")
+            assertEquals(emptyList<String>(), simulation.checker.unfinished(), "$scenario, seed $seed: not served")
         }
     }
 
@@ -106,18 +106,18 @@
             forMs: Long,
         ) {
             val southernZones = zones.drop(2)
-            world.after(fromMs) { weather.separatedZones.addAll(southernZones) }
-            world.after(fromMs + forMs) { weather.separatedZones.removeAll(southernZones.toSet()) }
+            time.after(fromMs) { weather.separatedZones.addAll(southernZones) }
+            time.after(fromMs + forMs) { weather.separatedZones.removeAll(southernZones.toSet()) }
         }
 
         private fun Simulation.crash(
             atMs: Long,
             selectNode: () -> SimNode,
         ) {
-            world.after(atMs) {
+            time.after(atMs) {
                 val node = selectNode()
                 node.crash()
-                world.after(5_000) { if (!node.isUp) node.start() }
+                time.after(5_000) { if (!node.isUp) node.start() }
             }
         }
 
@@ -134,7 +134,7 @@
                 oneZone = false,
                 spread = false,
                 spot = false,
-                estimateS = 0.0,
+                runEstimateS = 0.0,
                 checkpointS = 0.0,
                 saveS = 0.0,
                 deadlineS = null,
@@ -144,8 +144,8 @@
         private fun Simulation.southernController(): SimNode = nodes.first { it.zone == zones[2] }
 
         private fun Simulation.cancelAcceptedJobs(atMs: Long) =
-            world.after(atMs) {
-                for ((id, job) in rules.jobs.entries.take(12)) if (job.accepted) cancel(id)
+            time.after(atMs) {
+                for ((id, job) in checker.jobs.entries.take(12)) if (job.accepted) cancel(id)
             }
 
         @JvmStatic
@@ -174,19 +174,19 @@
                 },
                 Scenario("the delegate's zone is cut off during a region partition") { simulation ->
                     simulation.partitionRegions(30_000, 40_000)
-                    simulation.world.after(35_000) { simulation.weather.cutZones.add(simulation.zones[2]) }
-                    simulation.world.after(60_000) { simulation.weather.cutZones.clear() }
+                    simulation.time.after(35_000) { simulation.weather.cutZones.add(simulation.zones[2]) }
+                    simulation.time.after(60_000) { simulation.weather.cutZones.clear() }
                 },
                 Scenario(
                     "only the delegate's zone is cut off, and machines of the region's other zone fail",
                 ) { simulation ->
-                    simulation.world.after(30_000) { simulation.weather.cutZones.add(simulation.zones[2]) }
-                    simulation.world.after(34_000) {
+                    simulation.time.after(30_000) { simulation.weather.cutZones.add(simulation.zones[2]) }
+                    simulation.time.after(34_000) {
                         simulation.cloud.workers
                             .filter { it.zone == simulation.zones[ZONE_WITHOUT_CONTROLLER] }
                             .forEach { simulation.cloud.fail(it.id) }
                     }
-                    simulation.world.after(65_000) { simulation.weather.cutZones.clear() }
+                    simulation.time.after(65_000) { simulation.weather.cutZones.clear() }
                 },
                 Scenario(
                     "region partition with stalled peer links, duplicate heartbeats and delayed writes",
@@ -196,7 +196,7 @@
                     simulation.weather.lateWrites = 0.02
                     simulation.partitionRegions(30_000, 30_000)
                     simulation.cancelAcceptedJobs(45_000)
-                    simulation.world.after(100_000) {
+                    simulation.time.after(100_000) {
                         simulation.weather.heldFrames = 0.0
                         simulation.weather.lateReports = 0.0
                         simulation.weather.lateWrites = 0.0
@@ -204,8 +204,8 @@
                 },
                 Scenario("all controllers crash during a region partition") { simulation ->
                     simulation.partitionRegions(30_000, 40_000)
-                    simulation.world.after(38_000) { for (node in simulation.nodes) node.crash() }
-                    simulation.world.after(42_000) { for (node in simulation.nodes) if (!node.isUp) node.start() }
+                    simulation.time.after(38_000) { for (node in simulation.nodes) node.crash() }
+                    simulation.time.after(42_000) { for (node in simulation.nodes) if (!node.isUp) node.start() }
                 },
             )
     }
--- a/src/test/kotlin/oxbowlug/sim/RulesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RulesTest.kt
@@ -4,10 +4,10 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.request.UserResponse
 import oxbowlug.standin.HeartbeatPacing
-import oxbowlug.standin.JobBook
-import oxbowlug.standin.Rules
+import oxbowlug.standin.SimJobs
+import oxbowlug.standin.InvariantChecker
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.AttemptId
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.JobId
@@ -27,14 +27,14 @@
 
 /** The checkers themselves: each of them fires in the case that it is there for, and not beside it. */
 internal class RulesTest {
-    private val world = World(1)
-    private val rules = Rules(world, mapOf("red" to 4.0), CANCEL_MS)
+    private val time = VirtualTime(1)
+    private val checker = InvariantChecker(time, mapOf("red" to 4.0), CANCEL_MS)
     private val zones = listOf(Zone("a"), Zone("b"))
     private val type = MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, zones)
     private val workers =
         List(3) { index ->
             SimWorker(
-                world,
+                time,
                 Book(),
                 { emptyList() },
                 MachineId("host-00000$index"),
@@ -45,7 +45,7 @@
                 pacing = HeartbeatPacing.Fixed(1_000),
             )
         }
-    private val serving = Serving(world, rules, { workers }, mapOf("red" to 4.0), 0)
+    private val serving = Serving(time, checker, { workers }, mapOf("red" to 4.0), 0)
     private val spec =
         JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(
             id = JobId("run-1"),
@@ -62,30 +62,30 @@
             spread = false,
         )
 
-    private inner class Book : JobBook {
-        override fun spec(job: String): JobSpec? = rules.jobs[job]?.spec
+    private inner class Book : SimJobs {
+        override fun spec(job: String): JobSpec? = checker.jobs[job]?.spec
 
         override fun runMs(job: String): Long = 10_000_000
 
         override fun onStarted(
             machine: SimWorker,
             attempt: AttemptId,
-        ) = rules.started(machine, attempt)
+        ) = checker.started(machine, attempt)
 
-        override fun onDone(attempt: AttemptId) = rules.done(attempt)
+        override fun onDone(attempt: AttemptId) = checker.done(attempt)
     }
 
     private fun submit(given: JobSpec = spec) {
-        rules.jobs[given.id.value] = Rules.Known(given)
-        rules.told(given.id.value, UserResponse.Accepted(view(JobState.QUEUED)), world.nowMs)
+        checker.jobs[given.id.value] = InvariantChecker.Known(given)
+        checker.observed(given.id.value, UserResponse.Accepted(view(JobState.QUEUED)), time.nowMs)
     }
 
     private fun view(state: JobState) = JobStatus(spec.id, state, 0, 0)
 
     private fun tell(
         state: JobState,
-        askedMs: Long = world.nowMs,
-    ) = rules.told(spec.id.value, UserResponse.Known(view(state)), askedMs)
+        askedMs: Long = time.nowMs,
+    ) = checker.observed(spec.id.value, UserResponse.Known(view(state)), askedMs)
 
     private fun start(
         task: Int,
@@ -99,8 +99,8 @@
 
     /** Time goes on with events only. */
     private fun pass(ms: Long) {
-        world.after(ms) {}
-        world.runUntil(world.nowMs + ms)
+        time.after(ms) {}
+        time.runUntil(time.nowMs + ms)
     }
 
     private val needed = spec.copy(id = JobId("run-needed"), kind = JobKind.ARRAY)
@@ -111,13 +111,13 @@
         submit(spec.copy(dependsOn = listOf(between.id)))
         submit(between)
         submit(needed)
-        rules.jobs.getValue(needed.id.value).askedToCancel = true
+        checker.jobs.getValue(needed.id.value).cancelRequested = true
         val leadership = JobStatus(needed.id, JobState.CANCELLED, 0, 0)
-        rules.told(needed.id.value, UserResponse.Known(leadership), world.nowMs)
+        checker.observed(needed.id.value, UserResponse.Known(leadership), time.nowMs)
     }
 
     private fun cancel() {
-        rules.jobs.getValue(spec.id.value).askedToCancel = true
+        checker.jobs.getValue(spec.id.value).cancelRequested = true
         tell(JobState.CANCELLED)
     }
 
@@ -132,7 +132,7 @@
             listOf(
                 Case(null, "all is well") {
                     repeat(3) { start(it, it) }
-                    rules.check(workers)
+                    checker.check(workers)
                 },
                 Case("ran_twice", "a task on two machines") {
                     start(0, 0)
@@ -141,7 +141,7 @@
                 Case("quota", "more than the team's limit") {
                     submit(spec.copy(gpus = 2.0))
                     repeat(3) { start(it, 0) }
-                    rules.check(workers)
+                    checker.check(workers)
                 },
                 Case("wrong_place", "more than half in a zone") {
                     submit(spec.copy(spread = true))
@@ -155,7 +155,7 @@
                     start(0, 0)
                     cancel()
                     pass(CANCEL_MS + 1)
-                    rules.check(workers)
+                    checker.check(workers)
                 },
                 Case("ran_cancelled", "starts too late") {
                     cancel()
@@ -165,12 +165,12 @@
                 Case(null, "gone in time") {
                     cancel()
                     pass(CANCEL_MS + 1)
-                    rules.check(workers)
+                    checker.check(workers)
                 },
-                Case("forgotten", "404") { rules.told(spec.id.value, UserResponse.NotFound, world.nowMs) },
-                Case("forgotten", "422") { rules.told(spec.id.value, UserResponse.Rejected("no"), world.nowMs) },
+                Case("forgotten", "404") { checker.observed(spec.id.value, UserResponse.NotFound, time.nowMs) },
+                Case("forgotten", "422") { checker.observed(spec.id.value, UserResponse.Rejected("no"), time.nowMs) },
                 Case("invented", "200 for nobody's job") {
-                    rules.told("run-2", UserResponse.Known(view(JobState.QUEUED)), world.nowMs)
+                    checker.observed("run-2", UserResponse.Known(view(JobState.QUEUED)), time.nowMs)
                 },
                 Case("not_done", "done before its tasks") { tell(JobState.DONE) },
                 Case("went_back", "cancelled by nobody") { tell(JobState.CANCELLED) },
@@ -182,7 +182,7 @@
                 Case(null, "an answer that crosses the cancellation") {
                     pass(10)
                     cancel()
-                    tell(JobState.RUNNING, askedMs = world.nowMs - 5)
+                    tell(JobState.RUNNING, askedMs = time.nowMs - 5)
                 },
                 Case("too_early", "a task starts while a job that it needs runs") {
                     submit(spec.copy(dependsOn = listOf(needed.id)))
@@ -192,7 +192,7 @@
                 Case(null, "all that it needs is done") {
                     submit(spec.copy(dependsOn = listOf(needed.id)))
                     submit(needed)
-                    repeat(needed.tasks) { rules.done(AttemptId(TaskId(needed.id, it), 1)) }
+                    repeat(needed.tasks) { checker.done(AttemptId(TaskId(needed.id, it), 1)) }
                     start(0, 0)
                 },
                 Case("orphaned", "queued long after a job that it needs through another one was cancelled") {
@@ -212,16 +212,16 @@
                 Case("went_back", "accepted once more") {
                     cancel()
                     pass(10)
-                    rules.told(spec.id.value, UserResponse.Accepted(view(JobState.QUEUED)), world.nowMs)
+                    checker.observed(spec.id.value, UserResponse.Accepted(view(JobState.QUEUED)), time.nowMs)
                 },
             )
         for (case in cases) {
-            rules.broken.clear()
-            rules.jobs.clear()
+            checker.ruleViolations.clear()
+            checker.jobs.clear()
             for (worker in workers) worker.tasks.clear()
             submit()
             case.play()
-            val fired = rules.broken.map { it.substringAfter("ms ").substringBefore(':') }.distinct()
+            val fired = checker.ruleViolations.map { it.substringAfter("ms ").substringBefore(':') }.distinct()
             assertEquals(listOfNotNull(case.rule), fired, case.name)
         }
     }
@@ -231,27 +231,27 @@
         submit()
         pass(74_000)
         serving.look()
-        assertEquals(emptyList<String>(), serving.broken)
+        assertEquals(emptyList<String>(), serving.ruleViolations)
         pass(2_000)
         serving.look()
-        assertEquals(listOf("forgotten: run-1, by all"), serving.broken.map { it.substringAfter("ms ") })
-        serving.broken.clear()
+        assertEquals(listOf("forgotten: run-1, by all"), serving.ruleViolations.map { it.substringAfter("ms ") })
+        serving.ruleViolations.clear()
         tell(JobState.QUEUED)
         pass(70_000)
         serving.look()
-        assertEquals(emptyList<String>(), serving.broken, "seen waiting since the first look only")
+        assertEquals(emptyList<String>(), serving.ruleViolations, "seen waiting since the first look only")
         pass(3_000)
         tell(JobState.QUEUED)
         pass(20_000)
         serving.look()
-        assertEquals(listOf("left waiting: run-1 beside free room"), serving.broken.map { it.substringAfter("ms ") })
+        assertEquals(listOf("left waiting: run-1 beside free room"), serving.ruleViolations.map { it.substringAfter("ms ") })
         val unserved = listOf("class ${spec.className}", "team red", "largest ${spec.className}")
         assertEquals(unserved.map { "$it: less than half served" }, serving.neglected())
         repeat(3) { start(it, it) }
-        serving.broken.clear()
+        serving.ruleViolations.clear()
         pass(1_000)
         serving.look()
-        assertEquals(emptyList<String>(), serving.broken + serving.neglected())
+        assertEquals(emptyList<String>(), serving.ruleViolations + serving.neglected())
     }
 
     @Test
@@ -262,8 +262,8 @@
         pass(100_000)
         tell(JobState.RUNNING)
         serving.look()
-        assertEquals(emptyList<String>(), serving.broken)
-        rules.jobs.clear()
+        assertEquals(emptyList<String>(), serving.ruleViolations)
+        checker.jobs.clear()
         for (worker in workers) worker.tasks.clear()
         submit()
         pass(250_000)
--- a/src/test/kotlin/oxbowlug/sim/Serving.kt
+++ b/src/test/kotlin/oxbowlug/sim/Serving.kt
@@ -1,8 +1,8 @@
 package oxbowlug.sim
 
-import oxbowlug.standin.Rules
+import oxbowlug.standin.InvariantChecker
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.JobKind
 import oxbowlug.wire.JobState
 
@@ -11,36 +11,36 @@
  * left waiting beside a machine that fits, and classes, teams and largest jobs of which too few were served.
  */
 internal class Serving(
-    private val world: World,
-    private val rules: Rules,
+    private val time: VirtualTime,
+    private val checker: InvariantChecker,
     private val workers: () -> List<SimWorker>,
     private val limits: Map<String, Double>,
     private val calmFromMs: Long,
 ) {
     private val besideRoomSince = HashMap<String, Long>()
-    val broken = ArrayList<String>()
+    val ruleViolations = ArrayList<String>()
 
-    fun watch() = world.every(1_000) { look() }
+    fun watch() = time.every(1_000) { look() }
 
     fun look() {
-        if (world.nowMs < calmFromMs) return
-        for ((id, job) in rules.jobs) {
-            if (!job.accepted || rules.isCalledOff(job) || job.told == JobState.DONE) continue
+        if (time.nowMs < calmFromMs) return
+        for ((id, job) in checker.jobs) {
+            if (!job.accepted || checker.mayBeCancelled(job) || job.observed == JobState.DONE) continue
             val answeredAt = maxOf(job.answeredAt, calmFromMs)
-            if (world.nowMs - answeredAt > UNANSWERED_MS) broken.add("${world.nowMs} ms forgotten: $id, by all")
+            if (time.nowMs - answeredAt > UNANSWERED_MS) ruleViolations.add("${time.nowMs} ms forgotten: $id, by all")
             if (!waitsBesideRoom(id, job)) {
                 besideRoomSince.remove(id)
-            } else if (world.nowMs - besideRoomSince.getOrPut(id) { world.nowMs } > LEFT_WAITING_MS) {
-                broken.add("${world.nowMs} ms left waiting: $id beside free room")
+            } else if (time.nowMs - besideRoomSince.getOrPut(id) { time.nowMs } > LEFT_WAITING_MS) {
+                ruleViolations.add("${time.nowMs} ms left waiting: $id beside free room")
             }
         }
     }
 
     private fun waitsBesideRoom(
         id: String,
-        job: Rules.Known,
+        job: InvariantChecker.Known,
     ): Boolean {
-        if (rules.ancestors(job).any { it.told != JobState.DONE }) return false
+        if (checker.ancestors(job).any { it.observed != JobState.DONE }) return false
         val running =
             workers()
                 .filter { it.alive }
@@ -53,8 +53,8 @@
         val team = job.spec.team.value
         val used =
             workers()
-                .flatMap { it.onMachine() }
-                .mapNotNull { rules.jobs[it.attempt.task.job.value]?.spec }
+                .flatMap { it.runningTasks() }
+                .mapNotNull { checker.jobs[it.attempt.task.job.value]?.spec }
                 .filter { it.team.value == team }
                 .sumOf { it.gpus }
         if (used + job.spec.gpus > (limits[team] ?: Double.MAX_VALUE)) return false
@@ -62,7 +62,7 @@
     }
 
     private fun fits(
-        job: Rules.Known,
+        job: InvariantChecker.Known,
         host: SimWorker,
         others: Collection<SimWorker>,
     ): Boolean {
@@ -71,13 +71,13 @@
         if (spec.zone != null && spec.zone != host.zone) return false
         if (spec.types?.contains(host.type.name) == false) return false
         if (spec.oneZone && others.any { it.zone != host.zone }) return false
-        if (others.count { it.zone == host.zone } >= spec.zoneCap) return false
-        return host.hasRoomFor(spec)
+        if (others.count { it.zone == host.zone } >= spec.maxTasksPerZone) return false
+        return host.hasCapacityFor(spec)
     }
 
     /** Classes, teams and largest jobs of which less than half is served, or that began too late. */
     fun neglected(): List<String> {
-        val jobs = rules.jobs.values.filter { it.accepted && !rules.isCalledOff(it) }
+        val jobs = checker.jobs.values.filter { it.accepted && !checker.mayBeCancelled(it) }
         val groups =
             jobs.groupBy { "class ${it.spec.className}" } + jobs.groupBy { "team ${it.spec.team}" } +
                 largest(jobs).groupBy { "largest ${it.spec.className}" }
@@ -85,19 +85,19 @@
         val late =
             largest(jobs).filter { job ->
                 val acceptedAt = job.acceptedAt ?: return@filter false
-                (job.firstStartAt ?: world.nowMs) - acceptedAt > LARGEST_BEGIN_MS
+                (job.firstStartAt ?: time.nowMs) - acceptedAt > LARGEST_BEGIN_MS
             }
         val neglected = few.map { "$it: less than half served" }
         return neglected + late.map { "${it.spec.id}: among the largest, began too late" }
     }
 
-    private fun largest(jobs: List<Rules.Known>): List<Rules.Known> {
+    private fun largest(jobs: List<InvariantChecker.Known>): List<InvariantChecker.Known> {
         val most = jobs.groupBy { it.spec.className }.mapValues { (_, group) -> group.maxOf { it.spec.tasks } }
         return jobs.filter { it.spec.tasks == most[it.spec.className] }
     }
 
-    private fun isServed(job: Rules.Known): Boolean =
-        if (job.spec.kind == JobKind.ARRAY) job.told == JobState.DONE else job.started.size == job.spec.tasks
+    private fun isServed(job: InvariantChecker.Known): Boolean =
+        if (job.spec.kind == JobKind.ARRAY) job.observed == JobState.DONE else job.started.size == job.spec.tasks
 
     private companion object {
         const val UNANSWERED_MS = 75_000L
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -9,20 +9,20 @@
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CloudPort
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.Invariant
 import oxbowlug.port.Meters
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.record.Member
 import oxbowlug.standin.HeartbeatTarget
 import oxbowlug.standin.SimCloud
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.ListedMachine
 import oxbowlug.wire.MachineId
@@ -81,7 +81,7 @@
 
 /** One controller: the real core on virtual time, with ports that lose, delay and execute late. */
 internal class SimNode(
-    private val world: World,
+    private val time: VirtualTime,
     private val settings: Settings,
     private val store: SimStore,
     private val cloud: SimCloud,
@@ -89,7 +89,7 @@
     private val endpoints: (Address) -> SimWorker?,
     private val peers: () -> List<SimNode>,
 ) : HeartbeatTarget {
-    private val clock = DriftingClock(world, world.random.nextDouble(0.0, 0.0005), world.between(-50, 50))
+    private val clock = DriftingClock(time, time.random.nextDouble(0.0, 0.0005), time.between(-50, 50))
     private var lives = 0
 
     /** Is told of all that leaves this controller, if anything. */
@@ -135,26 +135,26 @@
 
     /** Stands still until then, as a stopped process does: its clocks run on, and what comes for it waits. */
     var pausedUntil = 0L
-    private val pauseLeftMs: Long get() = (pausedUntil - world.nowMs).coerceAtLeast(0)
+    private val pauseLeftMs: Long get() = (pausedUntil - time.nowMs).coerceAtLeast(0)
 
     fun start() {
         val life = ++lives
         // Ports belong to one life of the process: what comes back for an earlier one reaches nobody.
         val ports = Ports(life)
-        val outside = trace?.let { TracedPorts(world, label, it, ports, ports, ports, ports) }
+        val outside = trace?.let { TracedPorts(time, label, it, ports, ports, ports, ports) }
         val state: StatePort = outside ?: ports
         val cloud: CloudPort = outside ?: ports
         val workers: WorkerPort = outside ?: ports
         val peers: PeerPort = outside ?: ports
         var draining = false
-        val random = Random(world.random.nextLong())
+        val random = Random(time.random.nextLong())
         val self = Member(label, "life$life-${random.nextInt(1_000_000)}")
         lateinit var started: Controller
         started =
             Controller(settings, self, state, cloud, workers, clock, Counting(), random, peers) {
                 if (!draining) {
                     draining = true
-                    world.after(pauseLeftMs) {
+                    time.after(pauseLeftMs) {
                         draining = false
                         if (lives == life && core != null) started.drain()
                     }
@@ -169,15 +169,15 @@
         running: Controller,
     ) {
         if (lives != life || core == null) return
-        if (pauseLeftMs > 0) return world.after(pauseLeftMs) { tick(life, running) }
+        if (pauseLeftMs > 0) return time.after(pauseLeftMs) { tick(life, running) }
         running.offer(ControllerEvent.Tick)
         for (peer in peers()) {
             if (peer === this) continue
             val heartbeat = running.heartbeat()
-            trace?.heartbeat(world.nowMs, label, heartbeat)
+            trace?.heartbeat(time.nowMs, label, heartbeat)
             deliver(peer, usualMs = 0) { it.offer(ControllerEvent.PeerHeartbeatReceived(heartbeat)) }
         }
-        world.after(50) { tick(life, running) }
+        time.after(50) { tick(life, running) }
     }
 
     private val heldUntil = HashMap<SimNode, Long>()
@@ -190,14 +190,14 @@
     ) {
         if (!reaches(peer)) return
         val until = heldUntil[peer] ?: 0L
-        if (weather.heldFrames > 0.0 && world.nowMs >= until && world.chance(weather.heldFrames)) {
-            heldUntil[peer] = world.nowMs + world.between(2_000, 20_000)
+        if (weather.heldFrames > 0.0 && time.nowMs >= until && time.chance(weather.heldFrames)) {
+            heldUntil[peer] = time.nowMs + time.between(2_000, 20_000)
         }
-        val delayMs = maxOf((heldUntil[peer] ?: 0L) - world.nowMs, usualMs)
+        val delayMs = maxOf((heldUntil[peer] ?: 0L) - time.nowMs, usualMs)
         if (delayMs == 0L) {
             peer.core?.let(frame)
         } else {
-            world.after(delayMs) { if (reaches(peer)) peer.core?.let(frame) }
+            time.after(delayMs) { if (reaches(peer)) peer.core?.let(frame) }
         }
     }
 
@@ -210,20 +210,20 @@
     }
 
     override fun receive(
-        report: WorkerHeartbeat,
+        workerHeartbeat: WorkerHeartbeat,
         answer: (HeartbeatResponse?) -> Unit,
     ) {
         val running = core
 
-        fun isCut() = cut || withoutWorkers || weather.apart(zone, report.zone)
+        fun isCut() = cut || withoutWorkers || weather.apart(zone, workerHeartbeat.zone)
 
         if (isCut()) return
         if (running == null) {
             answer(null)
         } else {
             running.offer(
-                ControllerEvent.Heartbeat(report) {
-                    trace?.reportAnswer(world.nowMs, label, report, it)
+                ControllerEvent.Heartbeat(workerHeartbeat) {
+                    trace?.reportAnswer(time.nowMs, label, workerHeartbeat, it)
                     if (!isCut()) answer(it)
                 },
             )
@@ -247,7 +247,7 @@
             deliver(peer, usualMs = 1) { it.offer(ControllerEvent.CancellationNoticeReceived(notice)) }
         }
 
-        override fun heartbeatChanged() = Unit
+        override fun broadcastHeartbeat() = Unit
 
         override fun status(
             endpoint: Address,
@@ -257,15 +257,15 @@
             val isCut = cut || withoutWorkers || weather.apart(zone, worker?.zone)
             if (isCut || worker == null || !worker.alive) return settle(TIMEOUT_MS, null, done)
             var answered = false
-            world.after(world.between(1, 15)) {
-                worker.status { report ->
+            time.after(time.between(1, 15)) {
+                worker.status { workerHeartbeat ->
                     if (!answered) {
                         answered = true
-                        settle(world.between(1, 15), report, done)
+                        settle(time.between(1, 15), workerHeartbeat, done)
                     }
                 }
             }
-            world.after(TIMEOUT_MS) {
+            time.after(TIMEOUT_MS) {
                 if (!answered) {
                     answered = true
                     settle(0, null, done)
@@ -278,7 +278,7 @@
             outcome: T,
             done: (T) -> Unit,
         ) {
-            world.after(delayMs) { if (lives == life) core?.offer(ControllerEvent.CallCompleted { done(outcome) }) }
+            time.after(delayMs) { if (lives == life) core?.offer(ControllerEvent.CallCompleted { done(outcome) }) }
         }
 
         /** A call whose request or answer may be lost, and whose request may be executed late. */
@@ -289,20 +289,20 @@
             done: (T) -> Unit,
             execute: () -> T,
         ) {
-            if (cut || !reachable()) return settle(world.between(1, 10), away, done)
-            if (world.chance(weather.late)) {
+            if (cut || !reachable()) return settle(time.between(1, 10), away, done)
+            if (time.chance(weather.late)) {
                 settle(TIMEOUT_MS, lost, done)
-                world.after(world.between(TIMEOUT_MS / 2, weather.lateMs)) { if (reachable()) execute() }
+                time.after(time.between(TIMEOUT_MS / 2, weather.lateMs)) { if (reachable()) execute() }
                 return
             }
-            if (world.chance(weather.lost)) return settle(TIMEOUT_MS, lost, done)
-            world.after(world.between(1, 5)) {
+            if (time.chance(weather.lost)) return settle(TIMEOUT_MS, lost, done)
+            time.after(time.between(1, 5)) {
                 if (!reachable()) {
                     settle(1, away, done)
                 } else {
                     val outcome = execute()
-                    val answerLost = world.chance(weather.lost)
-                    settle(if (answerLost) TIMEOUT_MS else world.between(1, 5), if (answerLost) lost else outcome, done)
+                    val answerLost = time.chance(weather.lost)
+                    settle(if (answerLost) TIMEOUT_MS else time.between(1, 5), if (answerLost) lost else outcome, done)
                 }
             }
         }
@@ -317,29 +317,29 @@
             done: (CommitOutcome) -> Unit,
         ) {
             if (runsOld && transaction.changes.any { OldVersion.ignores(it.key) }) {
-                return settle(world.between(1, 10), CommitOutcome.Applied(0), done)
+                return settle(time.between(1, 10), CommitOutcome.Applied(0), done)
             }
             val written = if (runsOld) OldVersion.writes(transaction) else transaction
-            val atOnce = world.chance(weather.unansweredWrites)
-            if (stateUp() && !cut && (atOnce || world.chance(weather.lateWrites))) {
+            val atOnce = time.chance(weather.unansweredWrites)
+            if (stateUp() && !cut && (atOnce || time.chance(weather.lateWrites))) {
                 settle(TIMEOUT_MS, CommitOutcome.Unanswered, done)
-                val delayMs = if (atOnce) world.between(1, 5) else world.between(2_000, 12_000)
-                return world.after(delayMs) { if (!store.down) store.commit(written) }
+                val delayMs = if (atOnce) time.between(1, 5) else time.between(2_000, 12_000)
+                return time.after(delayMs) { if (!store.down) store.commit(written) }
             }
-            if (happens(weather.refusedWrites)) return settle(world.between(1, 10), CommitOutcome.Refused, done)
+            if (happens(weather.refusedWrites)) return settle(time.between(1, 10), CommitOutcome.Refused, done)
             if (stateUp() && !cut && happens(weather.slowAnswers)) return commitAnsweredLate(written, done)
             call(::stateUp, CommitOutcome.Refused, CommitOutcome.Unanswered, done) { store.commit(written) }
         }
 
         /** Draws no number for a trouble that the day doesn't have, so that other days stay what they were. */
-        private fun happens(share: Double): Boolean = share > 0.0 && world.chance(share)
+        private fun happens(share: Double): Boolean = share > 0.0 && time.chance(share)
 
         private fun commitAnsweredLate(
             transaction: Transaction,
             done: (CommitOutcome) -> Unit,
-        ) = world.after(world.between(1, 5)) {
+        ) = time.after(time.between(1, 5)) {
             val outcome = if (store.down) CommitOutcome.Refused else store.commit(transaction)
-            settle(world.between(50, 1_500), outcome, done)
+            settle(time.between(50, 1_500), outcome, done)
         }
 
         override fun readPage(
@@ -348,7 +348,7 @@
             done: (ReadPage?) -> Unit,
         ) {
             val slow = weather.slowPages ?: return readNow(prefix, after, done)
-            world.after(world.between(slow)) { readNow(prefix, after, done) }
+            time.after(time.between(slow)) { readNow(prefix, after, done) }
         }
 
         private fun readNow(
@@ -375,10 +375,10 @@
             store.watch(prefix, from, waitMs) { outcome ->
                 if (!answered && stateUp() && !cut && !holdsWatch) {
                     answered = true
-                    settle(world.between(1, 5), seen(outcome), done)
+                    settle(time.between(1, 5), seen(outcome), done)
                 }
             }
-            world.after(waitMs + TIMEOUT_MS) {
+            time.after(waitMs + TIMEOUT_MS) {
                 if (!answered) {
                     answered = true
                     settle(0, ChangesOutcome.Failed, done)
@@ -393,17 +393,17 @@
                 outcome
             }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
-        ) = call<Long?>(::stateUp, null, null, done) { store.grant(lifeMs) }
+        ) = call<Long?>(::stateUp, null, null, done) { store.grantLease(ttlMs) }
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
-        ) = call(::stateUp, TouchOutcome.FAILED, TouchOutcome.FAILED, done) { store.touch(lease) }
+            done: (LeaseRenewalOutcome) -> Unit,
+        ) = call(::stateUp, LeaseRenewalOutcome.FAILED, LeaseRenewalOutcome.FAILED, done) { store.keepLeaseAlive(lease) }
 
-        override fun release(lease: Long) = call(::stateUp, Unit, Unit, {}) { store.release(lease) }
+        override fun revokeLease(lease: Long) = call(::stateUp, Unit, Unit, {}) { store.revokeLease(lease) }
 
         private fun cloudUp() = !cloud.down && !withoutCloud && !weather.apart(zone, null)
 
@@ -431,33 +431,33 @@
             token: FencingToken,
             incarnation: Long,
             commands: List<WorkerCommand>,
-            done: (DirectOutcome) -> Unit,
+            done: (CommandOutcome) -> Unit,
         ) {
             val worker = endpoints(endpoint)
             val isCut = cut || withoutWorkers || weather.apart(zone, worker?.zone)
-            if (isCut || worker == null || !worker.alive) return settle(TIMEOUT_MS, DirectOutcome.NotSent, done)
+            if (isCut || worker == null || !worker.alive) return settle(TIMEOUT_MS, CommandOutcome.NotSent, done)
             var answered = false
-            val isLate = world.chance(weather.late)
-            val delay = if (isLate) world.between(TIMEOUT_MS, weather.lateMs) else world.between(1, 15)
-            world.after(delay) {
-                worker.direct(token, incarnation, commands) { report, executed ->
-                    if (!answered && !world.chance(weather.lost)) {
+            val isLate = time.chance(weather.late)
+            val delay = if (isLate) time.between(TIMEOUT_MS, weather.lateMs) else time.between(1, 15)
+            time.after(delay) {
+                worker.direct(token, incarnation, commands) { workerHeartbeat, executed ->
+                    if (!answered && !time.chance(weather.lost)) {
                         answered = true
-                        settle(world.between(1, 15), DirectOutcome.Answered(report, executed), done)
+                        settle(time.between(1, 15), CommandOutcome.Answered(workerHeartbeat, executed), done)
                     }
                 }
             }
-            world.after(TIMEOUT_MS) {
+            time.after(TIMEOUT_MS) {
                 if (!answered) {
                     answered = true
-                    settle(0, DirectOutcome.Unanswered, done)
+                    settle(0, CommandOutcome.Unanswered, done)
                 }
             }
         }
     }
 
     private inner class Counting : Meters {
-        override fun planned(
+        override fun recordPlan(
             nanos: Long,
             priced: Int,
         ) {
@@ -465,16 +465,16 @@
             this@SimNode.priced += priced
         }
 
-        override fun stepped(nanos: Long) = Unit
+        override fun recordStep(nanos: Long) = Unit
 
-        override fun waited(millis: Long) = Unit
+        override fun recordQueueDelay(millis: Long) = Unit
 
-        override fun committed(millis: Long) = Unit
+        override fun recordCommit(millis: Long) = Unit
 
-        override fun refused(reason: String) = Unit
+        override fun recordRefusal(reason: String) = Unit
 
-        override fun violated(invariant: Invariant): Nothing =
-            throw AssertionError("${world.nowMs} ms $label: ${invariant.label} is violated")
+        override fun recordViolation(invariant: Invariant): Nothing =
+            throw AssertionError("${time.nowMs} ms $label: ${invariant.label} is violated")
     }
 
     private companion object {
--- a/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
@@ -4,7 +4,7 @@
 import oxbowlug.soak.FaultKind
 import oxbowlug.soak.FaultSchedule
 import oxbowlug.soak.LostAnswers
-import oxbowlug.soak.drawRunning
+import oxbowlug.soak.drawRunningJobs
 import oxbowlug.standin.SimWorker
 
 /** Plays a drawn schedule of faults on virtual time. */
@@ -12,11 +12,11 @@
     private val day: Simulation,
     private val leaseMs: Long,
 ) {
-    private val world = day.world
+    private val time = day.time
     private val weather = day.weather
 
     fun play(schedule: FaultSchedule) {
-        for (fault in schedule.faults) world.after(fault.atMs - world.nowMs) { begin(fault) }
+        for (fault in schedule.faults) time.after(fault.atMs - time.nowMs) { begin(fault) }
     }
 
     private fun begin(fault: Fault) {
@@ -27,8 +27,8 @@
             FaultKind.KILL_CONTROLLER -> kill(listOf(node), fault)
             FaultKind.KILL_LEADER -> kill(listOf(leader), fault)
             FaultKind.KILL_ALL_CONTROLLERS -> kill(day.nodes, fault)
-            FaultKind.PAUSE_CONTROLLER -> node.pausedUntil = world.nowMs + fault.forMs
-            FaultKind.PAUSE_LEADER -> leader.pausedUntil = world.nowMs + fault.forMs
+            FaultKind.PAUSE_CONTROLLER -> node.pausedUntil = time.nowMs + fault.forMs
+            FaultKind.PAUSE_LEADER -> leader.pausedUntil = time.nowMs + fault.forMs
             FaultKind.CUT_CONTROLLER_FROM_STATE -> hold(fault) { node.withoutState = it }
             FaultKind.CUT_LEADER_FROM_STATE -> hold(fault) { leader.withoutState = it }
             FaultKind.CUT_LEADER_FROM_STATE_AND_PEERS -> hold(fault) { leader.isolate(it) }
@@ -42,25 +42,25 @@
             FaultKind.CUT_ZONE -> hold(fault) { if (it) weather.cutZones.add(zone) else weather.cutZones.remove(zone) }
             FaultKind.STATE_OUTAGE -> hold(fault) { day.store.down = it }
             FaultKind.CLOUD_OUTAGE -> hold(fault) { day.cloud.down = it }
-            FaultKind.HOLD_LEADER_WATCH -> hold(fault) { leader.holdsWatch = it }
+            FaultKind.DROP_LEADER_WATCH_ANSWERS -> hold(fault) { leader.holdsWatch = it }
             FaultKind.REFUSE_WRITES -> hold(fault) { weather.refusedWrites = if (it) OFTEN else 0.0 }
             FaultKind.SLOW_WRITE_ANSWERS -> hold(fault) { weather.slowAnswers = if (it) OFTEN else 0.0 }
             FaultKind.LOSE_WRITE_ANSWERS -> hold(fault) { weather.unansweredWrites = if (it) OFTEN else 0.0 }
             FaultKind.DELAY_WRITES -> hold(fault) { weather.lateWrites = if (it) OFTEN else 0.0 }
-            FaultKind.FORGET_CHANGES -> day.store.forgetChanges()
+            FaultKind.DISCARD_CHANGE_HISTORY -> day.store.discardChangeHistory()
             FaultKind.LOSE_MESSAGES -> hold(fault) { weather.lost = if (it) SELDOM else 0.0 }
             FaultKind.DELAY_MESSAGES -> hold(fault) { weather.late = if (it) SELDOM else 0.0 }
-            FaultKind.REPEAT_REPORTS -> hold(fault) { weather.lateReports = if (it) OFTEN else 0.0 }
-            FaultKind.REPEAT_REPORTS_TO_NEXT_LEADER -> hold(fault) { weather.reportsForNext = if (it) SELDOM else 0.0 }
-            FaultKind.HOLD_PEER_FRAMES -> hold(fault) { weather.heldFrames = if (it) SELDOM / 10 else 0.0 }
-            FaultKind.DEAF_WORKERS -> some(fault).forEach { it.unresponsiveUntil = world.nowMs + fault.forMs }
-            FaultKind.MUTE_WORKERS -> some(fault).forEach { it.muteUntil = world.nowMs + fault.forMs }
-            FaultKind.HANG_WORKERS -> some(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
-            FaultKind.UNANSWERED_THEN_MUTE_WORKERS -> some(fault).forEach { LostAnswers(world, leaseMs).begin(it) }
+            FaultKind.DUPLICATE_HEARTBEATS -> hold(fault) { weather.lateReports = if (it) OFTEN else 0.0 }
+            FaultKind.REPLAY_OLD_HEARTBEATS -> hold(fault) { weather.reportsForNext = if (it) SELDOM else 0.0 }
+            FaultKind.STALL_PEER_LINKS -> hold(fault) { weather.heldFrames = if (it) SELDOM / 10 else 0.0 }
+            FaultKind.UNRESPONSIVE_WORKERS -> some(fault).forEach { it.unresponsiveUntil = time.nowMs + fault.forMs }
+            FaultKind.LOSE_HEARTBEATS -> some(fault).forEach { it.heartbeatsLostUntil = time.nowMs + fault.forMs }
+            FaultKind.HANG_WORKERS -> some(fault).forEach { it.hungUntil = time.nowMs + fault.forMs }
+            FaultKind.LOSE_ANSWERS_THEN_HEARTBEATS -> some(fault).forEach { LostAnswers(time, leaseMs).begin(it) }
             FaultKind.CANCEL_RUNNING -> cancelRunning(fault)
             FaultKind.CANCEL_RUNNING_AND_HANG ->
                 cancelRunning(fault).forEach {
-                    it.hungUntil = world.nowMs + fault.forMs
+                    it.hungUntil = time.nowMs + fault.forMs
                 }
         }
     }
@@ -75,7 +75,7 @@
         set: (Boolean) -> Unit,
     ) {
         set(true)
-        world.after(fault.forMs) { set(false) }
+        time.after(fault.forMs) { set(false) }
     }
 
     private fun kill(
@@ -84,18 +84,18 @@
     ) {
         val running = nodes.filter { it.isUp }
         running.forEach { it.crash() }
-        world.after(fault.forMs) { running.filterNot { it.isUp }.forEach { it.start() } }
+        time.after(fault.forMs) { running.filterNot { it.isUp }.forEach { it.start() } }
     }
 
     private fun some(fault: Fault): List<SimWorker> =
         day.cloud.workers
-            .shuffled(world.random)
+            .shuffled(time.random)
             .take(1 + fault.target % MOST_WORKERS)
 
     /** Returns the machines that hold what is called off. */
     private fun cancelRunning(fault: Fault): Set<SimWorker> {
-        val calledOff = drawRunning(day.cloud.workers, 1 + fault.target % MOST_JOBS, world.random)
-        for (id in calledOff.keys) world.after(world.between(0, 500)) { day.cancel(id) }
+        val calledOff = drawRunningJobs(day.cloud.workers, 1 + fault.target % MOST_JOBS, time.random)
+        for (id in calledOff.keys) time.after(time.between(0, 500)) { day.cancel(id) }
         return calledOff.values.flatten().toSet()
     }
 
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -14,13 +14,13 @@
 import oxbowlug.record.Keys
 import oxbowlug.request.UserResponse
 import oxbowlug.standin.HeartbeatPacing
-import oxbowlug.standin.JobBook
-import oxbowlug.standin.Rules
+import oxbowlug.standin.SimJobs
+import oxbowlug.standin.InvariantChecker
 import oxbowlug.standin.SimCloud
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
-import oxbowlug.standin.names
+import oxbowlug.standin.VirtualTime
+import oxbowlug.standin.isAttemptStored
 import oxbowlug.wire.AttemptId
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.ImageName
@@ -67,8 +67,8 @@
     seed: Long,
     private val policy: Policy = Policy(),
     private val shape: Shape = Shape(),
-) : JobBook {
-    val world = World(seed)
+) : SimJobs {
+    val time = VirtualTime(seed)
     private val pacing = HeartbeatPacing.Fixed(shape.reportMs)
     val weather = Weather()
     val zones = shape.zones.map(::Zone)
@@ -77,16 +77,16 @@
             MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, zones),
             MachineType(TypeName("c32"), 32.0, 0.0, 128.0, 35.0, 0.5, 1.2, 0.5, 5.0, zones),
         )
-    val store = SimStore(world, shape.keptChanges)
-    val cloud = SimCloud(world, types, shape.capacity, LIST_LAG_MS, ::makeWorker)
+    val store = SimStore(time, shape.keptChanges)
+    val cloud = SimCloud(time, types, shape.capacity, LIST_LAG_MS, ::makeWorker)
 
     /** Machines are up after this long instead of their types' time. */
     var bootMs: Long? by cloud::bootMs
-    val rules = Rules(world, shape.teamLimits, CANCEL_MS, store::names)
-    val serving = Serving(world, rules, { cloud.workers }, shape.teamLimits, shape.calmFromMs)
+    val checker = InvariantChecker(time, shape.teamLimits, CANCEL_MS, store::isAttemptStored)
+    val serving = Serving(time, checker, { cloud.workers }, shape.teamLimits, shape.calmFromMs)
     val nodes: List<SimNode> =
         List(shape.nodes) { index ->
-            SimNode(world, settings(index), store, cloud, weather, ::byEndpoint, ::peers)
+            SimNode(time, settings(index), store, cloud, weather, ::byEndpoint, ::peers)
         }
     private val runMs = HashMap<String, Long>()
     private var submitted = 0
@@ -96,18 +96,18 @@
             cloud.add(MachineId("host-9%05d".format(index)), types[0], zones[index % zones.size], false, 1000L)
         }
         var nextCheckAt = 0L
-        world.afterStep = {
-            if (world.nowMs >= nextCheckAt) {
-                nextCheckAt = world.nowMs + shape.checkEveryMs
-                rules.check(cloud.workers)
+        time.afterEvent = {
+            if (time.nowMs >= nextCheckAt) {
+                nextCheckAt = time.nowMs + shape.checkEveryMs
+                checker.check(cloud.workers)
             }
         }
-        for (node in nodes) world.after(world.between(0, 300)) { node.start() }
-        world.every(100) { bringKept() }
-        world.every(1_000) { rules.checkStored(cloud.workers) }
+        for (node in nodes) time.after(time.between(0, 300)) { node.start() }
+        time.every(100) { bringKept() }
+        time.every(1_000) { checker.checkStored(cloud.workers) }
         serving.watch()
         repeat(shape.jobsAtStart) {
-            world.after(world.between(2_000, 6_000)) { submitNext() }
+            time.after(time.between(2_000, 6_000)) { submitNext() }
         }
     }
 
@@ -128,18 +128,18 @@
         type: MachineType,
         zone: Zone,
         spot: Boolean,
-    ) = SimWorker(world, this, { nodes }, id, type, zone, spot, shape.leaseMs, pacing, ::copied)
+    ) = SimWorker(time, this, { nodes }, id, type, zone, spot, shape.leaseMs, pacing, ::copied)
 
     private val kept = ArrayList<WorkerHeartbeat>()
     private var lastLeader: Any? = null
 
     private fun copied(report: WorkerHeartbeat) {
-        if (world.chance(weather.lateReports)) {
-            world.after(world.between(2_000, shape.leaseMs * 2)) {
-                nodes[world.random.nextInt(nodes.size)].receive(report) {}
+        if (time.chance(weather.lateReports)) {
+            time.after(time.between(2_000, shape.leaseMs * 2)) {
+                nodes[time.random.nextInt(nodes.size)].receive(report) {}
             }
         }
-        if (world.chance(weather.reportsForNext)) kept.add(report)
+        if (time.chance(weather.reportsForNext)) kept.add(report)
     }
 
     /** Old reports reach every controller just as another one begins to lead. */
@@ -148,19 +148,19 @@
         if (present == lastLeader) return
         lastLeader = present
         for (report in kept) {
-            for (node in nodes) world.after(world.between(0, 1_000)) { node.receive(report) {} }
+            for (node in nodes) time.after(time.between(0, 1_000)) { node.receive(report) {} }
         }
         kept.clear()
     }
 
-    override fun spec(job: String): JobSpec? = rules.jobs[job]?.spec
+    override fun spec(job: String): JobSpec? = checker.jobs[job]?.spec
 
     override fun runMs(job: String): Long = runMs.getValue(job)
 
     override fun onStarted(
         machine: SimWorker,
         attempt: AttemptId,
-    ) = rules.started(machine, attempt)
+    ) = checker.started(machine, attempt)
 
     /** Share of the tasks' ends at which the job is called off in the same moment, the last ones above all. */
     var cancelsAtEnd = 0.0
@@ -169,10 +169,10 @@
     var onAnyDone: () -> Unit = {}
 
     override fun onDone(attempt: AttemptId) {
-        rules.done(attempt)
+        checker.done(attempt)
         onAnyDone()
         val id = attempt.task.job.value
-        if (world.chance(cancelsAtEnd)) world.after(world.between(0, 400)) { cancel(id) }
+        if (time.chance(cancelsAtEnd)) time.after(time.between(0, 400)) { cancel(id) }
     }
 
     private fun settings(index: Int) =
@@ -188,7 +188,7 @@
             cloudAddress = Address("127.0.0.1", 8443),
             stateAddress = Address("127.0.0.1", 2379),
             zones = zones,
-            skewMs = 100.0,
+            maxClockSkewMs = 100.0,
             teams =
                 shape.teamLimits
                     .map { (name, limit) ->
@@ -207,8 +207,8 @@
         everyMs: Long,
         untilMs: Long,
     ) {
-        world.after(world.between(everyMs / 2, everyMs * 3 / 2)) {
-            if (world.nowMs < untilMs) {
+        time.after(time.between(everyMs / 2, everyMs * 3 / 2)) {
+            if (time.nowMs < untilMs) {
                 submitNext()
                 users(everyMs, untilMs)
             }
@@ -226,8 +226,8 @@
         untilMs: Long,
         cancelled: Double = 0.2,
     ) {
-        world.after(world.between(everyMs / 2, everyMs * 3 / 2)) {
-            if (world.nowMs < untilMs) {
+        time.after(time.between(everyMs / 2, everyMs * 3 / 2)) {
+            if (time.nowMs < untilMs) {
                 submitPipeline("pipe-%04d".format(pipelines++), cancelled)
                 pipelines(everyMs, untilMs, cancelled)
             }
@@ -244,11 +244,11 @@
         val stages = listOf(first) + second + last
         submit(first)
         for (next in second) submitAfter(next)
-        if (world.chance(0.2)) world.after(30_000) { submitAfter(last) } else submitAfter(last)
-        if (world.chance(cancelled)) {
-            val preemptedTask = stages[world.random.nextInt(stages.size)].id.value
-            world.after(world.between(500, 25_000)) {
-                if (rules.jobs[preemptedTask]?.accepted == true) cancel(preemptedTask)
+        if (time.chance(0.2)) time.after(30_000) { submitAfter(last) } else submitAfter(last)
+        if (time.chance(cancelled)) {
+            val preemptedTask = stages[time.random.nextInt(stages.size)].id.value
+            time.after(time.between(500, 25_000)) {
+                if (checker.jobs[preemptedTask]?.accepted == true) cancel(preemptedTask)
             }
         }
     }
@@ -262,7 +262,7 @@
             className = ClassName("stage"),
             kind = JobKind.ARRAY,
             priority = Priority.LOW,
-            tasks = 1 + world.random.nextInt(12),
+            tasks = 1 + time.random.nextInt(12),
             cores = 16.0,
             gpus = 0.0,
             types = null,
@@ -270,19 +270,19 @@
             spread = false,
             oneZone = false,
             spot = true,
-            estimateS = 4.0,
+            runEstimateS = 4.0,
             deadlineS = null,
             dependsOn = needs.map { it.id },
         )
 
     private fun submitAfter(spec: JobSpec) {
         if (spec.dependsOn.all {
-                rules.jobs[it.value]?.accepted == true
+                checker.jobs[it.value]?.accepted == true
             }
         ) {
             submit(spec)
         } else {
-            world.after(50) { submitAfter(spec) }
+            time.after(50) { submitAfter(spec) }
         }
     }
 
@@ -290,56 +290,56 @@
 
     fun submit(
         spec: JobSpec,
-        taskMs: Long = world.between(2_000, 15_000),
+        taskMs: Long = time.between(2_000, 15_000),
     ) {
         val id = spec.id.value
-        rules.jobs[id] = Rules.Known(spec)
+        checker.jobs[id] = InvariantChecker.Known(spec)
         runMs[id] = taskMs
         trySubmit(spec)
         if (spec.kind == JobKind.SERVICE) {
-            world.after(world.between(shape.serviceMs.first, shape.serviceMs.last)) { cancel(id) }
+            time.after(time.between(shape.serviceMs.first, shape.serviceMs.last)) { cancel(id) }
         }
     }
 
     private fun trySubmit(spec: JobSpec) {
         val id = spec.id.value
-        val askedMs = world.nowMs
+        val askedMs = time.nowMs
         ask({ answer -> ControllerEvent.Submit(spec, answer) }) { answer ->
-            if (answer != null) rules.told(id, answer, askedMs)
+            if (answer != null) checker.observed(id, answer, askedMs)
             if (answer is UserResponse.Accepted || answer is UserResponse.Known) lookClosely(spec)
             when (answer) {
                 is UserResponse.Accepted, is UserResponse.Known -> poll(id)
-                else -> world.after(1000) { trySubmit(spec) }
+                else -> time.after(1000) { trySubmit(spec) }
             }
         }
     }
 
     private fun poll(id: String) {
-        world.after(world.between(1500, 2500)) {
-            val askedMs = world.nowMs
+        time.after(time.between(1500, 2500)) {
+            val askedMs = time.nowMs
             ask({ answer -> ControllerEvent.Poll(JobId(id), answer) }) { answer ->
-                if (answer != null) rules.told(id, answer, askedMs)
-                val told = rules.jobs.getValue(id).told
-                val isFinal = told == oxbowlug.wire.JobState.DONE || told == oxbowlug.wire.JobState.CANCELLED
-                if (isFinal) rules.jobs[id]?.let { lookClosely(it.spec) }
+                if (answer != null) checker.observed(id, answer, askedMs)
+                val observed = checker.jobs.getValue(id).observed
+                val isFinal = observed == oxbowlug.wire.JobState.DONE || observed == oxbowlug.wire.JobState.CANCELLED
+                if (isFinal) checker.jobs[id]?.let { lookClosely(it.spec) }
                 // Now and then a user asks again long after the end.
                 if (!isFinal) {
                     poll(id)
-                } else if (world.chance(0.5)) {
-                    world.after(20_000) { poll(id) }
+                } else if (time.chance(0.5)) {
+                    time.after(20_000) { poll(id) }
                 }
             }
         }
     }
 
     fun cancel(id: String) {
-        val job = rules.jobs.getValue(id)
-        job.askedToCancel = true
-        val askedMs = world.nowMs
+        val job = checker.jobs.getValue(id)
+        job.cancelRequested = true
+        val askedMs = time.nowMs
         ask({ answer -> ControllerEvent.Cancel(JobId(id), answer) }) { answer ->
-            if (answer != null) rules.told(id, answer, askedMs)
+            if (answer != null) checker.observed(id, answer, askedMs)
             if (answer is UserResponse.Known) lookClosely(job.spec)
-            if (answer !is UserResponse.Known && job.accepted) world.after(1000) { cancel(id) }
+            if (answer !is UserResponse.Known && job.accepted) time.after(1000) { cancel(id) }
         }
     }
 
@@ -349,10 +349,10 @@
         id: String,
         whenTold: () -> Unit = {},
     ) {
-        rules.jobs.getValue(id).askedToCancel = true
-        val askedMs = world.nowMs
+        checker.jobs.getValue(id).cancelRequested = true
+        val askedMs = time.nowMs
         val tell: (UserResponse) -> Unit = {
-            rules.told(id, it, askedMs)
+            checker.observed(id, it, askedMs)
             whenTold()
         }
         node.ask(ControllerEvent.Cancel(JobId(id), tell))
@@ -366,22 +366,22 @@
 
     fun pollUnknown(
         id: String,
-        told: (UserResponse?) -> Unit,
-    ) = ask({ ControllerEvent.Poll(JobId(id), it) }, told)
+        observed: (UserResponse?) -> Unit,
+    ) = ask({ ControllerEvent.Poll(JobId(id), it) }, observed)
 
     /** Users ask every controller within milliseconds of an answer, and repeat the submission; some cancel at once. */
     var closeLooks = 0.0
 
     private fun lookClosely(spec: JobSpec) {
-        if (!world.chance(closeLooks)) return
+        if (!time.chance(closeLooks)) return
         val id = spec.id.value
         repeat(3) { round ->
             for (node in nodes) {
-                world.after(world.between(0, 30) + round * 40L) {
-                    val askedMs = world.nowMs
-                    val tell: (UserResponse) -> Unit = { rules.told(id, it, askedMs) }
+                time.after(time.between(0, 30) + round * 40L) {
+                    val askedMs = time.nowMs
+                    val tell: (UserResponse) -> Unit = { checker.observed(id, it, askedMs) }
                     node.ask(
-                        if (world.chance(
+                        if (time.chance(
                                 0.7,
                             )
                         ) {
@@ -393,53 +393,53 @@
                 }
             }
         }
-        if (world.chance(0.1)) cancel(id)
+        if (time.chance(0.1)) cancel(id)
     }
 
     /** One request through the load balancer: null when nobody answered in time. */
     private fun ask(
         command: ((UserResponse) -> Unit) -> ControllerEvent,
-        told: (UserResponse?) -> Unit,
+        observed: (UserResponse?) -> Unit,
     ) {
         val up = nodes.filter { it.isUp && !it.isAway }
         var answered = false
         val reply: (UserResponse?) -> Unit = { answer ->
             if (!answered) {
                 answered = true
-                userTrace?.userAnswer(world.nowMs, answer)
-                told(answer)
+                userTrace?.userAnswer(time.nowMs, answer)
+                observed(answer)
             }
         }
-        if (up.isNotEmpty()) up[world.random.nextInt(up.size)].ask(command { reply(it) })
-        world.after(5000) { reply(null) }
+        if (up.isNotEmpty()) up[time.random.nextInt(up.size)].ask(command { reply(it) })
+        time.after(5000) { reply(null) }
     }
 
     fun randomSpec(id: String): JobSpec {
-        val isService = world.chance(0.5)
-        val needsGpu = world.chance(0.7)
+        val isService = time.chance(0.5)
+        val needsGpu = time.chance(0.7)
         return JobSpec(
             id = JobId(id),
             className = ClassName(if (isService) "serving" else "nightly"),
-            team = TeamName(if (world.chance(0.5)) "red" else "blue"),
+            team = TeamName(if (time.chance(0.5)) "red" else "blue"),
             kind = if (isService) JobKind.SERVICE else JobKind.ARRAY,
-            priority = if (isService) Priority.entries[world.random.nextInt(2)] else Priority.NORMAL,
-            tasks = 1 + world.random.nextInt(if (isService) shape.largestService else shape.largestArray),
+            priority = if (isService) Priority.entries[time.random.nextInt(2)] else Priority.NORMAL,
+            tasks = 1 + time.random.nextInt(if (isService) shape.largestService else shape.largestArray),
             cores = 4.0,
-            gpus = if (needsGpu) 1.0 + world.random.nextInt(2) else 0.0,
+            gpus = if (needsGpu) 1.0 + time.random.nextInt(2) else 0.0,
             memoryGb = 16.0,
-            image = ImageName("img-${world.random.nextInt(4)}"),
+            image = ImageName("img-${time.random.nextInt(4)}"),
             imageGb = 2.0,
-            types = if (world.chance(0.3)) listOf(TypeName("g8")) else null,
-            zone = if (world.chance(0.1)) zones[world.random.nextInt(zones.size)] else null,
+            types = if (time.chance(0.3)) listOf(TypeName("g8")) else null,
+            zone = if (time.chance(0.1)) zones[time.random.nextInt(zones.size)] else null,
             oneZone = false,
             spread = false,
             spot = !isService,
-            estimateS = if (isService) 0.0 else 8.0,
+            runEstimateS = if (isService) 0.0 else 8.0,
             checkpointS = if (isService) 0.0 else 3.0,
             saveS = if (isService) 0.0 else 1.0,
             deadlineS = if (isService) null else 60.0,
         ).let { spec ->
-            when (world.random.nextInt(4)) {
+            when (time.random.nextInt(4)) {
                 0 -> spec.copy(spread = true, zone = null)
                 1 -> spec.copy(oneZone = true)
                 else -> spec
@@ -447,9 +447,9 @@
         }
     }
 
-    fun randomWorker(): SimWorker? = cloud.workers.takeIf { it.isNotEmpty() }?.let { it[world.random.nextInt(it.size)] }
+    fun randomWorker(): SimWorker? = cloud.workers.takeIf { it.isNotEmpty() }?.let { it[time.random.nextInt(it.size)] }
 
-    fun run(untilMs: Long) = world.runUntil(untilMs)
+    fun run(untilMs: Long) = time.runUntil(untilMs)
 
     companion object {
         const val CANCEL_MS = 30_000L
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -33,13 +33,13 @@
             simulation.users(everyMs = 2500, untilMs = 90_000)
             scenario.setUp(simulation)
             var unknownJobResponse: UserResponse? = null
-            simulation.world.after(200_000) { simulation.pollUnknown("run-999999") { unknownJobResponse = it } }
+            simulation.time.after(200_000) { simulation.pollUnknown("run-999999") { unknownJobResponse = it } }
             simulation.run(260_000)
-            assertEquals(emptyList<String>(), simulation.rules.broken.take(5), "$scenario, seed $seed")
-            assertTrue(simulation.rules.starts > 20, "$scenario, seed $seed: only ${simulation.rules.starts} starts")
-            assertEquals(emptyList<String>(), simulation.serving.broken.take(5), "$scenario, seed $seed")
+            assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), "$scenario, seed $seed")
+            assertTrue(simulation.checker.starts > 20, "$scenario, seed $seed: only ${simulation.checker.starts} starts")
+            assertEquals(emptyList<String>(), simulation.serving.ruleViolations.take(5), "$scenario, seed $seed")
             assertEquals(emptyList<String>(), simulation.serving.neglected(), "$scenario, seed $seed")
-            assertEquals(emptyList<String>(), simulation.rules.unfinished(), "$scenario, seed $seed: not served")
+            assertEquals(emptyList<String>(), simulation.checker.unfinished(), "$scenario, seed $seed: not served")
             assertEquals(
                 UserResponse.NotFound,
                 unknownJobResponse,
@@ -59,7 +59,7 @@
         val heartbeat =
             simulation.cloud.workers
                 .first()
-                .sent
+                .recentHeartbeats
                 .last()
         var response: HeartbeatResponse? = null
         simulation.nodes[0].start()
@@ -94,7 +94,7 @@
             fun runningServices() =
                 simulation.cloud.workers
                     .filter { it.zone == cutOffZone }
-                    .flatMap { it.onMachine() }
+                    .flatMap { it.runningTasks() }
                     .filter { simulation.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
                     .map { it.attempt }
                     .toSet()
@@ -110,8 +110,8 @@
             )
             simulation.weather.cutZones.clear()
             simulation.run(200_000)
-            assertEquals(emptyList<String>(), simulation.rules.broken.take(5), "seed $seed")
-            assertEquals(emptyList<String>(), simulation.rules.unfinished(), "seed $seed: not served")
+            assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), "seed $seed")
+            assertEquals(emptyList<String>(), simulation.checker.unfinished(), "seed $seed: not served")
         }
     }
 
@@ -121,7 +121,7 @@
         private fun Simulation.at(
             ms: Long,
             action: Simulation.() -> Unit,
-        ) = world.after(ms) { action() }
+        ) = time.after(ms) { action() }
 
         private fun Simulation.crash(
             index: Int,
@@ -144,7 +144,7 @@
             val node = nodes[leaderIndex()]
             if (node.isUp) {
                 node.crash()
-                world.after(forMs) { node.start() }
+                time.after(forMs) { node.start() }
             }
         }
 
@@ -202,7 +202,7 @@
             forMs: Long,
         ) = at(atMs) {
             cloud.workers
-                .shuffled(world.random)
+                .shuffled(time.random)
                 .take(count)
                 .forEach { it.unresponsiveUntil = atMs + forMs }
         }
@@ -214,9 +214,9 @@
             forMs: Long,
         ) = at(atMs) {
             cloud.workers
-                .shuffled(world.random)
+                .shuffled(time.random)
                 .take(count)
-                .forEach { it.muteUntil = atMs + forMs }
+                .forEach { it.heartbeatsLostUntil = atMs + forMs }
         }
 
         /** Users cancel [count] running jobs within 200 ms; the machines of these jobs hang for [hangMs]. */
@@ -227,10 +227,10 @@
         ) = at(atMs) {
             val running =
                 cloud.workers.flatMap { worker ->
-                    worker.onMachine().map { it.attempt.task.job.value to worker }
+                    worker.runningTasks().map { it.attempt.task.job.value to worker }
                 }
             val cancelled = running.map { it.first }.distinct().take(count)
-            for (id in cancelled) world.after(world.between(0, 200)) { cancel(id) }
+            for (id in cancelled) time.after(time.between(0, 200)) { cancel(id) }
             if (hangMs > 0) running.filter { it.first in cancelled }.forEach { it.second.hungUntil = atMs + hangMs }
         }
 
@@ -243,7 +243,7 @@
                 at(atMs + index * 250) {
                     val spec = randomSpec("small-%06d".format(index)).copy(tasks = 1, spread = false, gpus = 1.0)
                     submit(spec)
-                    if (index % 4 == 0L) world.after(world.between(200, 6_000)) { cancel(spec.id.value) }
+                    if (index % 4 == 0L) time.after(time.between(200, 6_000)) { cancel(spec.id.value) }
                 }
             }
         }
@@ -255,7 +255,7 @@
             val node = nodes[leaderIndex()]
             node.withoutState = true
             node.withoutPeers = true
-            world.after(forMs) {
+            time.after(forMs) {
                 node.withoutState = false
                 node.withoutPeers = false
             }
@@ -267,7 +267,7 @@
             forMs: Long,
         ) = at(atMs) {
             weather.cutZones.add(zones[index])
-            world.after(forMs) { weather.cutZones.remove(zones[index]) }
+            time.after(forMs) { weather.cutZones.remove(zones[index]) }
         }
 
         /** A random worker hangs: it neither sends nor executes anything until it resumes. */
@@ -305,23 +305,23 @@
                     simulation.at(30_000) {
                         val node = nodes[leaderIndex()]
                         node.withoutState = true
-                        world.after(25_000) { node.withoutState = false }
+                        time.after(25_000) { node.withoutState = false }
                     }
                 },
                 Scenario("the leader is cut off from everything") { simulation ->
                     simulation.at(30_000) {
                         val node = nodes[leaderIndex()]
                         node.cut = true
-                        world.after(25_000) { node.cut = false }
+                        time.after(25_000) { node.cut = false }
                     }
                 },
                 Scenario("the leader is cut off from the workers only") { simulation ->
                     simulation.at(30_000) {
                         val node = nodes[leaderIndex()]
                         node.withoutWorkers = true
-                        world.after(25_000) { node.withoutWorkers = false }
+                        time.after(25_000) { node.withoutWorkers = false }
                         // Another controller takes over before the workers' leases expire.
-                        world.after(8_000) {
+                        time.after(8_000) {
                             check(nodes[leaderIndex()] !== node) { "still led by the controller cut off" }
                         }
                     }
@@ -361,8 +361,8 @@
                     repeat(60) { index ->
                         simulation.at(20_000L + index * 1500) {
                             val worker = randomWorker()
-                            val oldHeartbeat = worker?.sent?.firstOrNull()
-                            if (oldHeartbeat != null) nodes[world.random.nextInt(3)].receive(oldHeartbeat) {}
+                            val oldHeartbeat = worker?.recentHeartbeats?.firstOrNull()
+                            if (oldHeartbeat != null) nodes[time.random.nextInt(3)].receive(oldHeartbeat) {}
                         }
                     }
                 },
--- a/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
@@ -28,7 +28,7 @@
         private fun at(
             ms: Long,
             action: () -> Unit,
-        ) = simulation.world.after(ms - simulation.world.nowMs, action)
+        ) = simulation.time.after(ms - simulation.time.nowMs, action)
 
         /** Long tasks in both zones, as an array: a silent machine of an array isn't released early. */
         private fun submitSpread(
@@ -47,7 +47,7 @@
                 oneZone = false,
                 spread = true,
                 spot = false,
-                estimateS = TASK_MS / 1000.0,
+                runEstimateS = TASK_MS / 1000.0,
                 checkpointS = 0.0,
             ),
             TASK_MS,
@@ -59,10 +59,10 @@
             worker = simulation.cloud.workers.first()
             // The worker's heartbeats arrive, but no response or command reaches it until its incarnation has ended.
             // Its heartbeats are lost from shortly before that until shortly before its next lease expires.
-            val leaseExpiryMs = worker.leaseFrom + LEASE_MS + WORKER_TICK_MS
+            val leaseExpiryMs = worker.leaseStartedAt + LEASE_MS + WORKER_TICK_MS
             worker.unresponsiveUntil = leaseExpiryMs
             at(leaseExpiryMs - HEARTBEATS_LOST_BEFORE_MS) {
-                worker.muteUntil = leaseExpiryMs + LEASE_MS - HEARTBEATS_BACK_BEFORE_MS
+                worker.heartbeatsLostUntil = leaseExpiryMs + LEASE_MS - HEARTBEATS_BACK_BEFORE_MS
             }
             // The worker refuses the first start command, and its answer shows the new incarnation. After the second
             // job is submitted, the start commands of both jobs are executed in the new incarnation.
@@ -100,7 +100,7 @@
         SEEDS.flatMap { seed ->
             val scenario = Scenario(seed)
             scenario.execute()
-            scenario.simulation.rules.broken
+            scenario.simulation.checker.ruleViolations
                 .filter { rule in it }
                 .take(1)
                 .map { "seed $seed: $it" }
