--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -71,7 +71,7 @@
     fun heartbeatResponse(
         atMs: Long,
         sender: String,
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         answer: HeartbeatResponse,
     ) {
         val (status, body) =
@@ -80,7 +80,7 @@
                 is HeartbeatResponse.Redirect -> 421 to AnswerCodec.redirect(answer.label)
                 HeartbeatResponse.Unavailable -> 503 to emptyMap()
             }
-        record(atMs, sender, "report ${report.machine.value} $status", Cbor.encode(body))
+        record(atMs, sender, "report ${heartbeat.machine.value} $status", Cbor.encode(body))
     }
 
     fun userResponse(
--- a/src/test/kotlin/oxbowlug/sim/RulesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RulesTest.kt
@@ -28,7 +28,7 @@
 /** Tests the checkers themselves: each of them reports exactly the violations that it is meant for. */
 internal class RulesTest {
     private val world = World(1)
-    private val rules = Rules(world, mapOf("red" to 4.0), CANCEL_MS)
+    private val rules = Rules(world, mapOf("red" to 4.0), CANCEL_DEADLINE_MS)
     private val zones = listOf(Zone("a"), Zone("b"))
     private val type = MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, zones)
     private val workers =
@@ -37,7 +37,7 @@
                 world,
                 TestJobBook(),
                 { emptyList() },
-                MachineId("machine-00000$index"),
+                MachineId("host-00000$index"),
                 type,
                 zones[index % 2],
                 false,
@@ -154,17 +154,17 @@
                 Case("ran_cancelled", "a task still runs after the cancellation deadline") {
                     start(0, 0)
                     cancel()
-                    advance(CANCEL_MS + 1)
+                    advance(CANCEL_DEADLINE_MS + 1)
                     rules.check(workers)
                 },
                 Case("ran_cancelled", "a task starts after the cancellation deadline") {
                     cancel()
-                    advance(CANCEL_MS + 1)
+                    advance(CANCEL_DEADLINE_MS + 1)
                     start(0, 0)
                 },
                 Case(null, "no task runs after the cancellation deadline") {
                     cancel()
-                    advance(CANCEL_MS + 1)
+                    advance(CANCEL_DEADLINE_MS + 1)
                     rules.check(workers)
                 },
                 Case(
@@ -203,12 +203,12 @@
                 },
                 Case("orphaned", "queued after the cancellation deadline of an indirect dependency") {
                     submitWithCancelledDependency()
-                    advance(CANCEL_MS + 1)
+                    advance(CANCEL_DEADLINE_MS + 1)
                     answerPoll(JobState.QUEUED)
                 },
                 Case(null, "queued before the cancellation deadline of an indirect dependency") {
                     submitWithCancelledDependency()
-                    advance(CANCEL_MS - 1)
+                    advance(CANCEL_DEADLINE_MS - 1)
                     answerPoll(JobState.QUEUED)
                 },
                 Case(null, "cancelled after its dependency was cancelled") {
@@ -254,8 +254,8 @@
             listOf("left waiting: run-1 although a machine has capacity for it"),
             progressChecks.broken.map { it.substringAfter("ms ") },
         )
-        val unserved = listOf("class ${spec.className}", "team red", "largest ${spec.className}")
-        assertEquals(unserved.map { "$it: less than half served" }, progressChecks.underservedGroups())
+        val underserved = listOf("class ${spec.className}", "team red", "largest ${spec.className}")
+        assertEquals(underserved.map { "$it: less than half served" }, progressChecks.underservedGroups())
         repeat(3) { start(it, it) }
         progressChecks.broken.clear()
         advance(1_000)
@@ -281,6 +281,6 @@
     }
 
     private companion object {
-        const val CANCEL_MS = 30_000L
+        const val CANCEL_DEADLINE_MS = 30_000L
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -70,7 +70,7 @@
     /** Worker heartbeats of which every controller receives a copy after the next change of leader. */
     var heartbeatsForNextLeader = 0.0
 
-    /** Zones each of which is partitioned from everything outside it. */
+    /** Zones that are each partitioned from everything outside them. */
     val isolatedZones = HashSet<Zone>()
 
     /** Zones of one region that reach each other but nothing outside the region. */
--- a/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
@@ -31,8 +31,8 @@
             FaultKind.PAUSE_LEADER -> leader.pausedUntil = world.nowMs + fault.forMs
             FaultKind.CUT_CONTROLLER_FROM_STATE -> during(fault) { node.withoutState = it }
             FaultKind.CUT_LEADER_FROM_STATE -> during(fault) { leader.withoutState = it }
-            FaultKind.CUT_LEADER_FROM_STATE_AND_PEERS -> during(fault) { leader.cutOffFromStateAndPeers(it) }
-            FaultKind.CUT_CONTROLLER_FROM_STATE_AND_PEERS -> during(fault) { node.cutOffFromStateAndPeers(it) }
+            FaultKind.CUT_LEADER_FROM_STATE_AND_PEERS -> during(fault) { leader.setCutOffFromStateAndPeers(it) }
+            FaultKind.CUT_CONTROLLER_FROM_STATE_AND_PEERS -> during(fault) { node.setCutOffFromStateAndPeers(it) }
             FaultKind.CUT_CONTROLLER_FROM_PEERS -> during(fault) { node.withoutPeers = it }
             FaultKind.CUT_LEADER_FROM_PEERS -> during(fault) { leader.withoutPeers = it }
             FaultKind.CUT_CONTROLLER_FROM_WORKERS -> during(fault) { node.withoutWorkers = it }
@@ -66,7 +66,7 @@
         }
     }
 
-    private fun SimNode.cutOffFromStateAndPeers(isCutOff: Boolean) {
+    private fun SimNode.setCutOffFromStateAndPeers(isCutOff: Boolean) {
         withoutState = isCutOff
         withoutPeers = isCutOff
     }
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -87,7 +87,7 @@
 
     /** Boot time of rented machines instead of their types' boot time; null for the types' boot time. */
     var bootMs: Long? by cloud::bootMs
-    val rules = Rules(world, parameters.teamLimits, CANCEL_MS, store::names)
+    val rules = Rules(world, parameters.teamLimits, CANCEL_DEADLINE_MS, store::names)
     val progressChecks =
         ProgressChecks(world, rules, { cloud.workers }, parameters.teamLimits, parameters.faultFreeFromMs)
     val nodes: List<SimNode> =
@@ -140,13 +140,13 @@
     private val heldHeartbeats = ArrayList<WorkerHeartbeat>()
     private var lastLeaderToken: Any? = null
 
-    private fun injectDuplicates(report: WorkerHeartbeat) {
+    private fun injectDuplicates(heartbeat: WorkerHeartbeat) {
         if (world.chance(faults.duplicateHeartbeats)) {
             world.after(world.between(2_000, parameters.leaseMs * 2)) {
-                nodes[world.random.nextInt(nodes.size)].receive(report) {}
+                nodes[world.random.nextInt(nodes.size)].receive(heartbeat) {}
             }
         }
-        if (world.chance(faults.heartbeatsForNextLeader)) heldHeartbeats.add(report)
+        if (world.chance(faults.heartbeatsForNextLeader)) heldHeartbeats.add(heartbeat)
     }
 
     /** Delivers the held heartbeats to every controller, within 1 s of a change of leader. */
@@ -154,8 +154,8 @@
         val currentToken = store.entry(Keys.LEADERSHIP)?.value?.get("token")
         if (currentToken == lastLeaderToken) return
         lastLeaderToken = currentToken
-        for (report in heldHeartbeats) {
-            for (node in nodes) world.after(world.between(0, 1_000)) { node.receive(report) {} }
+        for (heartbeat in heldHeartbeats) {
+            for (node in nodes) world.after(world.between(0, 1_000)) { node.receive(heartbeat) {} }
         }
         heldHeartbeats.clear()
     }
@@ -169,7 +169,10 @@
         attempt: AttemptId,
     ) = rules.started(machine, attempt)
 
-    /** Probability that a user cancels a job within 400 ms of the completion of one of its tasks. */
+    /**
+     * Probability that a user cancels a job within 400 ms of the completion of one of its tasks. With the last task the
+     * cancellation races with the completion of the job.
+     */
     var cancelAtTaskEndProbability = 0.0
 
     /** Called when a task is done. */
@@ -206,7 +209,7 @@
                 WorkerSettings(
                     parameters.heartbeatIntervalMs / 1000.0,
                     parameters.leaseMs / 1000.0,
-                    CANCEL_MS / 1000.0,
+                    CANCEL_DEADLINE_MS / 1000.0,
                 ),
             state =
                 StateSettings(
@@ -349,7 +352,7 @@
                 val state = rules.jobs.getValue(id).told
                 val isFinal = state == oxbowlug.wire.JobState.DONE || state == oxbowlug.wire.JobState.CANCELLED
                 if (isFinal) rules.jobs[id]?.let { sendFollowUps(it.spec) }
-                // Half of the jobs are polled again 20 s after they are over.
+                // With probability 0.5 the user polls a finished job again 20 s later.
                 if (!isFinal) {
                     poll(id)
                 } else if (world.chance(0.5)) {
@@ -391,7 +394,8 @@
             return nodes.first { it.label == label }
         }
 
-    fun pollUnknown(
+    /** Sends one poll for [id], without a retry. */
+    fun pollOnce(
         id: String,
         onResponse: (UserResponse?) -> Unit,
     ) = sendRequest({ ControllerEvent.Poll(JobId(id), it) }, onResponse)
@@ -482,7 +486,7 @@
     fun run(untilMs: Long) = world.runUntil(untilMs)
 
     companion object {
-        const val CANCEL_MS = 30_000L
+        const val CANCEL_DEADLINE_MS = 30_000L
         private const val LIST_LAG_MS = 3_000L
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -30,7 +30,7 @@
             day.submitRandomJobs(everyMs = 2500, untilMs = 90_000)
             trouble.cause(day)
             var unknown: UserResponse? = null
-            day.world.after(200_000) { day.pollUnknown("run-999999") { unknown = it } }
+            day.world.after(200_000) { day.pollOnce("run-999999") { unknown = it } }
             day.run(260_000)
             assertEquals(emptyList<String>(), day.rules.broken.take(5), "$trouble, seed $seed")
             assertTrue(day.rules.starts > 20, "$trouble, seed $seed: only ${day.rules.starts} starts")
