--- a/src/test/kotlin/oxbowlug/sim/BehaviourTraceTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/BehaviourTraceTest.kt
@@ -112,15 +112,15 @@
         fun Simulation.setUpCrashes() {
             submitRandomJobs(everyMs = 2_500, untilMs = 90_000)
             followUpProbability = 0.2
-            faults.lossProbability = 0.03
-            faults.delayProbability = 0.03
+            activeFaults.lossProbability = 0.03
+            activeFaults.delayProbability = 0.03
             at(25_000) { restart(leader, forMs = 5_000) }
             cancelServices(27_000, count = 4)
             at(35_000) { randomWorker()?.hungUntil = 55_000 }
-            at(40_000) { faults.isolatedZones.add(zones[1]) }
-            at(58_000) { faults.isolatedZones.clear() }
-            at(62_000) { faults.unansweredWrites = 0.3 }
-            at(70_000) { faults.unansweredWrites = 0.0 }
+            at(40_000) { activeFaults.isolatedZones.add(zones[1]) }
+            at(58_000) { activeFaults.isolatedZones.clear() }
+            at(62_000) { activeFaults.unansweredWrites = 0.3 }
+            at(70_000) { activeFaults.unansweredWrites = 0.0 }
             at(72_000) { store.down = true }
             cancelServices(74_000, count = 2)
             at(85_000) { store.down = false }
--- a/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
@@ -177,15 +177,15 @@
                 },
                 Case("a zone is cut off, nothing cancelled", cancels = false) {
                     leader.withoutState = false
-                    at(2_500) { day.faults.isolatedZones.add(leader.zone) }
-                    at(47_000) { day.faults.isolatedZones.clear() }
+                    at(2_500) { day.activeFaults.isolatedZones.add(leader.zone) }
+                    at(47_000) { day.activeFaults.isolatedZones.clear() }
                 },
                 Case("the leader's zone is cut off, and jobs there are cancelled from the other", runsOn = false) {
                     leader.withoutState = false
                     confirmer = day.nodes.first { it.zone != leader.zone }
                     running = running.filter { job -> hosts(job).any { it.zone == leader.zone } }
-                    day.faults.isolatedZones.add(leader.zone)
-                    at(50_000) { day.faults.isolatedZones.clear() }
+                    day.activeFaults.isolatedZones.add(leader.zone)
+                    at(50_000) { day.activeFaults.isolatedZones.clear() }
                 },
                 Case("the old leader ends, and a deputy renews", runsOn = false) { at(1_500) { leader.crash() } },
                 Case("the old leader is also cut from its peers", runsOn = false) {
--- a/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
@@ -27,9 +27,9 @@
             )
         val day = Simulation(11, parameters = parameters)
         day.submitRandomJobs(everyMs = 350, untilMs = 90_000)
-        day.world.after(35_000) { day.faults.isolatedZones.add(day.zones[1]) }
+        day.world.after(35_000) { day.activeFaults.isolatedZones.add(day.zones[1]) }
         day.world.after(42_000) { crash(day, leader(day)) }
-        day.world.after(62_000) { day.faults.isolatedZones.clear() }
+        day.world.after(62_000) { day.activeFaults.isolatedZones.clear() }
         day.world.after(75_000) { repeat(60) { day.randomWorker()?.let { day.cloud.fail(it.id) } } }
         day.world.after(95_000) { day.store.down = true }
         day.world.after(100_000) { for (node in day.nodes) crash(day, node) }
--- a/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
@@ -79,12 +79,12 @@
                 15_000,
                 80_000,
                 {
-                    faults.slowWriteAnswers = 0.5
-                    faults.refusedWrites = 0.3
+                    activeFaults.slowWriteAnswers = 0.5
+                    activeFaults.refusedWrites = 0.3
                 },
                 {
-                    faults.slowWriteAnswers = 0.0
-                    faults.refusedWrites = 0.0
+                    activeFaults.slowWriteAnswers = 0.0
+                    activeFaults.refusedWrites = 0.0
                 },
             )
 
@@ -135,20 +135,20 @@
                     }
                 },
                 Case("changes are forgotten, and controllers read everything again", retainedChanges = 10) {
-                    faults.pageDelayMs = 20L..200L
+                    activeFaults.pageDelayMs = 20L..200L
                     refusals(18_000, leaders = false)
                     for (ms in 30_000L..80_000L step 16_000) leaderEnds(ms)
                     for (ms in 22_000L..90_000L step 5_000) cancelRunning(ms, count = 1)
                 },
                 Case("the leader reads everything again, again and again, while answers are slow", retainedChanges = 10) {
                     slowState()
-                    faults.pageDelayMs = 50L..400L
+                    activeFaults.pageDelayMs = 50L..400L
                     followUpProbability = 0.1
                     refusals(20_000, leaders = true)
                     for (ms in 22_000L..90_000L step 5_000) cancelRunning(ms, count = 1)
                 },
                 Case("the leader reads everything again, ends, and an outage begins as many jobs are cancelled", 10) {
-                    faults.pageDelayMs = 20L..200L
+                    activeFaults.pageDelayMs = 20L..200L
                     refusals(20_000, leaders = true)
                     for (ms in listOf(30_000L, 62_000L)) {
                         repeat(3) { hangs(ms - 100, forMs = 25_000) }
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -117,12 +117,12 @@
         private fun Simulation.unansweredWrites(
             atMs: Long,
             forMs: Long,
-        ) = spell(atMs, forMs, { faults.unansweredWrites = 0.2 }, { faults.unansweredWrites = 0.0 })
+        ) = spell(atMs, forMs, { activeFaults.unansweredWrites = 0.2 }, { activeFaults.unansweredWrites = 0.0 })
 
         private fun Simulation.delayedWrites(
             atMs: Long,
             forMs: Long,
-        ) = spell(atMs, forMs, { faults.delayedWrites = 0.2 }, { faults.delayedWrites = 0.0 })
+        ) = spell(atMs, forMs, { activeFaults.delayedWrites = 0.2 }, { activeFaults.delayedWrites = 0.0 })
 
         /** The job that a running or waiting stage needs is called off, and users ask about everything at once. */
         private fun Simulation.cancelFirstStages(
@@ -185,7 +185,7 @@
                     spell(42_000, 45_000, { store.down = true }, { store.down = false })
                 },
                 Case("a zone is cut off, and first stages are called off") {
-                    spell(40_000, 25_000, { faults.isolatedZones.add(zones[0]) }, { faults.isolatedZones.clear() })
+                    spell(40_000, 25_000, { activeFaults.isolatedZones.add(zones[0]) }, { activeFaults.isolatedZones.clear() })
                     cancelFirstStages(3, 44_000)
                     leaderEnds(50_000)
                 },
@@ -208,7 +208,7 @@
                 },
                 Case("frames between old and new controllers are held while jobs are called off", startsOld = true) {
                     followUpProbability = 0.2
-                    spell(15_000, 80_000, { faults.peerLinkStalls = 0.01 }, { faults.peerLinkStalls = 0.0 })
+                    spell(15_000, 80_000, { activeFaults.peerLinkStalls = 0.01 }, { activeFaults.peerLinkStalls = 0.0 })
                     upgrade(20_000, 8_000, listOf(1, 3, 0, 2, 4))
                     for (ms in 22_000L..80_000L step 6_000) cancelFirstStages(1, ms)
                     for (ms in 24_000L..60_000L step 6_000) {
@@ -268,7 +268,7 @@
                             running.take(1).forEach(::cancel)
                         }
                     }
-                    spell(30_000, 12_000, { faults.isolatedZones.add(zones[1]) }, { faults.isolatedZones.clear() })
+                    spell(30_000, 12_000, { activeFaults.isolatedZones.add(zones[1]) }, { activeFaults.isolatedZones.clear() })
                     limitsFall(80_000)
                 },
             ).filter(Seeds::isSelected)
--- a/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
@@ -95,8 +95,8 @@
             forMs: Long,
         ) {
             val south = zones.drop(2)
-            world.after(fromMs) { faults.isolatedRegion.addAll(south) }
-            world.after(fromMs + forMs) { faults.isolatedRegion.removeAll(south.toSet()) }
+            world.after(fromMs) { activeFaults.isolatedRegion.addAll(south) }
+            world.after(fromMs + forMs) { activeFaults.isolatedRegion.removeAll(south.toSet()) }
         }
 
         private fun Simulation.crash(
@@ -162,28 +162,28 @@
                 },
                 Trouble("apart with the delegate's own zone cut off as well") { day ->
                     day.separate(30_000, 40_000)
-                    day.world.after(35_000) { day.faults.isolatedZones.add(day.zones[2]) }
-                    day.world.after(60_000) { day.faults.isolatedZones.clear() }
+                    day.world.after(35_000) { day.activeFaults.isolatedZones.add(day.zones[2]) }
+                    day.world.after(60_000) { day.activeFaults.isolatedZones.clear() }
                 },
                 Trouble("only the delegate's zone is cut off, and machines of the other one die") { day ->
-                    day.world.after(30_000) { day.faults.isolatedZones.add(day.zones[2]) }
+                    day.world.after(30_000) { day.activeFaults.isolatedZones.add(day.zones[2]) }
                     day.world.after(34_000) {
                         day.cloud.workers
                             .filter { it.zone == day.zones[LONELY] }
                             .forEach { day.cloud.fail(it.id) }
                     }
-                    day.world.after(65_000) { day.faults.isolatedZones.clear() }
+                    day.world.after(65_000) { day.activeFaults.isolatedZones.clear() }
                 },
                 Trouble("apart, with held frames, late reports and late writes") { day ->
-                    day.faults.peerLinkStalls = 0.002
-                    day.faults.duplicateHeartbeats = 0.02
-                    day.faults.delayedWrites = 0.02
+                    day.activeFaults.peerLinkStalls = 0.002
+                    day.activeFaults.duplicateHeartbeats = 0.02
+                    day.activeFaults.delayedWrites = 0.02
                     day.separate(30_000, 30_000)
                     day.cancelSome(45_000)
                     day.world.after(100_000) {
-                        day.faults.peerLinkStalls = 0.0
-                        day.faults.duplicateHeartbeats = 0.0
-                        day.faults.delayedWrites = 0.0
+                        day.activeFaults.peerLinkStalls = 0.0
+                        day.activeFaults.duplicateHeartbeats = 0.0
+                        day.activeFaults.delayedWrites = 0.0
                     }
                 },
                 Trouble("apart while all controllers end") { day ->
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -36,10 +36,10 @@
 import kotlin.random.Random
 
 /**
- * Network and state-service faults that the simulation injects. A `Double` is the probability that the fault hits one
- * message or transaction; 0 switches the fault off.
+ * Network and state-service faults that the simulation injects at present. A `Double` is the probability that the
+ * fault hits one message or transaction; 0 switches the fault off.
  */
-internal class InjectedFaults(
+internal class ActiveFaults(
     /** Loss of the request or of the response of a call. */
     var lossProbability: Double = 0.0,
     /** Execution of a request up to [maxDelayMs] late, while its caller sees a timeout. */
@@ -95,7 +95,7 @@
     private val settings: Settings,
     private val store: SimStore,
     private val cloud: SimCloud,
-    private val faults: InjectedFaults,
+    private val activeFaults: ActiveFaults,
     private val workerAt: (Address) -> SimWorker?,
     private val peers: () -> List<SimNode>,
 ) : HeartbeatTarget {
@@ -117,7 +117,7 @@
     override val label: String get() = settings.label
     val zone: Zone get() = settings.zone
 
-    val isUnreachableByUsers: Boolean get() = isolated || withoutUsers || faults.arePartitioned(zone, null)
+    val isUnreachableByUsers: Boolean get() = isolated || withoutUsers || activeFaults.arePartitioned(zone, null)
     val isUp: Boolean get() = core != null
 
     /** Planning rounds since the simulation began, over all restarts. */
@@ -209,7 +209,7 @@
     ) {
         if (!reaches(peer)) return
         val until = linkStalledUntil[peer] ?: 0L
-        if (faults.peerLinkStalls > 0.0 && world.nowMs >= until && world.chance(faults.peerLinkStalls)) {
+        if (activeFaults.peerLinkStalls > 0.0 && world.nowMs >= until && world.chance(activeFaults.peerLinkStalls)) {
             linkStalledUntil[peer] = world.nowMs + world.between(2_000, 20_000)
         }
         val delayMs = maxOf((linkStalledUntil[peer] ?: 0L) - world.nowMs, minDelayMs)
@@ -221,7 +221,11 @@
     }
 
     private fun reaches(peer: SimNode) =
-        !isolated && !peer.isolated && !withoutPeers && !peer.withoutPeers && !faults.arePartitioned(zone, peer.zone)
+        !isolated &&
+            !peer.isolated &&
+            !withoutPeers &&
+            !peer.withoutPeers &&
+            !activeFaults.arePartitioned(zone, peer.zone)
 
     fun crash() {
         core = null
@@ -234,7 +238,7 @@
     ) {
         val running = core
 
-        fun isCutOff() = isolated || withoutWorkers || faults.arePartitioned(zone, report.zone)
+        fun isCutOff() = isolated || withoutWorkers || activeFaults.arePartitioned(zone, report.zone)
 
         if (isCutOff()) return
         if (running == null) {
@@ -273,7 +277,7 @@
             done: (WorkerHeartbeat?) -> Unit,
         ) {
             val worker = workerAt(endpoint)
-            val isCutOff = isolated || withoutWorkers || faults.arePartitioned(zone, worker?.zone)
+            val isCutOff = isolated || withoutWorkers || activeFaults.arePartitioned(zone, worker?.zone)
             if (isCutOff || worker == null || !worker.alive) return complete(TIMEOUT_MS, null, done)
             var answered = false
             world.after(world.between(1, 15)) {
@@ -311,18 +315,18 @@
             execute: () -> T,
         ) {
             if (isolated || !isReachable()) return complete(world.between(1, 10), ifUnreachable, done)
-            if (world.chance(faults.delayProbability)) {
+            if (world.chance(activeFaults.delayProbability)) {
                 complete(TIMEOUT_MS, ifUnanswered, done)
-                world.after(world.between(TIMEOUT_MS / 2, faults.maxDelayMs)) { if (isReachable()) execute() }
+                world.after(world.between(TIMEOUT_MS / 2, activeFaults.maxDelayMs)) { if (isReachable()) execute() }
                 return
             }
-            if (world.chance(faults.lossProbability)) return complete(TIMEOUT_MS, ifUnanswered, done)
+            if (world.chance(activeFaults.lossProbability)) return complete(TIMEOUT_MS, ifUnanswered, done)
             world.after(world.between(1, 5)) {
                 if (!isReachable()) {
                     complete(1, ifUnreachable, done)
                 } else {
                     val outcome = execute()
-                    val isAnswerLost = world.chance(faults.lossProbability)
+                    val isAnswerLost = world.chance(activeFaults.lossProbability)
                     complete(
                         if (isAnswerLost) TIMEOUT_MS else world.between(1, 5),
                         if (isAnswerLost) ifUnanswered else outcome,
@@ -332,7 +336,7 @@
             }
         }
 
-        private fun isStateReachable() = !store.down && !withoutState && !faults.arePartitioned(zone, null)
+        private fun reachesState() = !store.down && !withoutState && !activeFaults.arePartitioned(zone, null)
 
         /** Fixed for the process: a write in flight keeps its version when the controller is upgraded meanwhile. */
         private val runsOldVersion = isOldVersion
@@ -345,15 +349,15 @@
                 return complete(world.between(1, 10), CommitOutcome.Applied(0), done)
             }
             val stored = if (runsOldVersion) OldVersion.toOldWrite(transaction) else transaction
-            val isAppliedPromptly = world.chance(faults.unansweredWrites)
-            if (isStateReachable() && !isolated && (isAppliedPromptly || world.chance(faults.delayedWrites))) {
+            val isAppliedPromptly = world.chance(activeFaults.unansweredWrites)
+            if (reachesState() && !isolated && (isAppliedPromptly || world.chance(activeFaults.delayedWrites))) {
                 complete(TIMEOUT_MS, CommitOutcome.Unanswered, done)
                 val delayMs = if (isAppliedPromptly) world.between(1, 5) else world.between(2_000, 12_000)
                 return world.after(delayMs) { if (!store.down) store.commit(stored) }
             }
-            if (occurs(faults.refusedWrites)) return complete(world.between(1, 10), CommitOutcome.Refused, done)
-            if (isStateReachable() && !isolated && occurs(faults.slowWriteAnswers)) return commitSlowly(stored, done)
-            call(::isStateReachable, CommitOutcome.Refused, CommitOutcome.Unanswered, done) { store.commit(stored) }
+            if (occurs(activeFaults.refusedWrites)) return complete(world.between(1, 10), CommitOutcome.Refused, done)
+            if (reachesState() && !isolated && occurs(activeFaults.slowWriteAnswers)) return commitSlowly(stored, done)
+            call(::reachesState, CommitOutcome.Refused, CommitOutcome.Unanswered, done) { store.commit(stored) }
         }
 
         /** Draws no random number if the fault is off, so that scenarios without it keep their random sequence. */
@@ -372,7 +376,7 @@
             after: String?,
             done: (ReadPage?) -> Unit,
         ) {
-            val delayRangeMs = faults.pageDelayMs ?: return readNow(prefix, after, done)
+            val delayRangeMs = activeFaults.pageDelayMs ?: return readNow(prefix, after, done)
             world.after(world.between(delayRangeMs)) { readNow(prefix, after, done) }
         }
 
@@ -380,7 +384,7 @@
             prefix: String,
             after: String?,
             done: (ReadPage?) -> Unit,
-        ) = call<ReadPage?>(::isStateReachable, null, null, done) {
+        ) = call<ReadPage?>(::reachesState, null, null, done) {
             store.read(prefix, after, 7).let { if (runsOldVersion) OldVersion.toOldRead(it) else it }
         }
 
@@ -391,14 +395,14 @@
             done: (ChangesOutcome) -> Unit,
         ) {
             if (waitMs == 0L) {
-                return call(::isStateReachable, ChangesOutcome.Failed, ChangesOutcome.Failed, done) {
+                return call(::reachesState, ChangesOutcome.Failed, ChangesOutcome.Failed, done) {
                     visibleChanges(store.changes(prefix, from))
                 }
             }
-            if (isolated || !isStateReachable()) return complete(5, ChangesOutcome.Failed, done)
+            if (isolated || !reachesState()) return complete(5, ChangesOutcome.Failed, done)
             var answered = false
             store.watch(prefix, from, waitMs) { outcome ->
-                if (!answered && isStateReachable() && !isolated && !dropsWatchAnswers) {
+                if (!answered && reachesState() && !isolated && !dropsWatchAnswers) {
                     answered = true
                     complete(world.between(1, 5), visibleChanges(outcome), done)
                 }
@@ -421,35 +425,35 @@
         override fun grant(
             lifeMs: Long,
             done: (Long?) -> Unit,
-        ) = call<Long?>(::isStateReachable, null, null, done) { store.grant(lifeMs) }
+        ) = call<Long?>(::reachesState, null, null, done) { store.grant(lifeMs) }
 
         override fun touch(
             lease: Long,
             done: (TouchOutcome) -> Unit,
-        ) = call(::isStateReachable, TouchOutcome.FAILED, TouchOutcome.FAILED, done) { store.touch(lease) }
+        ) = call(::reachesState, TouchOutcome.FAILED, TouchOutcome.FAILED, done) { store.touch(lease) }
 
-        override fun release(lease: Long) = call(::isStateReachable, Unit, Unit, {}) { store.release(lease) }
+        override fun release(lease: Long) = call(::reachesState, Unit, Unit, {}) { store.release(lease) }
 
-        private fun isCloudReachable() = !cloud.down && !withoutCloud && !faults.arePartitioned(zone, null)
+        private fun reachesCloud() = !cloud.down && !withoutCloud && !activeFaults.arePartitioned(zone, null)
 
         override fun types(done: (List<MachineType>?) -> Unit) =
-            call<List<MachineType>?>(::isCloudReachable, null, null, done) { cloud.types }
+            call<List<MachineType>?>(::reachesCloud, null, null, done) { cloud.types }
 
         override fun rent(
             request: RentalRequest,
             done: (RentalOutcome) -> Unit,
-        ) = call(::isCloudReachable, RentalOutcome.Refused, RentalOutcome.Unanswered, done) { cloud.rent(request) }
+        ) = call(::reachesCloud, RentalOutcome.Refused, RentalOutcome.Unanswered, done) { cloud.rent(request) }
 
         override fun releaseMachines(
             machines: List<MachineId>,
             done: (Boolean) -> Unit,
-        ) = call(::isCloudReachable, false, false, done) {
+        ) = call(::reachesCloud, false, false, done) {
             cloud.returnMachines(machines)
             true
         }
 
         override fun list(done: (List<ListedMachine>?) -> Unit) =
-            call<List<ListedMachine>?>(::isCloudReachable, null, null, done) { cloud.list() }
+            call<List<ListedMachine>?>(::reachesCloud, null, null, done) { cloud.list() }
 
         override fun command(
             endpoint: Address,
@@ -459,14 +463,14 @@
             done: (DirectOutcome) -> Unit,
         ) {
             val worker = workerAt(endpoint)
-            val isCutOff = isolated || withoutWorkers || faults.arePartitioned(zone, worker?.zone)
+            val isCutOff = isolated || withoutWorkers || activeFaults.arePartitioned(zone, worker?.zone)
             if (isCutOff || worker == null || !worker.alive) return complete(TIMEOUT_MS, DirectOutcome.NotSent, done)
             var answered = false
-            val isLate = world.chance(faults.delayProbability)
-            val delay = if (isLate) world.between(TIMEOUT_MS, faults.maxDelayMs) else world.between(1, 15)
+            val isLate = world.chance(activeFaults.delayProbability)
+            val delay = if (isLate) world.between(TIMEOUT_MS, activeFaults.maxDelayMs) else world.between(1, 15)
             world.after(delay) {
                 worker.direct(token, incarnation, commands) { report, executed ->
-                    if (!answered && !world.chance(faults.lossProbability)) {
+                    if (!answered && !world.chance(activeFaults.lossProbability)) {
                         answered = true
                         complete(world.between(1, 15), DirectOutcome.Answered(report, executed), done)
                     }
--- a/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
@@ -13,7 +13,7 @@
     private val leaseMs: Long,
 ) {
     private val world = simulation.world
-    private val faults = simulation.faults
+    private val activeFaults = simulation.activeFaults
 
     fun inject(schedule: FaultSchedule) {
         for (fault in schedule.faults) world.after(fault.atMs - world.nowMs) { startFault(fault) }
@@ -40,21 +40,23 @@
             FaultKind.CUT_CONTROLLER_FROM_USERS -> during(fault) { node.withoutUsers = it }
             FaultKind.CUT_LEADER_FROM_CLOUD -> during(fault) { leader.withoutCloud = it }
             FaultKind.CUT_ZONE ->
-                during(fault) { if (it) faults.isolatedZones.add(zone) else faults.isolatedZones.remove(zone) }
+                during(fault) {
+                    if (it) activeFaults.isolatedZones.add(zone) else activeFaults.isolatedZones.remove(zone)
+                }
             FaultKind.STATE_OUTAGE -> during(fault) { simulation.store.down = it }
             FaultKind.CLOUD_OUTAGE -> during(fault) { simulation.cloud.down = it }
             FaultKind.HOLD_LEADER_WATCH -> during(fault) { leader.dropsWatchAnswers = it }
-            FaultKind.REFUSE_WRITES -> during(fault) { faults.refusedWrites = if (it) FREQUENT else 0.0 }
-            FaultKind.SLOW_WRITE_ANSWERS -> during(fault) { faults.slowWriteAnswers = if (it) FREQUENT else 0.0 }
-            FaultKind.LOSE_WRITE_ANSWERS -> during(fault) { faults.unansweredWrites = if (it) FREQUENT else 0.0 }
-            FaultKind.DELAY_WRITES -> during(fault) { faults.delayedWrites = if (it) FREQUENT else 0.0 }
+            FaultKind.REFUSE_WRITES -> during(fault) { activeFaults.refusedWrites = if (it) FREQUENT else 0.0 }
+            FaultKind.SLOW_WRITE_ANSWERS -> during(fault) { activeFaults.slowWriteAnswers = if (it) FREQUENT else 0.0 }
+            FaultKind.LOSE_WRITE_ANSWERS -> during(fault) { activeFaults.unansweredWrites = if (it) FREQUENT else 0.0 }
+            FaultKind.DELAY_WRITES -> during(fault) { activeFaults.delayedWrites = if (it) FREQUENT else 0.0 }
             FaultKind.FORGET_CHANGES -> simulation.store.forgetChanges()
-            FaultKind.LOSE_MESSAGES -> during(fault) { faults.lossProbability = if (it) RARE else 0.0 }
-            FaultKind.DELAY_MESSAGES -> during(fault) { faults.delayProbability = if (it) RARE else 0.0 }
-            FaultKind.REPEAT_REPORTS -> during(fault) { faults.duplicateHeartbeats = if (it) FREQUENT else 0.0 }
+            FaultKind.LOSE_MESSAGES -> during(fault) { activeFaults.lossProbability = if (it) RARE else 0.0 }
+            FaultKind.DELAY_MESSAGES -> during(fault) { activeFaults.delayProbability = if (it) RARE else 0.0 }
+            FaultKind.REPEAT_REPORTS -> during(fault) { activeFaults.duplicateHeartbeats = if (it) FREQUENT else 0.0 }
             FaultKind.REPEAT_REPORTS_TO_NEXT_LEADER ->
-                during(fault) { faults.heartbeatsForNextLeader = if (it) RARE else 0.0 }
-            FaultKind.HOLD_PEER_FRAMES -> during(fault) { faults.peerLinkStalls = if (it) RARE / 10 else 0.0 }
+                during(fault) { activeFaults.heartbeatsForNextLeader = if (it) RARE else 0.0 }
+            FaultKind.HOLD_PEER_FRAMES -> during(fault) { activeFaults.peerLinkStalls = if (it) RARE / 10 else 0.0 }
             FaultKind.DEAF_WORKERS -> randomWorkers(fault).forEach { it.unresponsiveUntil = world.nowMs + fault.forMs }
             FaultKind.MUTE_WORKERS -> randomWorkers(fault).forEach { it.muteUntil = world.nowMs + fault.forMs }
             FaultKind.HANG_WORKERS -> randomWorkers(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -75,7 +75,7 @@
 ) : JobBook {
     val world = World(seed)
     private val pacing = HeartbeatPacing.Fixed(parameters.heartbeatIntervalMs)
-    val faults = InjectedFaults()
+    val activeFaults = ActiveFaults()
     val zones = parameters.zones.map(::Zone)
     private val types =
         listOf(
@@ -92,7 +92,7 @@
         ProgressChecks(world, rules, { cloud.workers }, parameters.teamLimits, parameters.faultFreeFromMs)
     val nodes: List<SimNode> =
         List(parameters.nodes) { index ->
-            SimNode(world, settings(index), store, cloud, faults, ::workerAt, ::peers)
+            SimNode(world, settings(index), store, cloud, activeFaults, ::workerAt, ::peers)
         }
     private val runMs = HashMap<String, Long>()
     private var submittedCount = 0
@@ -141,12 +141,12 @@
     private var lastLeaderToken: Any? = null
 
     private fun injectDuplicates(heartbeat: WorkerHeartbeat) {
-        if (world.chance(faults.duplicateHeartbeats)) {
+        if (world.chance(activeFaults.duplicateHeartbeats)) {
             world.after(world.between(2_000, parameters.leaseMs * 2)) {
                 nodes[world.random.nextInt(nodes.size)].receive(heartbeat) {}
             }
         }
-        if (world.chance(faults.heartbeatsForNextLeader)) heldHeartbeats.add(heartbeat)
+        if (world.chance(activeFaults.heartbeatsForNextLeader)) heldHeartbeats.add(heartbeat)
     }
 
     /** Delivers the held heartbeats to every controller, within 1 s of a change of leader. */
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -87,11 +87,11 @@
                     .toSet()
 
             val before = running()
-            day.faults.isolatedZones.add(isolated)
+            day.activeFaults.isolatedZones.add(isolated)
             day.run(50_000)
             assertTrue(before.isNotEmpty(), "seed $seed: nothing ran")
             assertEquals(emptySet<AttemptId>(), before - running(), "seed $seed: ended in the cut")
-            day.faults.isolatedZones.clear()
+            day.activeFaults.isolatedZones.clear()
             day.run(200_000)
             assertEquals(emptyList<String>(), day.rules.broken.take(5), "seed $seed")
             assertEquals(emptyList<String>(), day.rules.unfinished(), "seed $seed: not served")
@@ -135,11 +135,11 @@
             lossProbability: Double,
             delayProbability: Double,
         ) {
-            faults.lossProbability = lossProbability
-            faults.delayProbability = delayProbability
+            activeFaults.lossProbability = lossProbability
+            activeFaults.delayProbability = delayProbability
             at(110_000) {
-                faults.lossProbability = 0.0
-                faults.delayProbability = 0.0
+                activeFaults.lossProbability = 0.0
+                activeFaults.delayProbability = 0.0
             }
         }
 
@@ -157,25 +157,25 @@
             share: Double,
             atMs: Long,
             forMs: Long,
-        ) = spell(atMs, forMs, { faults.delayedWrites = share }, { faults.delayedWrites = 0.0 })
+        ) = spell(atMs, forMs, { activeFaults.delayedWrites = share }, { activeFaults.delayedWrites = 0.0 })
 
         private fun Simulation.unansweredWrites(
             share: Double,
             atMs: Long,
             forMs: Long,
-        ) = spell(atMs, forMs, { faults.unansweredWrites = share }, { faults.unansweredWrites = 0.0 })
+        ) = spell(atMs, forMs, { activeFaults.unansweredWrites = share }, { activeFaults.unansweredWrites = 0.0 })
 
         private fun Simulation.duplicateHeartbeats(
             share: Double,
             atMs: Long,
             forMs: Long,
-        ) = spell(atMs, forMs, { faults.duplicateHeartbeats = share }, { faults.duplicateHeartbeats = 0.0 })
+        ) = spell(atMs, forMs, { activeFaults.duplicateHeartbeats = share }, { activeFaults.duplicateHeartbeats = 0.0 })
 
         private fun Simulation.heartbeatsForNextLeader(
             share: Double,
             atMs: Long,
             forMs: Long,
-        ) = spell(atMs, forMs, { faults.heartbeatsForNextLeader = share }, { faults.heartbeatsForNextLeader = 0.0 })
+        ) = spell(atMs, forMs, { activeFaults.heartbeatsForNextLeader = share }, { activeFaults.heartbeatsForNextLeader = 0.0 })
 
         private fun Simulation.deaf(
             count: Int,
@@ -246,8 +246,8 @@
             atMs: Long,
             forMs: Long,
         ) = at(atMs) {
-            faults.isolatedZones.add(zones[index])
-            world.after(forMs) { faults.isolatedZones.remove(zones[index]) }
+            activeFaults.isolatedZones.add(zones[index])
+            world.after(forMs) { activeFaults.isolatedZones.remove(zones[index]) }
         }
 
         private fun Simulation.hang(
