--- a/src/scale/kotlin/oxbowlug/standin/Rules.kt
+++ b/src/scale/kotlin/oxbowlug/standin/InvariantChecker.kt
@@ -8,8 +8,8 @@
 import oxbowlug.wire.JobStatus
 
 /** The protocol's rules, checked against what the workers and the users really see. */
-internal class Rules(
-    private val world: World,
+internal class InvariantChecker(
+    private val time: VirtualTime,
     private val limits: Map<String, Double>,
     private val cancelMs: Long,
     /** Whether a stored record names the attempt: only then does whoever leads next know of it. */
@@ -19,9 +19,9 @@
         /** When a user was first told that it is known. */
         var acceptedAt: Long? = null
         val accepted: Boolean get() = acceptedAt != null
-        var askedToCancel = false
+        var cancelRequested = false
         var cancelledAt: Long? = null
-        var told: JobState? = null
+        var observed: JobState? = null
 
         /** When a user heard that it is over. */
         var finalSince: Long? = null
@@ -36,7 +36,7 @@
         val places = LinkedHashSet<SimWorker>()
     }
 
-    val broken = ArrayList<String>()
+    val ruleViolations = ArrayList<String>()
     val jobs = LinkedHashMap<String, Known>()
     var starts = 0
         private set
@@ -46,7 +46,7 @@
         private set
 
     private fun fail(rule: String, what: String) {
-        broken.add("${world.nowMs} ms $rule: $what")
+        ruleViolations.add("${time.nowMs} ms $rule: $what")
     }
 
     fun done(attempt: AttemptId) {
@@ -59,11 +59,11 @@
         if (job.cancelledAt != null) startsAfterCancellation++
         val spec = job.spec
         job.started.add(attempt.task.index)
-        if (job.firstStartAt == null) job.firstStartAt = world.nowMs
+        if (job.firstStartAt == null) job.firstStartAt = time.nowMs
         var inZone = 1
         job.places.add(machine)
         for (other in job.places) {
-            for (running in other.onMachine()) {
+            for (running in other.runningTasks()) {
                 if (running.attempt.task.job != attempt.task.job) continue
                 if (running.attempt == attempt && other === machine) continue
                 if (running.attempt.task == attempt.task && other !== machine) {
@@ -73,11 +73,11 @@
                 if (spec.oneZone && other.zone != machine.zone) fail("wrong_place", "$attempt outside its job's zone")
             }
         }
-        if (inZone > spec.zoneCap) fail("wrong_place", "$attempt is number $inZone of $spec in ${machine.zone}")
+        if (inZone > spec.maxTasksPerZone) fail("wrong_place", "$attempt is number $inZone of $spec in ${machine.zone}")
         checkMachine(machine, attempt, spec)
         if (!isStored(attempt)) fail("orphaned", "$attempt starts on ${machine.id}, and no stored record names it")
         val cancelledAt = job.cancelledAt
-        if (cancelledAt != null && world.nowMs > cancelledAt + cancelMs) fail("ran_cancelled", "$attempt starts")
+        if (cancelledAt != null && time.nowMs > cancelledAt + cancelMs) fail("ran_cancelled", "$attempt starts")
         for (needed in ancestors(job)) {
             if (needed.done.size < needed.spec.tasks) fail("too_early", "$attempt, while ${needed.spec.id} isn't done")
         }
@@ -104,23 +104,23 @@
     }
 
     /** Asked to be cancelled, itself or with a job that it needs. */
-    fun isCalledOff(job: Known): Boolean =
-        job.askedToCancel || ancestors(job).any { it.askedToCancel && it.told != JobState.DONE }
+    fun mayBeCancelled(job: Known): Boolean =
+        job.cancelRequested || ancestors(job).any { it.cancelRequested && it.observed != JobState.DONE }
 
     fun check(workers: List<SimWorker>) {
         val gpus = HashMap<String, Double>()
         for (worker in workers) {
-            for (running in worker.onMachine()) {
+            for (running in worker.runningTasks()) {
                 val job = jobs.getValue(running.attempt.task.job.value)
                 gpus.merge(job.spec.team.value, job.spec.gpus, Double::plus)
                 val cancelledAt = job.cancelledAt ?: continue
-                if (world.nowMs > cancelledAt + cancelMs) fail("ran_cancelled", "${running.attempt} on ${worker.id}")
+                if (time.nowMs > cancelledAt + cancelMs) fail("ran_cancelled", "${running.attempt} on ${worker.id}")
             }
         }
         for ((team, used) in gpus) {
             if (used > (limits[team] ?: Double.MAX_VALUE) + 1e-6) {
                 val where = workers.associate { host ->
-                    host.id to host.onMachine().map { it.attempt }.filter {
+                    host.id to host.runningTasks().map { it.attempt }.filter {
                         jobs.getValue(it.task.job.value).spec.team.value == team
                     }
                 }
@@ -133,20 +133,20 @@
 
     /** Tasks that run on, though no controller could learn of them from what is stored. */
     fun checkStored(workers: List<SimWorker>) {
-        val running = workers.flatMap { worker -> worker.onMachine().map { worker to it.attempt } }
+        val running = workers.flatMap { worker -> worker.runningTasks().map { worker to it.attempt } }
         val unstored = running.filterNot { (_, attempt) -> isStored(attempt) }
         unstoredSince.keys.retainAll(unstored.toSet())
         for (one in unstored) {
             val (worker, attempt) = one
-            val since = unstoredSince.getOrPut(one) { world.nowMs }
-            if (world.nowMs - since > cancelMs) fail("orphaned", "$attempt runs on ${worker.id}, stored nowhere")
+            val since = unstoredSince.getOrPut(one) { time.nowMs }
+            if (time.nowMs - since > cancelMs) fail("orphaned", "$attempt runs on ${worker.id}, stored nowhere")
         }
     }
 
     /** What a user was told who had asked at [askedMs]. */
-    fun told(id: String, answer: UserResponse, askedMs: Long) {
+    fun observed(id: String, answer: UserResponse, askedMs: Long) {
         val job = jobs[id]
-        if (answer is UserResponse.Accepted || answer is UserResponse.Known) job?.answeredAt = world.nowMs
+        if (answer is UserResponse.Accepted || answer is UserResponse.Known) job?.answeredAt = time.nowMs
         when (answer) {
             is UserResponse.Accepted -> toldAccepted(id, jobs.getValue(id), askedMs)
             is UserResponse.Known ->
@@ -162,14 +162,14 @@
     private fun isKnown(job: Known?, askedMs: Long) = job?.acceptedAt?.let { askedMs >= it } ?: false
 
     private fun toldAccepted(id: String, job: Known, askedMs: Long) {
-        if (job.acceptedAt == null) job.acceptedAt = world.nowMs
+        if (job.acceptedAt == null) job.acceptedAt = time.nowMs
         val finalSince = job.finalSince
-        if (finalSince != null && askedMs >= finalSince) fail("went_back", "$id was ${job.told} and is accepted")
+        if (finalSince != null && askedMs >= finalSince) fail("went_back", "$id was ${job.observed} and is accepted")
     }
 
     private fun toldState(id: String, job: Known, view: JobStatus, askedMs: Long) {
-        if (job.acceptedAt == null) job.acceptedAt = world.nowMs
-        val before = job.told
+        if (job.acceptedAt == null) job.acceptedAt = time.nowMs
+        val before = job.observed
         val finalSince = job.finalSince
         if (finalSince != null && view.state != before) {
             // Asked before the final answer came, an answer may cross it on the way.
@@ -177,29 +177,29 @@
             return
         }
         if (view.state == JobState.CANCELLED) {
-            if (!job.askedToCancel && ancestors(job).none {
-                    it.askedToCancel
+            if (!job.cancelRequested && ancestors(job).none {
+                    it.cancelRequested
                 }
             )
                 fail("went_back", "$id is called cancelled")
-            if (job.cancelledAt == null) job.cancelledAt = world.nowMs
+            if (job.cancelledAt == null) job.cancelledAt = time.nowMs
         }
         if (view.state == JobState.DONE && job.done.size < job.spec.tasks) {
             fail("not_done", "$id has ${job.done.size} of ${job.spec.tasks} tasks done")
         }
-        job.told = view.state
+        job.observed = view.state
         val isFinal = view.state == JobState.DONE || view.state == JobState.CANCELLED
         if (!isFinal) checkOrphaned(id, job, askedMs)
-        if (isFinal && finalSince == null) job.finalSince = world.nowMs
+        if (isFinal && finalSince == null) job.finalSince = time.nowMs
     }
 
     private fun checkOrphaned(id: String, job: Known, askedMs: Long) {
         val toldAt = ancestors(job).mapNotNull { it.cancelledAt }.minOrNull() ?: return
-        if (askedMs > toldAt + cancelMs) fail("orphaned", "$id is ${job.told} after a job that it needs was cancelled")
+        if (askedMs > toldAt + cancelMs) fail("orphaned", "$id is ${job.observed} after a job that it needs was cancelled")
     }
 
     fun unfinished(): List<String> = jobs.filterValues { job ->
-        job.accepted && job.cancelledAt == null && !isCalledOff(job) &&
-            if (job.spec.kind == JobKind.ARRAY) job.told != JobState.DONE else job.started.size < job.spec.tasks
+        job.accepted && job.cancelledAt == null && !mayBeCancelled(job) &&
+            if (job.spec.kind == JobKind.ARRAY) job.observed != JobState.DONE else job.started.size < job.spec.tasks
     }.keys.toList()
 }
--- a/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimCloud.kt
@@ -10,7 +10,7 @@
 
 /** The cloud by its published protocol: named rentals, boot times, a lagging list. */
 internal class SimCloud(
-    private val world: World,
+    private val time: VirtualTime,
     val types: List<MachineType>,
     private val capacity: Int,
     private val lagMs: Long,
@@ -31,13 +31,13 @@
         private set
 
     /** Machines given back with tasks on them. */
-    var returnedBusy = 0
+    var busyMachinesReturned = 0
         private set
 
     init {
-        world.every(250) {
-            lists.addLast(world.nowMs to current())
-            while (lists.size > 2 && lists[1].first < world.nowMs - 2 * lagMs) lists.removeFirst()
+        time.every(250) {
+            lists.addLast(time.nowMs to current())
+            while (lists.size > 2 && lists[1].first < time.nowMs - 2 * lagMs) lists.removeFirst()
         }
     }
 
@@ -60,11 +60,11 @@
     }
 
     fun add(id: MachineId, type: MachineType, zone: Zone, spot: Boolean, bootMs: Long) {
-        val rented = Rented(makeWorker(id, type, zone, spot), world.nowMs)
+        val rented = Rented(makeWorker(id, type, zone, spot), time.nowMs)
         machines[id.value] = rented
         byEndpoint[rented.worker.endpoint] = rented.worker
         listed = null
-        world.after(bootMs) {
+        time.after(bootMs) {
             if (machines[id.value] === rented) {
                 rented.up = true
                 rented.worker.boot()
@@ -73,7 +73,7 @@
     }
 
     /** Names below this number are taken by machines that were added. */
-    fun skipNames(number: Int) {
+    fun skipIds(number: Int) {
         next = maxOf(next, number)
     }
 
@@ -81,7 +81,7 @@
         listed = null
         for (id in ids) {
             val worker = machines.remove(id.value)?.worker ?: continue
-            if (worker.onMachine().isNotEmpty()) returnedBusy++
+            if (worker.runningTasks().isNotEmpty()) busyMachinesReturned++
             worker.alive = false
             byEndpoint.remove(worker.endpoint)
         }
@@ -94,7 +94,7 @@
     fun fail(id: MachineId) {
         val rented = machines[id.value] ?: return
         rented.worker.alive = false
-        world.after(30_000) { rented.failedAt = world.nowMs }
+        time.after(30_000) { rented.failedAt = time.nowMs }
     }
 
     private fun current(): List<ListedMachine> = machines.values.map { rented ->
@@ -106,12 +106,12 @@
         }
         ListedMachine(
             worker.id, worker.endpoint, worker.type.name, worker.zone, worker.spot, state,
-            (world.nowMs - rented.rentedAt) / 1000.0,
+            (time.nowMs - rented.rentedAt) / 1000.0,
         )
     }
 
     fun list(): List<ListedMachine> {
-        val age = world.between(lagMs / 2, 2 * lagMs - 250)
-        return lists.lastOrNull { it.first <= world.nowMs - age }?.second ?: emptyList()
+        val age = time.between(lagMs / 2, 2 * lagMs - 250)
+        return lists.lastOrNull { it.first <= time.nowMs - age }?.second ?: emptyList()
     }
 }
--- a/src/scale/kotlin/oxbowlug/standin/SimStore.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimStore.kt
@@ -4,7 +4,7 @@
 import oxbowlug.config.WriteLimits
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.Keys
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.Change
@@ -15,8 +15,8 @@
 import oxbowlug.wire.Transaction
 
 /** The state service by its published protocol: revisions, conditions, leases, watches and outages. */
-internal class SimStore(private val world: World, private val historyLimit: Int = 10_000) {
-    private class Lease(val lifeMs: Long, var endsAt: Long)
+internal class SimStore(private val time: VirtualTime, private val historyLimit: Int = 10_000) {
+    private class Lease(val ttlMs: Long, var endsAt: Long)
 
     private class Watch(val from: Long, val prefix: String, val answer: (ChangesOutcome) -> Unit) {
         var open = true
@@ -35,12 +35,12 @@
     var down = false
         set(value) {
             // After an outage every lease has its full time again.
-            if (field && !value) for (lease in leases.values) lease.endsAt = world.nowMs + lease.lifeMs
+            if (field && !value) for (lease in leases.values) lease.endsAt = time.nowMs + lease.ttlMs
             field = value
         }
 
     init {
-        world.every(50) { if (!down) expireLeases() }
+        time.every(50) { if (!down) expireLeases() }
     }
 
     /** Changes asked for, in vain or not. */
@@ -59,7 +59,7 @@
         private set
 
     /** Whoever asks for changes since an earlier revision has to read everything again. */
-    fun forgetChanges() {
+    fun discardChangeHistory() {
         droppedUpTo = revision
         history.clear()
     }
@@ -70,8 +70,8 @@
 
     private fun refusal(transaction: Transaction): CommitOutcome? {
         val present = limits ?: return null
-        writeTokens = minOf(present.writeRps, writeTokens + (world.nowMs - tokensAt) * present.writeRps / 1000.0)
-        tokensAt = world.nowMs
+        writeTokens = minOf(present.writeRps, writeTokens + (time.nowMs - tokensAt) * present.writeRps / 1000.0)
+        tokensAt = time.nowMs
         val puts = transaction.changes.filterIsInstance<Change.Put>()
         val isTooLarge = puts.any { json.writeValueAsBytes(it.value).size > present.valueKb * 1024 }
         if (isTooLarge || transaction.changes.size > present.txnOps) {
@@ -96,7 +96,7 @@
         val failed = transaction.conditions.filter { (entries[it.key]?.version ?: 0L) != it.version }.map { it.key }
         if (failed.isNotEmpty()) return CommitOutcome.Conflict(failed)
         for (change in transaction.changes) {
-            if (change is Change.Put && change.lease != null && change.lease !in leases) return CommitOutcome.LeaseOver
+            if (change is Change.Put && change.lease != null && change.lease !in leases) return CommitOutcome.LeaseExpired
         }
         if (transaction.changes.isEmpty()) return CommitOutcome.Applied(revision)
         revision++
@@ -130,7 +130,7 @@
     }
 
     fun changes(prefix: String, from: Long): ChangesOutcome {
-        if (from < droppedUpTo) return ChangesOutcome.TooOld
+        if (from < droppedUpTo) return ChangesOutcome.Compacted
         var first = history.size
         while (first > 0 && history[first - 1].version > from) first--
         val newer = history.subList(first, history.size)
@@ -142,12 +142,12 @@
         if (now !is ChangesOutcome.Read || now.changes.events.isNotEmpty()) return answer(now)
         val watch = Watch(from, prefix, answer)
         watches.add(watch)
-        world.after(waitMs) { close(watch) }
+        time.after(waitMs) { close(watch) }
     }
 
     private fun close(watch: Watch) {
         if (!watch.open) return
-        if (down) return world.after(100) { close(watch) }
+        if (down) return time.after(100) { close(watch) }
         watch.open = false
         watches.remove(watch)
         watch.answer(changes(watch.prefix, watch.from))
@@ -160,21 +160,21 @@
         }
     }
 
-    fun grant(lifeMs: Long): Long {
-        leases[nextLease] = Lease(lifeMs, world.nowMs + lifeMs)
+    fun grantLease(ttlMs: Long): Long {
+        leases[nextLease] = Lease(ttlMs, time.nowMs + ttlMs)
         return nextLease++
     }
 
-    fun touch(id: Long): TouchOutcome {
-        val lease = leases[id] ?: return TouchOutcome.OVER
-        lease.endsAt = world.nowMs + lease.lifeMs
-        return TouchOutcome.RENEWED
+    fun keepLeaseAlive(id: Long): LeaseRenewalOutcome {
+        val lease = leases[id] ?: return LeaseRenewalOutcome.EXPIRED
+        lease.endsAt = time.nowMs + lease.ttlMs
+        return LeaseRenewalOutcome.RENEWED
     }
 
-    fun release(id: Long) = end(id)
+    fun revokeLease(id: Long) = end(id)
 
     private fun expireLeases() {
-        for (id in leases.filterValues { it.endsAt <= world.nowMs }.keys) end(id)
+        for (id in leases.filterValues { it.endsAt <= time.nowMs }.keys) end(id)
     }
 
     private fun end(id: Long) {
--- a/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
+++ b/src/scale/kotlin/oxbowlug/standin/SimWorker.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.Zone
 
 /** What a worker may know of jobs, and how long their tasks really take. */
-internal interface JobBook {
+internal interface SimJobs {
     fun spec(job: String): JobSpec?
 
     fun runMs(job: String): Long
@@ -54,7 +54,7 @@
      * at once or half a second later where a redirect leads, and a second after any other failure. The network's
      * transit is left to the [HeartbeatTarget].
      */
-    data class AsPublished(override val intervalMs: Long) : HeartbeatPacing {
+    data class Protocol(override val intervalMs: Long) : HeartbeatPacing {
         override val checkMs = 60L..120L
         override val transitMs = 0L..0L
         val variesBy = intervalMs / 4
@@ -66,8 +66,8 @@
 
 /** One worker by its published protocol: incarnations, leases, tokens, and one report in flight. */
 internal class SimWorker(
-    private val world: World,
-    private val book: JobBook,
+    private val time: VirtualTime,
+    private val book: SimJobs,
     private val nodes: () -> List<HeartbeatTarget>,
     val id: MachineId,
     val type: MachineType,
@@ -85,7 +85,7 @@
         var saved: Boolean = false
     ) {
         var turn = 0
-        val onMachine: Boolean get() = state == TaskState.RUNNING || state == TaskState.SAVING
+        val runningTasks: Boolean get() = state == TaskState.RUNNING || state == TaskState.SAVING
     }
 
     val endpoint = endpoint ?: id.value.substringAfterLast('-').toInt()
@@ -98,7 +98,7 @@
     private var token = FencingToken(0)
 
     /** When the last answered report was sent, or the incarnation began. */
-    var leaseFrom = world.nowMs
+    var leaseStartedAt = time.nowMs
         private set
     private var node = 0
     private var inFlight = false
@@ -115,18 +115,18 @@
     var hungUntil = 0L
 
     /** It reaches no controller, while direct commands reach it. */
-    var muteUntil = 0L
+    var heartbeatsLostUntil = 0L
 
     /** Its reports arrive, but answers and commands don't reach it. */
     var unresponsiveUntil = 0L
 
     /** Its reports arrive, but their answers don't reach it, while direct commands do. */
-    var unansweredUntil = 0L
-    var noticeS: Double? = null
-    val isHung: Boolean get() = world.nowMs < hungUntil
+    var answersLostUntil = 0L
+    var interruptionNoticeS: Double? = null
+    val isHung: Boolean get() = time.nowMs < hungUntil
 
     /** Copies of old reports, for faults that deliver them again. */
-    val sent = ArrayDeque<WorkerHeartbeat>()
+    val recentHeartbeats = ArrayDeque<WorkerHeartbeat>()
 
     /** Up since its boot; a machine that still boots has no lease to lose. */
     var isUp = false
@@ -134,43 +134,43 @@
 
     fun boot() {
         isUp = true
-        leaseFrom = world.nowMs
+        leaseStartedAt = time.nowMs
         tick()
     }
 
     private fun tick() {
         if (!alive) return
         if (!isHung) {
-            if (world.nowMs > leaseFrom + leaseMs) expire()
+            if (time.nowMs > leaseStartedAt + leaseMs) expire()
             if (!inFlight && isReportDue()) report()
         }
-        world.after(world.between(pacing.checkMs)) { tick() }
+        time.after(time.between(pacing.checkMs)) { tick() }
     }
 
-    private fun isReportDue(): Boolean = world.nowMs >= nextReportAt ||
-        hasChanges && pacing is HeartbeatPacing.AsPublished &&
-        world.nowMs >= maxOf(notBefore, lastHeartbeatAt + pacing.changesMs)
+    private fun isReportDue(): Boolean = time.nowMs >= nextReportAt ||
+        hasChanges && pacing is HeartbeatPacing.Protocol &&
+        time.nowMs >= maxOf(notBefore, lastHeartbeatAt + pacing.changesMs)
 
     private fun pauseAfterReport(): Long = when (pacing) {
         is HeartbeatPacing.Fixed -> pacing.intervalMs
-        is HeartbeatPacing.AsPublished ->
-            world.between(pacing.intervalMs - pacing.variesBy, pacing.intervalMs + pacing.variesBy)
+        is HeartbeatPacing.Protocol ->
+            time.between(pacing.intervalMs - pacing.variesBy, pacing.intervalMs + pacing.variesBy)
     }
 
     private fun tryNextNode() {
         node++
-        if (pacing is HeartbeatPacing.AsPublished) pauseFor(pacing.failureMs)
+        if (pacing is HeartbeatPacing.Protocol) pauseFor(pacing.failureMs)
     }
 
     private fun follow(redirect: HeartbeatResponse.Redirect) {
         val index = nodes().indexOfFirst { it.label == redirect.label }
         if (index < 0 || index == node % nodes().size) return tryNextNode()
         node = index
-        if (pacing is HeartbeatPacing.AsPublished) pauseFor(world.between(pacing.redirectMs))
+        if (pacing is HeartbeatPacing.Protocol) pauseFor(time.between(pacing.redirectMs))
     }
 
     private fun pauseFor(pauseMs: Long) {
-        notBefore = world.nowMs + pauseMs
+        notBefore = time.nowMs + pauseMs
         nextReportAt = notBefore
     }
 
@@ -179,37 +179,37 @@
         private set
 
     private fun expire() {
-        endedByLease += tasks.values.count { it.onMachine }
+        endedByLease += tasks.values.count { it.runningTasks }
         tasks.clear()
         incarnation++
         hasChanges = true
-        leaseFrom = world.nowMs
+        leaseStartedAt = time.nowMs
     }
 
     private fun report() {
         inFlight = true
         hasChanges = false
-        lastHeartbeatAt = world.nowMs
-        nextReportAt = world.nowMs + pauseAfterReport()
-        val sentAt = world.nowMs
+        lastHeartbeatAt = time.nowMs
+        nextReportAt = time.nowMs + pauseAfterReport()
+        val sentAt = time.nowMs
         val message = account()
-        sent.addLast(message)
-        if (sent.size > 20) sent.removeFirst()
+        recentHeartbeats.addLast(message)
+        if (recentHeartbeats.size > 20) recentHeartbeats.removeFirst()
         val target = nodes()[node % nodes().size]
         var answered = false
         onSent(message)
-        world.after(world.between(pacing.transitMs)) {
-            if (world.nowMs < muteUntil) return@after
+        time.after(time.between(pacing.transitMs)) {
+            if (time.nowMs < heartbeatsLostUntil) return@after
             target.receive(message) { answer ->
-                world.after(world.between(pacing.transitMs)) {
-                    if (!answered && world.nowMs < sentAt + ANSWER_MS) {
+                time.after(time.between(pacing.transitMs)) {
+                    if (!answered && time.nowMs < sentAt + ANSWER_MS) {
                         answered = true
                         whenAwake { take(answer, message, sentAt) }
                     }
                 }
             }
         }
-        world.after(ANSWER_MS) {
+        time.after(ANSWER_MS) {
             if (!answered) {
                 answered = true
                 tryNextNode()
@@ -220,22 +220,22 @@
 
     private fun whenAwake(action: () -> Unit) {
         if (!alive) return
-        if (isHung) return world.after(hungUntil - world.nowMs + 1) { whenAwake(action) }
+        if (isHung) return time.after(hungUntil - time.nowMs + 1) { whenAwake(action) }
         // A machine that goes on after its lease is over ends its tasks before anything else.
-        if (world.nowMs > leaseFrom + leaseMs) expire()
+        if (time.nowMs > leaseStartedAt + leaseMs) expire()
         action()
     }
 
     private fun take(answer: HeartbeatResponse?, message: WorkerHeartbeat, sentAt: Long) {
         inFlight = false
-        if (world.nowMs < unresponsiveUntil || world.nowMs < unansweredUntil) return tryNextNode()
+        if (time.nowMs < unresponsiveUntil || time.nowMs < answersLostUntil) return tryNextNode()
         when (answer) {
             is HeartbeatResponse.Renewed -> {
-                if (world.nowMs > leaseFrom + leaseMs) expire()
-                val isLate = world.nowMs > sentAt + ANSWER_MS
+                if (time.nowMs > leaseStartedAt + leaseMs) expire()
+                val isLate = time.nowMs > sentAt + ANSWER_MS
                 if (answer.token < token || message.incarnation != incarnation || isLate) return
                 see(answer.token)
-                leaseFrom = sentAt
+                leaseStartedAt = sentAt
                 answer.commands.forEach(::execute)
             }
             is HeartbeatResponse.Redirect -> follow(answer)
@@ -245,8 +245,8 @@
 
     /** A higher token counts as a change at most once within half a lease. */
     private fun see(given: FencingToken) {
-        if (given > token && world.nowMs >= nextTokenChangeAt) {
-            nextTokenChangeAt = world.nowMs + leaseMs / 2
+        if (given > token && time.nowMs >= nextTokenChangeAt) {
+            nextTokenChangeAt = time.nowMs + leaseMs / 2
             hasChanges = true
         }
         token = given
@@ -254,7 +254,7 @@
 
     fun account(): WorkerHeartbeat = WorkerHeartbeat(
         machine = id, endpoint = endpoint, type = type.name, zone = zone, spot = spot, incarnation = incarnation,
-        sequence = ++sequence, token = token, noticeS = noticeS,
+        sequence = ++sequence, token = token, interruptionNoticeS = interruptionNoticeS,
         tasks = tasks.values.map { TaskStatus(it.attempt, it.state, it.cause, it.saved) },
     )
 
@@ -266,8 +266,8 @@
         answer: (WorkerHeartbeat, Boolean) -> Unit,
     ) {
         whenAwake {
-            if (world.nowMs >= unresponsiveUntil) {
-                if (world.nowMs > leaseFrom + leaseMs) expire()
+            if (time.nowMs >= unresponsiveUntil) {
+                if (time.nowMs > leaseStartedAt + leaseMs) expire()
                 val valid = given >= token && forIncarnation == incarnation
                 if (valid) {
                     see(given)
@@ -279,7 +279,7 @@
     }
 
     fun status(answer: (WorkerHeartbeat) -> Unit) =
-        whenAwake { if (world.nowMs >= unresponsiveUntil) answer(account()) }
+        whenAwake { if (time.nowMs >= unresponsiveUntil) answer(account()) }
 
     private fun execute(command: WorkerCommand) {
         when (command) {
@@ -304,12 +304,12 @@
             !fits(spec, others) -> exit(running, ExitCause.FULL)
             else -> {
                 val fetchMs = if (spec.image.value in images) 0L else (spec.imageGb / type.fetchGbPerS * 1000).toLong()
-                world.after(fetchMs) { whenAwake { run(running, spec) } }
+                time.after(fetchMs) { whenAwake { run(running, spec) } }
             }
         }
     }
 
-    fun hasRoomFor(spec: JobSpec): Boolean = fits(spec, tasks.values.filter { it.state != TaskState.EXITED })
+    fun hasCapacityFor(spec: JobSpec): Boolean = fits(spec, tasks.values.filter { it.state != TaskState.EXITED })
 
     private fun fits(spec: JobSpec, others: List<Running>): Boolean {
         val specs = others.mapNotNull { book.spec(it.attempt.task.job.value) }
@@ -326,7 +326,7 @@
         book.onStarted(this, running.attempt)
         if (spec.kind != JobKind.ARRAY) return
         val left = if (running.attempt.task.toString() in results) 0L else book.runMs(spec.id.value)
-        world.after(left) {
+        time.after(left) {
             whenAwake {
                 if (tasks[running.attempt] === running && running.state == TaskState.RUNNING) {
                     results.add(running.attempt.task.toString())
@@ -343,7 +343,7 @@
         if (running.state == TaskState.RUNNING && spec != null && spec.savesWork && graceS >= spec.saveS) {
             running.state = TaskState.SAVING
             hasChanges = true
-            world.after((spec.saveS * 1000).toLong()) {
+            time.after((spec.saveS * 1000).toLong()) {
                 whenAwake { if (running.state == TaskState.SAVING) exit(running, ExitCause.STOPPED) }
             }
         } else if (running.state != TaskState.SAVING || graceS == 0.0) {
@@ -359,9 +359,9 @@
     }
 
     /** What the rules see: a hanging machine's tasks are there until its lease is over. */
-    fun onMachine(): List<Running> {
-        if (!alive || world.nowMs > leaseFrom + leaseMs) return emptyList()
-        return tasks.values.filter { it.onMachine }
+    fun runningTasks(): List<Running> {
+        if (!alive || time.nowMs > leaseStartedAt + leaseMs) return emptyList()
+        return tasks.values.filter { it.runningTasks }
     }
 
     private companion object {
--- a/src/scale/kotlin/oxbowlug/standin/StoredPlacements.kt
+++ b/src/scale/kotlin/oxbowlug/standin/StoredPlacements.kt
@@ -7,7 +7,7 @@
 import oxbowlug.wire.InvalidField
 
 /** Whether the stored record of its job names the attempt: only then does whoever leads next know of it. */
-internal fun SimStore.names(attempt: AttemptId): Boolean {
+internal fun SimStore.isAttemptStored(attempt: AttemptId): Boolean {
     val id = attempt.task.job.value
     val head = entry(Keys.job(id))?.value ?: return false
     return try {
--- a/src/scale/kotlin/oxbowlug/standin/World.kt
+++ b/src/scale/kotlin/oxbowlug/standin/VirtualTime.kt
@@ -4,7 +4,7 @@
 import kotlin.random.Random
 
 /** Virtual time: events run in the order of their moments, and everything random comes from one seed. */
-internal class World(seed: Long) {
+internal class VirtualTime(seed: Long) {
     private class Event(val atMs: Long, val order: Long, val action: () -> Unit)
 
     private val events = PriorityQueue<Event>(compareBy<Event> { it.atMs }.thenBy { it.order })
@@ -14,7 +14,7 @@
         private set
 
     /** Called after every event. */
-    var afterStep: () -> Unit = {}
+    var afterEvent: () -> Unit = {}
 
     fun after(delayMs: Long, action: () -> Unit) {
         events.add(Event(nowMs + delayMs.coerceAtLeast(0), order++, action))
@@ -40,7 +40,7 @@
             events.poll()
             nowMs = next.atMs
             next.action()
-            afterStep()
+            afterEvent()
         }
     }
 
--- a/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/LateAnswersTest.kt
@@ -6,11 +6,11 @@
 import oxbowlug.config.SettingsFile
 import oxbowlug.election.LeaderElection
 import oxbowlug.port.ChangesOutcome
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.Member
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.standin.VirtualTime
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
@@ -22,10 +22,10 @@
 /** Answers of the state service that come when what they were about is no more. */
 internal class LateAnswersTest {
     private val clock = ManualClock()
-    private val store = SimStore(World(1), historyLimit = 2)
+    private val store = SimStore(VirtualTime(1), historyLimit = 2)
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
     private val watches = ArrayList<(ChangesOutcome) -> Unit>()
-    private val touches = ArrayList<(TouchOutcome) -> Unit>()
+    private val touches = ArrayList<(LeaseRenewalOutcome) -> Unit>()
     private var grants = 0
 
     /** Watches and renewals wait until the test answers them. */
@@ -39,23 +39,23 @@
             if (waitMs > 0) watches.add(done) else super.changes(prefix, from, waitMs, done)
         }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
         ) {
             grants++
-            done(store.grant(lifeMs))
+            done(store.grantLease(ttlMs))
         }
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
+            done: (LeaseRenewalOutcome) -> Unit,
         ) {
             touches.add(done)
         }
     }
 
-    private val cache = StateCache(Port(), clock, timing, IgnoringListener)
+    private val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener)
     private val election = LeaderElection(Member("n0", "x"), Port(), clock, timing, cache, changesPerTransaction = 16)
 
     private fun put(key: String) = store.commit(Transaction(emptyList(), listOf(Change.Put(key, mapOf("x" to 1L)))))
@@ -75,7 +75,7 @@
         cache.catchUp {}
         cache.tick()
         assertEquals(2, cache.fullResyncs)
-        watches[0](ChangesOutcome.TooOld)
+        watches[0](ChangesOutcome.Compacted)
         var isCaughtUp = false
         clock.now += timing.catchUpGapMs
         cache.catchUp { isCaughtUp = it }
@@ -90,7 +90,7 @@
         tick()
         assertEquals(1, touches.size)
         election.resign()
-        touches[0](TouchOutcome.RENEWED)
+        touches[0](LeaseRenewalOutcome.RENEWED)
         repeat(2) { tick() }
         assertEquals(1, grants, "no new lease before the pause is over")
         clock.now += timing.workerLeaseTtlMs
--- a/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
+++ b/src/test/kotlin/oxbowlug/cache/TornRecordTest.kt
@@ -12,8 +12,8 @@
 import oxbowlug.record.RecordLayout
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.standin.VirtualTime
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
@@ -34,8 +34,8 @@
  * job at a revision is what was stored at that revision.
  */
 internal class TornRecordTest {
-    private val world = World(1)
-    private val clock = DriftingClock(world, 0.0, 0)
+    private val time = VirtualTime(1)
+    private val clock = DriftingClock(time, 0.0, 0)
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
 
@@ -124,7 +124,7 @@
             parts: List<Map<String, Any?>>,
         ) {
             val whole = record.encode() + mapOf(RecordLayout.PARTS to parts.size.toLong())
-            val head = if (parts.isEmpty()) record.encode() else layout.headAlone(whole)
+            val head = if (parts.isEmpty()) record.encode() else layout.headOnly(whole)
             commit(id, listOf(Change.Put(Keys.job(id), head)), record, parts)
         }
 
@@ -163,7 +163,7 @@
 
     private inner class Listener(
         private val applied: MutableList<Applied>,
-    ) : StateCacheListener by IgnoringListener {
+    ) : StateCacheListener by NoOpStateCacheListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
@@ -176,7 +176,7 @@
     @Test
     fun `a record is never joined of values of different moments`() {
         for (seed in 1L..SEEDS) {
-            val store = SimStore(world)
+            val store = SimStore(time)
             val writer = Writer(store, Random(seed), spec)
             repeat(WRITES_BEFORE) { writer.step() }
             val applied = ArrayList<Applied>()
--- a/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
+++ b/src/test/kotlin/oxbowlug/cancellation/CancellationEnforcerTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.CloudPort
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.WorkerPort
@@ -21,8 +21,8 @@
 import oxbowlug.record.Phase
 import oxbowlug.record.Placement
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.standin.VirtualTime
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
@@ -57,8 +57,8 @@
 internal class CancellationEnforcerTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val timing = Timing(settings, Random(1))
-    private val world = World(1)
-    private val store = SimStore(world)
+    private val time = VirtualTime(1)
+    private val store = SimStore(time)
     private val self = Member("n0", "x")
     private val machine = MachineId("host-000001")
     private val firstJob = JobId("run-000001")
@@ -99,11 +99,11 @@
                 token: FencingToken,
                 incarnation: Long,
                 commands: List<WorkerCommand>,
-                done: (DirectOutcome) -> Unit,
+                done: (CommandOutcome) -> Unit,
             ) {
-                if (!executesCommands) return done(DirectOutcome.Unanswered)
+                if (!executesCommands) return done(CommandOutcome.Unanswered)
                 running.removeAll(commands.filterIsInstance<WorkerCommand.Stop>().map { it.attempt }.toSet())
-                done(DirectOutcome.Answered(currentHeartbeat(), executed = true))
+                done(CommandOutcome.Answered(currentHeartbeat(), executed = true))
             }
         }
 
@@ -139,10 +139,10 @@
                 notice: CancellationNotice,
             ) = Unit
 
-            override fun heartbeatChanged() = Unit
+            override fun broadcastHeartbeat() = Unit
         }
 
-    private inner class RecordListener : StateCacheListener by IgnoringListener {
+    private inner class RecordListener : StateCacheListener by NoOpStateCacheListener {
         override fun onJob(
             id: JobId,
             job: CachedJob,
--- a/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
+++ b/src/test/kotlin/oxbowlug/cluster/ClusterStateTest.kt
@@ -203,10 +203,10 @@
         hello(report(9))
         assertTrue(isHeld, "an older report lacks it")
         clock.now += timing.workerLeaseTtlMs - 100
-        assertFalse(cluster.expire(cluster.machines.getValue(machine), clock.now))
+        assertFalse(cluster.expireLease(cluster.machines.getValue(machine), clock.now))
         hello(report(8))
         clock.now += timing.workerLeaseExpiryMs - timing.workerLeaseTtlMs + 100
-        assertTrue(cluster.expire(cluster.machines.getValue(machine), clock.now), "a copy renews nothing")
+        assertTrue(cluster.expireLease(cluster.machines.getValue(machine), clock.now), "a copy renews nothing")
         assertFalse(isHeld)
         assertFalse(hello(report(11, tasks = listOf(task(TaskState.RUNNING)))) == null)
         assertEquals(
@@ -230,10 +230,10 @@
         val running = TaskStatus(started, TaskState.RUNNING, null, false)
         cluster.applyHeartbeat(report(3, incarnation = 2, tasks = listOf(running)), isHeartbeat = false)
         clock.now += 2_000
-        cluster.expire(host, clock.now)
+        cluster.expireLease(host, clock.now)
         assertTrue(isHeld, "the new incarnation's lease is not over, and the task runs")
         clock.now += timing.workerLeaseExpiryMs
-        assertTrue(cluster.expire(host, clock.now), "a lease after it was shown, it is")
+        assertTrue(cluster.expireLease(host, clock.now), "a lease after it was shown, it is")
         assertFalse(isHeld)
     }
 
@@ -242,7 +242,7 @@
         take(record(), 7)
         hello(report(10, seen = FencingToken(4), tasks = listOf(task(TaskState.RUNNING))))
         clock.now += timing.workerLeaseExpiryMs * 3
-        assertFalse(cluster.expire(cluster.machines.getValue(machine), clock.now))
+        assertFalse(cluster.expireLease(cluster.machines.getValue(machine), clock.now))
         assertTrue(isHeld)
     }
 
@@ -341,7 +341,7 @@
     fun `a late write of ours that was applied after all counts over what we planned since`() {
         take(record(placed = false), 7)
         hello(report(1))
-        job.notWritten(job.begin("w2"), clock.now)
+        job.requeueWrite(job.begin("w2"), clock.now)
         take(record(write = "late"), 8)
         assertTrue(isHeld)
         assertEquals(1, job.attempts.getValue(0).number)
@@ -354,20 +354,20 @@
         take(record(), 7)
         FailureBackoff.onError(host, job, clock.now, timing)
         assertFalse(host.isQuarantined)
-        assertEquals(0, job.holdUntil)
+        assertEquals(0, job.backoffUntil)
         host.failedJobs.add("another")
         FailureBackoff.onError(host, job, clock.now, timing)
         assertTrue(host.isQuarantined)
         val pauses =
             (2..6).map { index ->
                 FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
-                maxOf(0, job.holdUntil - clock.now)
+                maxOf(0, job.backoffUntil - clock.now)
             }
         assertEquals(0, pauses.first(), "two machines don't make it the job's fault")
         assertEquals(pauses.sorted(), pauses, "the pause grows")
         assertTrue(pauses.last() > pauses[1])
         for (index in 7..30) FailureBackoff.onError(Machine(MachineId("host-$index"), 0), job, clock.now, timing)
-        val longest = maxOf(job.holdUntil - clock.now, timing.failedMachineAvoidMs)
+        val longest = maxOf(job.backoffUntil - clock.now, timing.failedMachineAvoidMs)
         assertTrue(longest <= 75_000, "after the trouble it would be left waiting for $longest ms beside free room")
     }
 
--- a/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
+++ b/src/test/kotlin/oxbowlug/commit/JobRecordWriterTest.kt
@@ -21,8 +21,8 @@
 import oxbowlug.record.RequestIds
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.standin.VirtualTime
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.failingInvariants
@@ -42,9 +42,9 @@
 
 /** How a leader writes its jobs' records while the state service takes less than it did. */
 internal class JobRecordWriterTest {
-    private val world = World(1)
-    private val store = SimStore(world)
-    private val clock = DriftingClock(world, 0.0, 0)
+    private val time = VirtualTime(1)
+    private val store = SimStore(time)
+    private val clock = DriftingClock(time, 0.0, 0)
     private val next = WriteLimits(writeRps = 15.0, valueKb = 2.0, txnOps = 4)
     private val settings = SettingsFile.parse(SampleSettings.valid).let { it.copy(state = it.state.copy(next = next)) }
     private val timing = Timing(settings, Random(1))
@@ -88,9 +88,9 @@
     ) {
         val leadership = LeadershipRecord(1, FencingToken(1), Member("n0", "x"), 0)
         put(Keys.LEADERSHIP, leadership.encode())
-        if (isSwitchedOn) put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST))
+        if (isSwitchedOn) put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST))
         for (record in records) put(Keys.job(record.spec.id.value), record.encode())
-        val cache = StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val version = store.entry(Keys.LEADERSHIP)?.version ?: error("it was just written")
         cache.forEachActive { id, stored -> stored.value?.let { cluster.applyJob(id, stored, it) } }
         commits =
@@ -134,14 +134,14 @@
                 cluster.machine(MachineId("host-%06d".format(task))) ?: error("there"),
             )
         }
-        job.nextRound()
+        job.advanceAttemptNumber()
     }
 
     private fun flush(times: Int = 1) =
         repeat(times) {
             commits.flush()
-            world.after(2_000) {}
-            world.runUntil(world.nowMs + 2_000)
+            time.after(2_000) {}
+            time.runUntil(time.nowMs + 2_000)
         }
 
     private fun stored(id: String): JobRecord {
@@ -153,23 +153,23 @@
     fun `a job of 240 tasks on as many machines is placed, ends and is over in small values`() {
         lead(isSwitchedOn = true, record("big", 240))
         store.limits = next
-        world.runUntil(world.nowMs + 1_000)
+        time.runUntil(time.nowMs + 1_000)
         place("big", 0..199)
         flush(2)
         val job = cluster.jobs.getValue(JobId("big"))
         assertEquals(200, stored("big").placements.size)
-        assertTrue(job.attempts.values.all { it.committed })
+        assertTrue(job.attempts.values.all { it.isCommitted })
         assertTrue(store.keys(Keys.PARTS).isNotEmpty())
         for (task in 0..198) {
             job.markDone(task, clock.steadyMs())
-            job.drop(task, clock.steadyMs())
+            job.removeAttempt(task, clock.steadyMs())
         }
         place("big", 200..239)
         flush(3)
         assertEquals(41, stored("big").placements.size)
         for (task in 199..239) {
             job.markDone(task, clock.steadyMs())
-            job.drop(task, clock.steadyMs())
+            job.removeAttempt(task, clock.steadyMs())
         }
         flush(3)
         assertEquals(Phase.DONE, stored("big").phase)
@@ -181,9 +181,9 @@
     fun `ends that can wait leave writes for placements, but not for ever`() {
         val arrays = List(12) { record("array-$it", 40, placed = 1) }
         lead(isSwitchedOn = true, *arrays.toTypedArray(), record("service", 2), rate = 8.0)
-        for (array in arrays) cluster.jobs.getValue(array.spec.id).drop(0, clock.steadyMs())
-        world.after(timing.deferredWriteMs) {}
-        world.runUntil(world.nowMs + timing.deferredWriteMs)
+        for (array in arrays) cluster.jobs.getValue(array.spec.id).removeAttempt(0, clock.steadyMs())
+        time.after(timing.deferredWriteMs) {}
+        time.runUntil(time.nowMs + timing.deferredWriteMs)
         commits.flush()
         val lesser = sent.sumOf { it.changes.size }
         place("service", 0..1)
@@ -199,7 +199,7 @@
         place("big", 0..199)
         flush()
         val first = sent.last().changes.size
-        cluster.jobs.getValue(JobId("big")).drop(199, clock.steadyMs())
+        cluster.jobs.getValue(JobId("big")).removeAttempt(199, clock.steadyMs())
         flush(2)
         assertTrue(first == 3 && sent.last().changes.size == 2, "$first, then ${sent.last().changes.size}")
     }
@@ -208,7 +208,7 @@
     fun `before the switch records are written whole, and what is refused for its size holds up nothing else`() {
         lead(isSwitchedOn = false, record("big", 240), record("small", 4))
         store.limits = next
-        world.runUntil(world.nowMs + 1_000)
+        time.runUntil(time.nowMs + 1_000)
         place("big", 0..199)
         place("small", 0..3)
         flush(6)
@@ -227,8 +227,8 @@
             }
         assertEquals(tooLarge.distinct().size, tooLarge.size, "nothing is sent twice unchanged")
         place("big", 0..9)
-        world.after(timing.workerLeaseTtlMs) {}
-        world.runUntil(world.nowMs + timing.workerLeaseTtlMs)
+        time.after(timing.workerLeaseTtlMs) {}
+        time.runUntil(time.nowMs + timing.workerLeaseTtlMs)
         flush(2)
         assertEquals(10, stored("big").placements.size, "with fewer placements it fits")
     }
@@ -253,11 +253,11 @@
         assertEquals(2, waiting.size, "the second write is on its way")
         waiting[0].answer(CommitOutcome.Applied(store.revision))
         val job = cluster.jobs.getValue(JobId("job"))
-        assertEquals(listOf(true, false), job.attempts.values.map { it.committed }, "what may be started")
+        assertEquals(listOf(true, false), job.attempts.values.map { it.isCommitted }, "what may be started")
         waiting[1].answer(CommitOutcome.Refused)
         held = null
         flush(2)
         assertEquals(setOf(0, 1), stored("job").placements.keys, "what was refused is written again")
-        assertEquals(listOf(true, true), job.attempts.values.map { it.committed })
+        assertEquals(listOf(true, true), job.attempts.values.map { it.isCommitted })
     }
 }
--- a/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeaderElectionTest.kt
@@ -11,14 +11,14 @@
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
 import oxbowlug.record.WritableFormat
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
 import oxbowlug.wire.JobId
@@ -28,8 +28,8 @@
 
 /** Which controller is elected leader, and which roles the other controllers have. */
 internal class LeaderElectionTest {
-    private val world = World(1)
-    private val store = SimStore(world)
+    private val time = VirtualTime(1)
+    private val store = SimStore(time)
     private var jobReadDelayMs = 0L
     private var changesPerTransaction = 16
 
@@ -48,7 +48,7 @@
             done: (T) -> Unit,
             execute: () -> T,
         ) {
-            world.after(2) { if (reachable) done(execute()) else world.after(200) { done(failure) } }
+            time.after(2) { if (reachable) done(execute()) else time.after(200) { done(failure) } }
         }
 
         override fun commit(
@@ -65,7 +65,7 @@
         ) {
             if (prefix == Keys.MEMBERSHIP) calls++
             val delayMs = if (prefix == Keys.ROOT) jobReadDelayMs else 0
-            world.after(delayMs) { answer(null, done) { store.read(prefix, after, 100) } }
+            time.after(delayMs) { answer(null, done) { store.read(prefix, after, 100) } }
         }
 
         override fun changes(
@@ -75,24 +75,24 @@
             done: (ChangesOutcome) -> Unit,
         ) = answer(ChangesOutcome.Failed, done) { store.changes(prefix, from) }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
-        ) = answer(null, done) { store.grant(lifeMs) }.also { calls++ }
+        ) = answer(null, done) { store.grantLease(ttlMs) }.also { calls++ }
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
-        ) = answer(TouchOutcome.FAILED, done) { store.touch(lease) }
+            done: (LeaseRenewalOutcome) -> Unit,
+        ) = answer(LeaseRenewalOutcome.FAILED, done) { store.keepLeaseAlive(lease) }
 
-        override fun release(lease: Long) = answer(Unit, {}) { store.release(lease) }
+        override fun revokeLease(lease: Long) = answer(Unit, {}) { store.revokeLease(lease) }
     }
 
     private inner class Node(
         label: String,
         incarnation: String,
     ) {
-        private val clock = DriftingClock(world, 0.0, 0)
+        private val clock = DriftingClock(time, 0.0, 0)
         private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(2))
         private val port = Port()
         private val cache = StateCache(port, clock, timing, Listener())
@@ -126,7 +126,7 @@
             if (!alive) return
             cache.tick()
             election.tick()
-            world.after(20) { tick() }
+            time.after(20) { tick() }
         }
 
         fun crash() {
@@ -154,15 +154,15 @@
     @Test
     fun `one controller leads, and a successor is elected only after the leader's lease expires`() {
         val first = Node("n0", "x")
-        world.runUntil(500)
+        time.runUntil(500)
         val second = Node("n1", "y")
-        world.runUntil(1000)
+        time.runUntil(1000)
         assertTrue(first.role is LeadershipRole.Leader)
         assertEquals(LeadershipRole.Follower(Member("n0", "x")), second.role)
         first.crash()
-        world.runUntil(1000 + leaseMs / 2)
+        time.runUntil(1000 + leaseMs / 2)
         assertTrue(second.role is LeadershipRole.Follower, "the leader's lease is still valid")
-        world.runUntil(1000 + leaseMs + 1500)
+        time.runUntil(1000 + leaseMs + 1500)
         val role = second.role
         assertTrue(
             role is LeadershipRole.Leader && role.leadership.epoch == 2L && role.leadership.token.value == 2L,
@@ -175,12 +175,12 @@
         // After a crash of all controllers, a new controller first read hundreds of job records; some workers' leases
         // expired in the meantime. Found on the bench.
         val first = Node("n0", "x")
-        world.runUntil(500)
+        time.runUntil(500)
         first.crash()
-        world.runUntil(500 + leaseMs + 200)
+        time.runUntil(500 + leaseMs + 200)
         jobReadDelayMs = 10_000
         val second = Node("n1", "y")
-        world.runUntil(world.nowMs + 500)
+        time.runUntil(time.nowMs + 500)
         assertTrue(second.role is LeadershipRole.Leader, "${second.role}")
         assertFalse(second.hasJobs)
     }
@@ -190,13 +190,13 @@
         for ((changes, calls) in listOf(16 to 3, 1 to 4)) {
             changesPerTransaction = changes
             val node = Node("n$changes", "x")
-            var untilMs = world.nowMs
+            var untilMs = time.nowMs
             val deadlineMs = untilMs + leaseMs
-            while (node.role !is LeadershipRole.Leader && untilMs < deadlineMs) world.runUntil(++untilMs)
+            while (node.role !is LeadershipRole.Leader && untilMs < deadlineMs) time.runUntil(++untilMs)
             assertTrue(node.role is LeadershipRole.Leader)
             assertEquals(calls, node.calls, "with $changes changes per transaction")
             node.crash()
-            world.runUntil(world.nowMs + leaseMs + 200)
+            time.runUntil(time.nowMs + leaseMs + 200)
         }
     }
 
@@ -204,19 +204,19 @@
     fun `a transaction refused for its size doesn't drop the lease, and isn't repeated at each tick`() {
         val node = Node("n0", "x")
         node.refuseTransactionSize(true)
-        world.runUntil(500)
+        time.runUntil(500)
         val callsBefore = node.calls
-        world.runUntil(1_000)
+        time.runUntil(1_000)
         assertTrue(node.calls - callsBefore < 5, "${node.calls - callsBefore} calls in half a second")
         node.refuseTransactionSize(false)
-        world.runUntil(1_000 + 2 * leaseMs)
+        time.runUntil(1_000 + 2 * leaseMs)
         assertTrue(node.role is LeadershipRole.Leader, "${node.role}")
     }
 
     @Test
     fun `of two controllers that start together one leads, and both register as members`() {
         val nodes = listOf(Node("n0", "x"), Node("n1", "y"))
-        world.runUntil(500)
+        time.runUntil(500)
         assertEquals(1, nodes.count { it.role is LeadershipRole.Leader })
         assertEquals(1, nodes.count { it.role is LeadershipRole.Follower })
         val members = store.read(Keys.MEMBERS, null, 100).entries.map { it.key }
@@ -226,27 +226,27 @@
     @Test
     fun `a restarted leader is not mistaken for its earlier incarnation`() {
         val first = Node("n0", "x")
-        world.runUntil(500)
+        time.runUntil(500)
         first.crash()
         val restarted = Node("n0", "z")
-        world.runUntil(800)
+        time.runUntil(800)
         assertEquals(LeadershipRole.Follower(Member("n0", "x")), restarted.role)
-        world.runUntil(500 + leaseMs + 2000)
+        time.runUntil(500 + leaseMs + 2000)
         assertTrue(restarted.role is LeadershipRole.Leader)
     }
 
     @Test
     fun `a leader without the state service leaves the leader role before a successor can be elected`() {
         val first = Node("n0", "x")
-        world.runUntil(500)
+        time.runUntil(500)
         val second = Node("n1", "y")
-        world.runUntil(1000)
+        time.runUntil(1000)
         first.disconnectFromState()
-        while (second.role !is LeadershipRole.Leader && world.nowMs < 20_000) {
-            world.runUntil(world.nowMs + 20)
+        while (second.role !is LeadershipRole.Leader && time.nowMs < 20_000) {
+            time.runUntil(time.nowMs + 20)
             assertTrue(
                 first.role !is LeadershipRole.Leader || second.role !is LeadershipRole.Leader,
-                "two leaders at ${world.nowMs}",
+                "two leaders at ${time.nowMs}",
             )
         }
         assertTrue(second.role is LeadershipRole.Leader)
@@ -258,7 +258,7 @@
     @Test
     fun `a worker's newer token alone ends the leader role`() {
         val first = Node("n0", "x")
-        world.runUntil(500)
+        time.runUntil(500)
         first.observeEpoch(7, null)
         assertEquals(LeadershipRole.Unknown, first.role)
     }
--- a/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
+++ b/src/test/kotlin/oxbowlug/election/LeadershipDecisionContextTest.kt
@@ -9,8 +9,8 @@
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.standin.VirtualTime
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
@@ -24,17 +24,17 @@
 internal class LeadershipDecisionContextTest {
     private val clock = ManualClock()
     private val self = Member("n0", "x")
-    private val store = SimStore(World(1), historyLimit = 2)
+    private val store = SimStore(VirtualTime(1), historyLimit = 2)
     private val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
 
     private inner class Port : ImmediateStatePort(store) {
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
-        ) = done(store.grant(lifeMs))
+        ) = done(store.grantLease(ttlMs))
     }
 
-    private val cache = StateCache(Port(), clock, timing, IgnoringListener)
+    private val cache = StateCache(Port(), clock, timing, NoOpStateCacheListener)
     private val election = LeaderElection(self, Port(), clock, timing, cache, changesPerTransaction = 1)
     private val decisions = LeadershipDecisionContext(clock, election, cache)
 
--- a/src/test/kotlin/oxbowlug/forecast/DemandForecastTest.kt
+++ b/src/test/kotlin/oxbowlug/forecast/DemandForecastTest.kt
@@ -31,7 +31,7 @@
             oneZone = false,
             spread = false,
             spot = false,
-            estimateS = 0.0,
+            runEstimateS = 0.0,
             checkpointS = 0.0,
             saveS = 0.0,
             deadlineS = null,
--- a/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
+++ b/src/test/kotlin/oxbowlug/leader/DependenciesTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.JobRecord
 import oxbowlug.record.Keys
@@ -21,7 +21,7 @@
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.WritableFormat
 import oxbowlug.sim.DriftingClock
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Cbor
@@ -39,8 +39,8 @@
 
 /** Tests how the state cache tracks dependencies between jobs, unreadable job records, and the data format. */
 internal class DependenciesTest {
-    private val world = World(1)
-    private val clock = DriftingClock(world, 0.0, 0)
+    private val time = VirtualTime(1)
+    private val clock = DriftingClock(time, 0.0, 0)
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid())
     private var revision = 0L
     private val pending = ArrayList<Event>()
@@ -71,17 +71,17 @@
             done(ChangesOutcome.Read(Changes(events, revision)))
         }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
         ) = Unit
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
+            done: (LeaseRenewalOutcome) -> Unit,
         ) = Unit
 
-        override fun release(lease: Long) = Unit
+        override fun revokeLease(lease: Long) = Unit
     }
 
     /** Records the jobs whose dependencies changed in [changed]. */
@@ -130,8 +130,8 @@
     /** The cache limits the rate of its reads, so simulated time has to pass between them. */
     private fun catchUp() {
         cache.catchUp {}
-        world.after(1_000) {}
-        world.runUntil(world.nowMs + 1_000)
+        time.after(1_000) {}
+        time.runUntil(time.nowMs + 1_000)
         cache.tick()
     }
 
--- a/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
+++ b/src/test/kotlin/oxbowlug/lease/LeaseRenewalDelegateTest.kt
@@ -11,15 +11,15 @@
 import oxbowlug.port.HeartbeatEcho
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.DelegateAssignments
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
 import oxbowlug.region.Regions
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.standin.VirtualTime
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ManualClock
 import oxbowlug.testing.SampleSettings
 import oxbowlug.timing.Timing
@@ -37,7 +37,7 @@
 internal class LeaseRenewalDelegateTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
     private val timing = Timing(settings, Random(1))
-    private val store = SimStore(World(1))
+    private val store = SimStore(VirtualTime(1))
     private val leader = Member("n0", "x")
     private val delegate = Member("n1", "y")
     private val zone = Zone("b")
@@ -67,17 +67,17 @@
             if (waitMs == 0L) done(if (isStateUnreachable) ChangesOutcome.Failed else store.changes(prefix, from))
         }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
         ) = Unit
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
+            done: (LeaseRenewalOutcome) -> Unit,
         ) = Unit
 
-        override fun release(lease: Long) = Unit
+        override fun revokeLease(lease: Long) = Unit
     }
 
     private fun put(
@@ -91,7 +91,7 @@
         put(Keys.member(leader), emptyMap())
         put(Keys.member(delegate), emptyMap())
         put(Keys.LEADERSHIP, LeadershipRecord(3, FencingToken(3), leader, 0).encode())
-        return StateCache(Port(), clock, timing, IgnoringListener).apply { tick() }
+        return StateCache(Port(), clock, timing, NoOpStateCacheListener).apply { tick() }
     }
 
     private fun assignedDelegates(): LeaseRenewalDelegates {
@@ -108,8 +108,8 @@
         delegate,
         3,
         leader,
-        seesState = true,
-        atMs = 0,
+        reachesState = true,
+        sendTimeMs = 0,
         echo = HeartbeatEcho(leader, lastContactAt, renewals),
     )
 
@@ -188,14 +188,14 @@
         val renewalDelegate = LeaseRenewalDelegate(delegate, zone, Regions(), clock, timing, cache)
         val heartbeat = workerHeartbeat(zone, 3)
         isStateUnreachable = true
-        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
+        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sendTimeMs = 7))
         assertNull(renewalDelegate.renew(heartbeat), "the leader was reached just now")
         clock.now += timing.delegateActivationMs
         assertEquals(FencingToken(3), renewalDelegate.renew(heartbeat))
         assertNull(renewalDelegate.renew(workerHeartbeat(Zone("a"), 3)), "a worker of another zone")
         assertNull(renewalDelegate.renew(workerHeartbeat(zone, 4)), "the worker has seen a newer token")
         assertEquals(HeartbeatEcho(leader, 7, 1), renewalDelegate.echo())
-        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 8))
+        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sendTimeMs = 8))
         assertNull(renewalDelegate.renew(heartbeat), "the leader is reached again")
         clock.now += timing.delegateActivationMs
         isStateUnreachable = false
@@ -211,7 +211,7 @@
         put(Keys.DELEGATES, DelegateAssignments(FencingToken(3), byZone, 0).encode())
         val renewalDelegate = LeaseRenewalDelegate(delegate, zone, southRegion, clock, timing, cache())
         isStateUnreachable = true
-        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, seesState = true, atMs = 7))
+        renewalDelegate.onHeartbeat(PeerHeartbeat(leader, 3, leader, reachesState = true, sendTimeMs = 7))
         clock.now += timing.delegateActivationMs
         assertEquals(FencingToken(3), renewalDelegate.renew(workerHeartbeat(Zone("c"), 3)))
         assertNull(renewalDelegate.renew(workerHeartbeat(Zone("d"), 3)), "another delegate is assigned")
--- a/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
+++ b/src/test/kotlin/oxbowlug/membership/PeerHealthTest.kt
@@ -17,7 +17,7 @@
         class Case(
             val name: String,
             val peers: Int,
-            val seesState: Map<String, Boolean>,
+            val reachesState: Map<String, Boolean>,
             val elapsedMs: Long,
             val isReachable: Boolean,
         )
@@ -33,7 +33,7 @@
             val clock = ManualClock(now = 1_000)
             val timing = Timing(SettingsFile.parse(SampleSettings.valid), Random(1))
             val health = PeerHealth(case.peers, clock, timing)
-            for ((label, sees) in case.seesState) health.onHeartbeat(PeerHeartbeat(Member(label, "x"), 1, null, sees))
+            for ((label, sees) in case.reachesState) health.onHeartbeat(PeerHeartbeat(Member(label, "x"), 1, null, sees))
             clock.now += case.elapsedMs
             assertEquals(case.isReachable, health.isStateReachableByOthers(), case.name)
         }
--- a/src/test/kotlin/oxbowlug/peer/PeerFramesTest.kt
+++ b/src/test/kotlin/oxbowlug/peer/PeerFrameCodecTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
-import oxbowlug.port.Acknowledgement
+import oxbowlug.port.CancellationAcknowledgement
 import oxbowlug.port.Cancellation
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.HeartbeatEcho
@@ -21,8 +21,8 @@
 import oxbowlug.wire.MachineId
 import java.util.BitSet
 
-internal class PeerFramesTest {
-    private val heartbeat = PeerHeartbeat(Member("n0", "x1"), 7, Member("n1", "y2"), seesState = true)
+internal class PeerFrameCodecTest {
+    private val heartbeat = PeerHeartbeat(Member("n0", "x1"), 7, Member("n1", "y2"), reachesState = true)
 
     @Test
     fun `frames survive being cut anywhere`() {
@@ -31,19 +31,19 @@
             listOf(
                 heartbeat,
                 heartbeat.copy(leader = null),
-                heartbeat.copy(seesState = false),
-                heartbeat.copy(atMs = 7, echo = echo),
-                heartbeat.copy(hasUnacknowledged = true),
-                heartbeat.copy(mayConfirm = true),
+                heartbeat.copy(reachesState = false),
+                heartbeat.copy(sendTimeMs = 7, echo = echo),
+                heartbeat.copy(hasUnacknowledgedCancellations = true),
+                heartbeat.copy(mayConfirmCancellations = true),
             )
         val frames = Buffer()
-        for (each in told) frames.writeAll(PeerFrames.encode(each))
+        for (each in told) frames.writeAll(PeerFrameCodec.encode(each))
         val whole = frames.readByteArray()
         for (cut in 0..whole.size) {
             val input = Buffer().write(whole, 0, cut)
-            val got = generateSequence { PeerFrames.next(input) }.toMutableList()
+            val got = generateSequence { PeerFrameCodec.decodeNext(input) }.toMutableList()
             input.write(whole, cut, whole.size - cut)
-            got += generateSequence { PeerFrames.next(input) }
+            got += generateSequence { PeerFrameCodec.decodeNext(input) }
             assertEquals(told.map { PeerMessage.Heartbeat(it) }, got, "cut at $cut")
         }
     }
@@ -52,10 +52,10 @@
     fun `images come over as they are, in as many frames as they take`() {
         val held = listOf(ImageName("a"), ImageName("b"))
         val images = mapOf(MachineId("host-1") to held, MachineId("host-2") to emptyList())
-        assertEquals(PeerMessage.Images(images, isFirst = true), PeerFrames.next(PeerFrames.encode(images)))
+        assertEquals(PeerMessage.Images(images, isFirst = true), PeerFrameCodec.decodeNext(PeerFrameCodec.encode(images)))
         val many = (1..1_200).associate { MachineId("host-$it") to List(8) { image -> ImageName("image-$image") } }
-        val frames = PeerFrames.encode(many)
-        val parts = generateSequence { PeerFrames.next(frames) }.map { it as PeerMessage.Images }.toList()
+        val frames = PeerFrameCodec.encode(many)
+        val parts = generateSequence { PeerFrameCodec.decodeNext(frames) }.map { it as PeerMessage.Images }.toList()
         assertEquals(many, parts.map { it.images }.reduce { all, part -> all + part })
         assertEquals(1, parts.count { it.isFirst })
     }
@@ -77,18 +77,18 @@
     private fun cancelled(
         value: Map<String, Any?>,
         version: Long = 9,
-    ) = PeerFrames.encode(CancellationNotice.Cancelled(heartbeat.sender, Cancellation(JobId("run-1"), version, value)))
+    ) = PeerFrameCodec.encode(CancellationNotice.Cancelled(heartbeat.sender, Cancellation(JobId("run-1"), version, value)))
 
     @Test
     fun `cancellations and their acknowledgements come over whole`() {
-        val notice = (PeerFrames.next(cancelled(record)) as PeerMessage.Notice).notice as CancellationNotice.Cancelled
+        val notice = (PeerFrameCodec.decodeNext(cancelled(record)) as PeerMessage.Notice).notice as CancellationNotice.Cancelled
         assertEquals(heartbeat.sender, notice.sender)
         assertEquals(JobId("run-1"), notice.cancellation.id)
         assertEquals(9L, notice.cancellation.version)
         assertEquals(record, notice.cancellation.value)
-        val items = listOf(Acknowledgement(JobId("run-1"), true), Acknowledgement(JobId("run-2"), false))
+        val items = listOf(CancellationAcknowledgement(JobId("run-1"), true), CancellationAcknowledgement(JobId("run-2"), false))
         val said = CancellationNotice.Acknowledged(heartbeat.sender, items)
-        assertEquals(said, (PeerFrames.next(PeerFrames.encode(said)) as PeerMessage.Notice).notice)
+        assertEquals(said, (PeerFrameCodec.decodeNext(PeerFrameCodec.encode(said)) as PeerMessage.Notice).notice)
     }
 
     @Test
@@ -104,7 +104,7 @@
                 "placements of another kind" to cancelled(record + ("run" to mapOf("host-1" to 3))),
                 "no revision" to cancelled(record, 0),
             )
-        for ((name, frame) in cases) assertThrows(MalformedFrame::class.java, { PeerFrames.next(frame) }, name)
+        for ((name, frame) in cases) assertThrows(MalformedFrame::class.java, { PeerFrameCodec.decodeNext(frame) }, name)
     }
 
     @Test
@@ -122,6 +122,6 @@
                     .writeShort(500)
                     .writeByte(1),
             )
-        for (case in cases) assertThrows(MalformedFrame::class.java) { PeerFrames.next(case) }
+        for (case in cases) assertThrows(MalformedFrame::class.java) { PeerFrameCodec.decodeNext(case) }
     }
 }
--- a/src/test/kotlin/oxbowlug/plan/OffersTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/OffersTest.kt
@@ -52,7 +52,7 @@
         oneZone = false,
         spread = random.nextBoolean(),
         spot = random.nextBoolean(),
-        estimateS = 20.0,
+        runEstimateS = 20.0,
         checkpointS = 0.0,
         saveS = 0.0,
         deadlineS = null,
@@ -65,7 +65,7 @@
             IntArray(spec.tasks) { it },
             emptyMap(),
             1.0,
-            spec.estimateS,
+            spec.runEstimateS,
             null,
             1.0,
             emptySet(),
@@ -77,11 +77,11 @@
     ): PlanMachine {
         val type = types.random(random)
         val spec = spec(random, "tenant-$index", 1)
-        val tenants =
+        val placedTasks =
             List(random.nextInt(3)) { number ->
-                Tenant(AttemptId(TaskId(spec.id, number), 1), spec, emptyMap(), 50.0, 1.0, 1.0, stopping = false)
+                PlacedTask(AttemptId(TaskId(spec.id, number), 1), spec, emptyMap(), 50.0, 1.0, 1.0, stopping = false)
             }
-        val used = tenants.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
+        val used = placedTasks.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
         return PlanMachine(
             MachineId("host-%04d".format(index)),
             type,
@@ -97,9 +97,9 @@
             },
             setOf(images.random(random)),
             emptySet(),
-            tenants.isEmpty(),
+            placedTasks.isEmpty(),
             Resources.NONE,
-            lazyOf(tenants),
+            lazyOf(placedTasks),
         )
     }
 
@@ -132,10 +132,10 @@
         when (random.nextInt(4)) {
             0 -> machine.take(Resources(1.0, 0.0, 4.0))
             1 -> machine.promise(Resources(1.0, 0.0, 4.0))
-            2 -> machine.tenants.firstOrNull { it.attempt !in machine.stopped }?.let(machine::stop)
+            2 -> machine.placedTasks.firstOrNull { it.attempt !in machine.stopped }?.let(machine::stop)
             3 -> {
                 val rented =
-                    PlanMachine.pendingOrders(
+                    PlanMachine.forRental(
                         types.random(random),
                         zones.random(random),
                         random.nextBoolean(),
@@ -165,7 +165,7 @@
                 offers.begin(job, need, guaranteed)
                 for (task in job.pending) {
                     val room = Room.entries.random(random)
-                    val pendingOrders = offers.cheapest(room, rule)
+                    val forRental = offers.cheapest(room, rule)
                     val scanned =
                         Offers(machines, snapshot, ChangedMachines()).run {
                             begin(job, need, guaranteed)
@@ -173,20 +173,20 @@
                         }
                     assertEquals(
                         scanned?.machine?.id,
-                        pendingOrders?.machine?.id,
+                        forRental?.machine?.id,
                         "seed $seed, ${job.id}/$task in $room",
                     )
-                    assertEquals(scanned?.cost, pendingOrders?.cost, "seed $seed, ${job.id}/$task in $room")
+                    assertEquals(scanned?.cost, forRental?.cost, "seed $seed, ${job.id}/$task in $room")
                     compared++
-                    if (pendingOrders != null) {
+                    if (forRental != null) {
                         if (room ==
                             Room.COMING
                         ) {
-                            pendingOrders.machine.promise(need)
+                            forRental.machine.promise(need)
                         } else {
-                            pendingOrders.machine.take(need)
+                            forRental.machine.take(need)
                         }
-                        rule.use(pendingOrders.machine.zone)
+                        rule.use(forRental.machine.zone)
                     }
                     repeat(random.nextInt(3)) { change(random, machines, changed) }
                 }
--- a/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlannerTest.kt
@@ -50,7 +50,7 @@
         oneZone = false,
         spread = false,
         spot = false,
-        estimateS = 0.0,
+        runEstimateS = 0.0,
         checkpointS = 0.0,
         saveS = 0.0,
         deadlineS = null,
@@ -65,7 +65,7 @@
         IntArray(spec.tasks) { it },
         emptyMap(),
         1.0,
-        spec.estimateS,
+        spec.runEstimateS,
         deadlineInS,
         1.0,
         emptySet(),
@@ -77,9 +77,9 @@
         type: MachineType = g8,
         spot: Boolean = false,
         images: Set<ImageName> = emptySet(),
-        tenants: List<Tenant> = emptyList(),
+        placedTasks: List<PlacedTask> = emptyList(),
     ): PlanMachine {
-        val used = tenants.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
+        val used = placedTasks.fold(Resources.NONE) { sum, tenant -> sum + tenant.need }
         return PlanMachine(
             MachineId(name),
             type,
@@ -89,16 +89,16 @@
             0.0,
             images,
             emptySet(),
-            tenants.isEmpty(),
-            tenants.filter { it.stopping }.fold(Resources.NONE) { sum, tenant -> sum + tenant.need },
-            lazyOf(tenants),
+            placedTasks.isEmpty(),
+            placedTasks.filter { it.stopping }.fold(Resources.NONE) { sum, tenant -> sum + tenant.need },
+            lazyOf(placedTasks),
         )
     }
 
     private fun tenant(
         spec: JobSpec,
         ranS: Double = 100.0,
-    ) = Tenant(AttemptId(TaskId(spec.id, 0), 1), spec, mapOf(a to 1), ranS, 2.0, 1.0, stopping = false)
+    ) = PlacedTask(AttemptId(TaskId(spec.id, 0), 1), spec, mapOf(a to 1), ranS, 2.0, 1.0, stopping = false)
 
     private fun teams(
         red: PlanTeam = PlanTeam(1e9, 1e9, 0.0, 0.0),
@@ -198,8 +198,8 @@
 
     @Test
     fun `ranking goes by priority, then by what postponing costs`() {
-        val late = job(spec("run-1", JobKind.ARRAY, Priority.NORMAL).copy(estimateS = 50.0), deadlineInS = 60.0)
-        val early = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL).copy(estimateS = 50.0), deadlineInS = 600.0)
+        val late = job(spec("run-1", JobKind.ARRAY, Priority.NORMAL).copy(runEstimateS = 50.0), deadlineInS = 60.0)
+        val early = job(spec("run-2", JobKind.ARRAY, Priority.NORMAL).copy(runEstimateS = 50.0), deadlineInS = 600.0)
         val urgent = job(spec("run-3", priority = Priority.HIGH))
         val order = Ranking.order(listOf(early, late, urgent), 30.0, 100.0).map { it.id.value }
         assertEquals(listOf("run-3", "run-1", "run-2"), order)
@@ -287,8 +287,8 @@
             (1..8).map { index ->
                 tenant(spec("run-9$index", priority = Priority.HIGH, cores = 8.0), ranS = 0.0)
             }
-        val roomMade = machine("m1", images = image, tenants = others.drop(1))
-        val full = machine("m2", images = image, tenants = others)
+        val roomMade = machine("m1", images = image, placedTasks = others.drop(1))
+        val full = machine("m2", images = image, placedTasks = others)
         val small = job(spec("run-1", gpus = 0.0, cores = 4.0).copy(types = listOf(g8.name)))
         val plan = plan(snapshot(listOf(small), listOf(roomMade, full)))
         assertEquals(listOf(Start(JobId("run-1"), 0, MachineId("m1"))), plan.starts)
@@ -301,7 +301,7 @@
         // they waited for a machine to boot.
         val moved =
             job(spec("run-2", priority = Priority.HIGH, gpus = 8.0)).let {
-                PlanJob(it.id, it.spec, it.pending, it.zoneUse, 0.0, 0.0, null, 1.0, emptySet(), isMoving = true)
+                PlanJob(it.id, it.spec, it.pending, it.tasksByZone, 0.0, 0.0, null, 1.0, emptySet(), isMoving = true)
             }
         val urgent = job(spec("run-1", gpus = 8.0))
         val plan = plan(snapshot(listOf(urgent, moved), listOf(machine("m1"))))
@@ -311,12 +311,12 @@
     @Test
     fun `room that comes free is not made a second time`() {
         val stopping = tenant(spec("run-9", JobKind.ARRAY, Priority.NORMAL, gpus = 8.0))
-        val host = machine("m1", tenants = listOf(stopping))
+        val host = machine("m1", placedTasks = listOf(stopping))
         val first = plan(snapshot(listOf(job(spec())), listOf(host)))
         assertEquals(listOf(stopping.attempt), first.stops)
-        val leaving = Tenant(stopping.attempt, stopping.spec, mapOf(a to 1), 100.0, 2.0, 1.0, stopping = true)
+        val leaving = PlacedTask(stopping.attempt, stopping.spec, mapOf(a to 1), 100.0, 2.0, 1.0, stopping = true)
         val other = tenant(spec("run-8", JobKind.ARRAY, Priority.NORMAL, gpus = 0.0))
-        val second = plan(snapshot(listOf(job(spec())), listOf(machine("m1", tenants = listOf(leaving, other)))))
+        val second = plan(snapshot(listOf(job(spec())), listOf(machine("m1", placedTasks = listOf(leaving, other)))))
         assertEquals(emptyList<AttemptId>(), second.stops)
         assertEquals(setOf(MachineId("m1")), second.reserved)
     }
@@ -327,22 +327,22 @@
             (1..10).map { index ->
                 tenant(spec("run-2$index", gpus = 0.0, cores = 6.0).copy(types = listOf(g8.name, c32.name)))
             }
-        val stranded = machine("m1", tenants = small)
-        val room = machine("m2", type = c32, images = setOf(ImageName("img")), tenants = listOf(small.last()))
+        val stranded = machine("m1", placedTasks = small)
+        val room = machine("m2", type = c32, images = setOf(ImageName("img")), placedTasks = listOf(small.last()))
         val gpuJob = job(spec("run-1", priority = Priority.HIGH))
         val plan = plan(snapshot(listOf(gpuJob), listOf(stranded, room)))
         assertEquals(1, plan.stops.size)
         assertEquals(mapOf(plan.stops.single() to MachineId("m2")), plan.targets)
         assertEquals(emptyMap<MachineKind, Int>(), plan.rentals)
-        val nowhere = plan(snapshot(listOf(gpuJob), listOf(machine("m1", tenants = small))))
+        val nowhere = plan(snapshot(listOf(gpuJob), listOf(machine("m1", placedTasks = small))))
         assertEquals(emptyList<AttemptId>(), nowhere.stops)
     }
 
     @Test
     fun `a nearly empty machine is emptied when its replicas fit elsewhere`() {
         val image = setOf(ImageName("img"))
-        val crumbs = machine("m1", tenants = listOf(tenant(spec("run-8"))), images = image)
-        val other = machine("m2", tenants = listOf(tenant(spec("run-9", gpus = 6.0))), images = image)
+        val crumbs = machine("m1", placedTasks = listOf(tenant(spec("run-8"))), images = image)
+        val other = machine("m2", placedTasks = listOf(tenant(spec("run-9", gpus = 6.0))), images = image)
         val plan = plan(snapshot(emptyList(), listOf(crumbs, other), mayMove = true))
         assertEquals(MachineId("m1"), plan.move?.machine)
         assertEquals(
@@ -352,8 +352,8 @@
                 ?.values
                 ?.toList(),
         )
-        val young = machine("m1", tenants = listOf(tenant(spec("run-8"), ranS = 5.0)), images = image)
-        val old = machine("m2", tenants = listOf(tenant(spec("run-9"), ranS = 5.0)), images = image)
+        val young = machine("m1", placedTasks = listOf(tenant(spec("run-8"), ranS = 5.0)), images = image)
+        val old = machine("m2", placedTasks = listOf(tenant(spec("run-9"), ranS = 5.0)), images = image)
         assertEquals(null, plan(snapshot(emptyList(), listOf(young, old), mayMove = true)).move)
     }
 
@@ -375,7 +375,7 @@
                 Case(weight = 100.0, downS = -1.0, type = g8, worth = false),
             )
         for (case in cases) {
-            val worth = Pricing.isWorthGivingUp(case.weight, case.downS, case.type, spot = false, listOf(g8, c32))
+            val worth = Pricing.isReplacementCheaper(case.weight, case.downS, case.type, spot = false, listOf(g8, c32))
             assertEquals(case.worth, worth, "${case.weight} for ${case.downS} s on ${case.type.name}")
         }
     }
@@ -384,7 +384,7 @@
     fun `spot work leaves ordinary room that can't be had again to those who need it`() {
         // Found on the bench: all ordinary machines were rented, arrays filled them, and replicas waited for stops
         // while spot machines could be had.
-        val array = spec("run-1", JobKind.ARRAY, Priority.NORMAL, tasks = 8).copy(spot = true, estimateS = 100.0)
+        val array = spec("run-1", JobKind.ARRAY, Priority.NORMAL, tasks = 8).copy(spot = true, runEstimateS = 100.0)
         val refused =
             listOf(a, b).associate {
                 MachineKind(g8.name, it, false) to
@@ -401,7 +401,7 @@
         assertEquals(emptyList<Start>(), yielding.starts)
         val late = plan(snapshot(listOf(job(array, 100.0)), listOf(machine("m1")), refusals = refused))
         assertEquals(8, late.starts.size, "a boot would make it late")
-        val short = job(array.copy(estimateS = 20.0), 300.0)
+        val short = job(array.copy(runEstimateS = 20.0), 300.0)
         val brief = plan(snapshot(listOf(short), listOf(machine("m1")), refusals = refused))
         assertEquals(8, brief.starts.size, "it ends before a spot machine is up")
         val plenty = plan(snapshot(listOf(job(array, 300.0)), listOf(machine("m1"))))
@@ -427,7 +427,7 @@
             priority: Priority,
         ): Plan {
             val tenant = tenant(spec("run-9", kind, priority, gpus = 8.0, team = "blue"), ranS = 0.0)
-            val holder = machine("m1", images = setOf(ImageName("img")), tenants = listOf(tenant))
+            val holder = machine("m1", images = setOf(ImageName("img")), placedTasks = listOf(tenant))
             val red = PlanTeam(1e9, 1e9, 0.0, 8.0)
             val blue = PlanTeam(1e9, 1e9, 0.0, 0.0).also { it.add(tenant.need) }
             return plan(snapshot(listOf(job(spec())), listOf(holder, machine("m2")), teams(red, blue)))
--- a/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
+++ b/src/test/kotlin/oxbowlug/record/ProductionDataTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.cache.CachedJob
 import oxbowlug.cluster.Job
-import oxbowlug.peer.PeerFrames
+import oxbowlug.peer.PeerFrameCodec
 import oxbowlug.peer.PeerMessage
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.JobSpecCodec
@@ -92,10 +92,10 @@
         assertEquals(4, frames.size)
         for ((name, frame) in frames) {
             val again =
-                when (val message = PeerFrames.next(Buffer().write(frame))) {
-                    is PeerMessage.Heartbeat -> PeerFrames.encode(message.heartbeat)
-                    is PeerMessage.Notice -> PeerFrames.encode(message.notice)
-                    is PeerMessage.Images -> PeerFrames.encode(message.images)
+                when (val message = PeerFrameCodec.decodeNext(Buffer().write(frame))) {
+                    is PeerMessage.Heartbeat -> PeerFrameCodec.encode(message.heartbeat)
+                    is PeerMessage.Notice -> PeerFrameCodec.encode(message.notice)
+                    is PeerMessage.Images -> PeerFrameCodec.encode(message.images)
                     null -> error("$name is not whole")
                 }
             assertArrayEquals(frame, again.readByteArray(), name)
--- a/src/test/kotlin/oxbowlug/record/RecordLayoutTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordLayoutTest.kt
@@ -57,7 +57,7 @@
         )
 
     private fun assertFits(
-        form: StoredForm,
+        form: StoredRecord,
         name: String,
     ) {
         for (value in listOf(form.head) + form.parts) {
@@ -122,8 +122,8 @@
             )
         for ((name, record) in cases) {
             val stored = record.encode() + (RecordLayout.PARTS to 3L) + ("cancelled" to 1_700_000_000_000)
-            val head = layout.headAlone(stored)
-            assertFits(StoredForm(head, emptyList()), name)
+            val head = layout.headOnly(stored)
+            assertFits(StoredRecord(head, emptyList()), name)
             assertEquals(Phase.CANCELLED, JobRecord.decode(Cbor.decode(Cbor.encode(head))).phase)
             assertEquals(3, RecordLayout.partCount(head))
         }
@@ -161,15 +161,15 @@
         val from = doneBefore.length()
         while (true) {
             val occupancy =
-                RecordLayout.Occupancy(
+                RecordLayout.RecordUsage(
                     tasks,
                     137,
-                    TaskRanges.count(doneBefore),
+                    TaskRanges.rangeCount(doneBefore),
                     placements.size,
                     placements.values.distinctBy { it.machine }.size,
                     "000000".length,
                 )
-            val room = layout.roomForTasks(occupancy)
+            val room = layout.maxAdditionalPlacements(occupancy)
             val next = minOf(room, tasks - from - placements.size)
             if (next <= 0) return record(job, placements, doneBefore)
             repeat(next) {
--- a/src/test/kotlin/oxbowlug/record/RecordSize.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordSize.kt
@@ -9,7 +9,7 @@
             job.attempts.values
                 .mapTo(HashSet()) { it.machine }
                 .size
-        return JobRecord.SPEC_BOUND + TaskRanges.sizeBound(job.done) +
-            machines * JobRecord.MACHINE_BOUND + job.attempts.size * JobRecord.PLACEMENT_BOUND
+        return JobRecord.MAX_SPEC_BYTES + TaskRanges.maxEncodedBytes(job.done) +
+            machines * JobRecord.MAX_MACHINE_BYTES + job.attempts.size * JobRecord.MAX_PLACEMENT_BYTES
     }
 }
--- a/src/test/kotlin/oxbowlug/record/RecordsTest.kt
+++ b/src/test/kotlin/oxbowlug/record/RecordsTest.kt
@@ -27,7 +27,7 @@
         for ((text, set) in cases) {
             assertEquals(text, TaskRanges.encode(set))
             assertEquals(set, TaskRanges.decode(text))
-            assertTrue(text.length <= TaskRanges.sizeBound(set))
+            assertTrue(text.length <= TaskRanges.maxEncodedBytes(set))
         }
     }
 
--- a/src/test/kotlin/oxbowlug/region/RegionsTest.kt
+++ b/src/test/kotlin/oxbowlug/region/RegionsTest.kt
@@ -20,11 +20,11 @@
 
     @Test
     fun `zones are together in a region, and a zone without one is alone`() {
-        assertTrue(regions.areTogether(zones[0], zones[1]))
-        assertFalse(regions.areTogether(zones[1], zones[2]))
-        assertTrue(regions.areTogether(zones[4], zones[4]))
-        assertFalse(regions.areTogether(zones[4], Zone("f")), "two zones that no region names")
-        assertFalse(Regions().areTogether(zones[0], zones[1]))
+        assertTrue(regions.areInSameRegion(zones[0], zones[1]))
+        assertFalse(regions.areInSameRegion(zones[1], zones[2]))
+        assertTrue(regions.areInSameRegion(zones[4], zones[4]))
+        assertFalse(regions.areInSameRegion(zones[4], Zone("f")), "two zones that no region names")
+        assertFalse(Regions().areInSameRegion(zones[0], zones[1]))
     }
 
     @Test
@@ -46,8 +46,8 @@
             )
         for (case in cases) {
             val present = members.filter { it.label in case.standing }
-            val choice = DelegateChoice(regions, case.standing)
-            val candidates = present.map { DelegateChoice.Candidate(it, it.label, case.loads[members.indexOf(it)]) }
+            val choice = DelegateSelector(regions, case.standing)
+            val candidates = present.map { DelegateSelector.Candidate(it, it.label, case.loads[members.indexOf(it)]) }
             val chosen = choice.choose(zones[1], candidates)
             assertEquals(case.expected, chosen?.label, case.name)
         }
@@ -71,9 +71,9 @@
             assertTrue(error.message.orEmpty().startsWith(expected), "$script: ${error.message}")
         }
         val shipped = PolicyFile.parse(File("deploy/regions.lua").readText())
-        assertTrue(shipped.regions.areTogether(Zone("a"), Zone("b")), "the example that is shipped")
+        assertTrue(shipped.regions.areInSameRegion(Zone("a"), Zone("b")), "the example that is shipped")
         val read = PolicyFile.parse("return { regions = { north = { 'a', 'b' } } }")
         val settings = SettingsFile.parse(SampleSettings.valid, read)
-        assertTrue(settings.policy.regions.areTogether(Zone("a"), Zone("b")))
+        assertTrue(settings.policy.regions.areInSameRegion(Zone("a"), Zone("b")))
     }
 }
--- a/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
+++ b/src/test/kotlin/oxbowlug/request/UserRequestHandlerTest.kt
@@ -17,9 +17,9 @@
 import oxbowlug.record.RequestIds
 import oxbowlug.sim.DriftingClock
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.testing.FailingMeters
-import oxbowlug.testing.IgnoringListener
+import oxbowlug.testing.NoOpStateCacheListener
 import oxbowlug.testing.ImmediateStatePort
 import oxbowlug.testing.SampleSettings
 import oxbowlug.testing.permissiveContext
@@ -48,9 +48,9 @@
  */
 internal class UserRequestHandlerTest {
     private val settings = SettingsFile.parse(SampleSettings.valid)
-    private val world = World(1)
-    private val store = SimStore(world)
-    private val clock = DriftingClock(world, 0.0, 0)
+    private val time = VirtualTime(1)
+    private val store = SimStore(time)
+    private val clock = DriftingClock(time, 0.0, 0)
     private val spec = JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(team = TeamName("vision"), tasks = 2)
     private val key = Keys.job(spec.id.value)
     private val types =
@@ -77,7 +77,7 @@
     }
 
     private val timing = Timing(settings, Random(1))
-    private val cache = StateCache(RacingStatePort(), clock, timing, IgnoringListener)
+    private val cache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener)
     private val listenerCalls = ArrayList<String>()
 
     private inner class RecordingListener(
@@ -91,7 +91,7 @@
             listenerCalls.add("committed $id with ${machineCount(record)} machines")
         }
 
-        override fun onUserInformed(id: JobId) {
+        override fun onCancellationAnswered(id: JobId) {
             if (recordsInformedUsers) listenerCalls.add("informed $id")
         }
     }
@@ -156,10 +156,10 @@
             storeJob(Phase.ACTIVE, listOf("host-1"))
             // Each case has a state cache of its own, since a cache never drops a final phase.
             val answers = ArrayList<UserResponse>()
-            val caseCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+            val caseCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
             beforeCommit = case.beforeCommit
             requestHandler(caseCache).cancel(spec.id) { answers.add(it) }
-            world.runUntil(world.nowMs + 1_000)
+            time.runUntil(time.nowMs + 1_000)
             repeat(5) { caseCache.tick() }
             val states = answers.map { (it as UserResponse.Known).status.state }
             assertEquals(listOf(case.expectedState), states, case.name)
@@ -188,7 +188,7 @@
     }
 
     private fun enableNewestFormat() {
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))))
+        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST)))))
     }
 
     private fun submitAndAnswer(
@@ -197,7 +197,7 @@
     ): UserResponse {
         val answers = ArrayList<UserResponse>()
         requestHandler(stateCache).submit(spec, types) { answers.add(it) }
-        world.runUntil(world.nowMs + 1_000)
+        time.runUntil(time.nowMs + 1_000)
         repeat(5) { stateCache.tick() }
         return answers.single()
     }
@@ -230,7 +230,7 @@
             val unreadable = mapOf<String, Any?>("phase" to "unheard of")
             store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.job("run-torn"), unreadable))))
             store.commit(Transaction(emptyList(), listOf(Change.Delete(key))))
-            val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+            val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
             case.beforeSubmission()
             val answer = submitAndAnswer(stateCache, spec.copy(dependsOn = listOf(JobId(case.dependsOn))))
             assertEquals(case.expected, answer::class.simpleName, case.name)
@@ -240,7 +240,7 @@
     @Test
     fun `jobs with dependencies are unavailable while a controller may run the previous software version`() {
         storeAccepted("run-a")
-        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val answer = submitAndAnswer(stateCache, spec.copy(dependsOn = listOf(JobId("run-a"))))
         assertEquals(true, answer is UserResponse.Unavailable && answer.retryAfterS > 0)
         assertEquals(true, submitAndAnswer(stateCache, spec) is UserResponse.Accepted, "independent jobs are accepted")
@@ -248,9 +248,9 @@
 
     @Test
     fun `nothing is written under the format marker of a newer version`() {
-        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT, DataFormat.encode(99)))))
+        store.commit(Transaction(emptyList(), listOf(Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(99)))))
         storeAccepted("run-a")
-        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val revisionBefore = store.revision
         assertEquals(true, submitAndAnswer(stateCache, spec) is UserResponse.Unavailable)
         requestHandler(stateCache).cancel(JobId("run-a")) { assertEquals(true, it is UserResponse.Unavailable) }
@@ -260,13 +260,13 @@
     @Test
     fun `a repeated submission gets the job's current state, whatever its dependencies`() {
         storeAccepted("run-a")
-        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val repeated = spec.copy(id = JobId("run-a"), dependsOn = listOf(JobId("run-never")))
         assertEquals(true, submitAndAnswer(stateCache, repeated) is UserResponse.Known)
         for ((id, expected) in listOf("run-a" to "Known", "run-b" to "Malformed")) {
             val answers = ArrayList<UserResponse>()
             requestHandler(stateCache).submitMalformed(JobId(id), "waits_on: must be a list") { answers.add(it) }
-            world.runUntil(world.nowMs + 1_000)
+            time.runUntil(time.nowMs + 1_000)
             repeat(5) { stateCache.tick() }
             assertEquals(listOf(expected), answers.map { it::class.simpleName }, id)
         }
@@ -278,7 +278,7 @@
         val names = List(120) { "a".repeat(90) + it }
         names.forEach { storeAccepted(it) }
         val smallLimits = settings.state.copy(next = WriteLimits(15.0, 2.0, 4))
-        val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+        val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
         val requestHandler =
             UserRequestHandler(
                 RequestIds(Member("n0", "x")),
@@ -312,9 +312,9 @@
             store.limits = null
             enableNewestFormat()
             store.commit(Transaction(emptyList(), changes))
-            val stateCache = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }
+            val stateCache = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }
             store.limits = limits
-            world.runUntil(world.nowMs + 2_000)
+            time.runUntil(time.nowMs + 2_000)
             listenerCalls.clear()
             val requestHandler =
                 UserRequestHandler(
@@ -331,10 +331,10 @@
                 )
             val answers = ArrayList<UserResponse>()
             requestHandler.cancel(spec.id) { answers.add(it) }
-            world.runUntil(world.nowMs + 1_000)
+            time.runUntil(time.nowMs + 1_000)
             assertEquals(JobState.CANCELLED, (answers.single() as UserResponse.Known).status.state)
             assertEquals(listOf("committed ${spec.id} with 240 machines"), listenerCalls)
-            val read = StateCache(RacingStatePort(), clock, timing, IgnoringListener).apply { tick() }.job(spec.id)
+            val read = StateCache(RacingStatePort(), clock, timing, NoOpStateCacheListener).apply { tick() }.job(spec.id)
             assertEquals(240, read?.placed, "the stored record names every machine")
             store.limits = null
         }
--- a/src/test/kotlin/oxbowlug/scale/NetworkTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/NetworkTest.kt
@@ -3,16 +3,16 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.Zone
 
 internal class NetworkTest {
-    private val world = World(1)
+    private val time = VirtualTime(1)
     private val options =
         ScaleOptionParser().parse(listOf("--zones", "4", "--regions", "2", "--controllers", "3"))
             ?: error("only the help")
     private val topology = Topology(options)
-    private val network = Network(world, topology)
+    private val network = Network(time, topology)
 
     private fun end(zone: Zone?): Endpoint = if (zone == null) Endpoint.StateService else Endpoint.Worker(zone)
 
@@ -21,8 +21,8 @@
         to: Zone?,
     ): Long {
         var at = -1L
-        network.deliver(end(from), end(to)) { at = world.nowMs }
-        world.advanceTo(world.nowMs + 60_000)
+        network.deliver(end(from), end(to)) { at = time.nowMs }
+        time.advanceTo(time.nowMs + 60_000)
         return at
     }
 
@@ -30,11 +30,11 @@
     fun `latency grows from a zone to its region to another region`() {
         val (first, _, third, _) = topology.zones
         val other = topology.zones[1]
-        val began = world.nowMs
+        val began = time.nowMs
         val inZone = arrivals(first, first) - began
-        val again = world.nowMs
+        val again = time.nowMs
         val inRegion = arrivals(first, third) - again
-        val last = world.nowMs
+        val last = time.nowMs
         val toOther = arrivals(first, other) - last
         assertTrue(inZone < inRegion && inRegion < toOther, "$inZone, $inRegion and $toOther ms")
     }
@@ -45,12 +45,12 @@
         network.cutZone(second, forMs = 5_000)
         val order = ArrayList<Pair<Int, Long>>()
         for (number in 1..3) {
-            world.after(number * 100L) { network.deliver(end(first), end(second)) { order.add(number to world.nowMs) } }
+            time.after(number * 100L) { network.deliver(end(first), end(second)) { order.add(number to time.nowMs) } }
         }
-        world.advanceTo(4_999)
+        time.advanceTo(4_999)
         assertEquals(emptyList<Int>(), order.map { it.first })
-        world.after(2) { network.deliver(end(first), end(second)) { order.add(4 to world.nowMs) } }
-        world.advanceTo(6_000)
+        time.after(2) { network.deliver(end(first), end(second)) { order.add(4 to time.nowMs) } }
+        time.advanceTo(6_000)
         assertEquals(listOf(1, 2, 3, 4), order.map { it.first })
         assertTrue(order.all { it.second >= 5_000 })
         assertEquals(3, network.held)
@@ -64,7 +64,7 @@
         assertTrue(network.isCut(end(away), end(null)), "the regional services are in the first region")
         assertTrue(!network.isCut(end(home), end(null)))
         assertTrue(!network.isCut(end(away), end(topology.zones[3])))
-        world.advanceTo(60_001)
+        time.advanceTo(60_001)
         assertTrue(!network.isCut(end(home), end(away)))
     }
 
--- a/src/test/kotlin/oxbowlug/scale/WireTest.kt
+++ b/src/test/kotlin/oxbowlug/scale/WireTest.kt
@@ -11,7 +11,7 @@
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.JobId
 import oxbowlug.wire.MachineId
-import oxbowlug.wire.StoreCodec
+import oxbowlug.wire.StateCodec
 import oxbowlug.wire.TaskId
 import oxbowlug.wire.TaskState
 import oxbowlug.wire.TaskStatus
@@ -57,7 +57,7 @@
                 WorkerCommand.Stop(attempt, 10.0),
                 WorkerCommand.Forget(attempt),
             )
-        val answer = throughCbor(WorkerCodec.encodeAnswer(FencingToken(9), commands))
+        val answer = throughCbor(WorkerCodec.encodeResponse(FencingToken(9), commands))
         assertEquals(HeartbeatResponse.Renewed(FencingToken(9), commands), Wire.decodeAnswer(200, answer))
         assertEquals(HeartbeatResponse.Redirect("n1"), Wire.decodeAnswer(421, mapOf("drover" to "n1")))
         assertEquals(HeartbeatResponse.Redirect(null), Wire.decodeAnswer(421, emptyMap()))
@@ -71,6 +71,6 @@
                 listOf(Condition("a", 0), Condition("b", 7)),
                 listOf(Change.Put("a", mapOf("x" to 1L), lease = 4), Change.Put("c", emptyMap()), Change.Delete("b")),
             )
-        assertEquals(transaction, Wire.decodeTransaction(throughCbor(StoreCodec.encode(transaction))))
+        assertEquals(transaction, Wire.decodeTransaction(throughCbor(StateCodec.encode(transaction))))
     }
 }
--- a/src/test/kotlin/oxbowlug/scheduling/InheritedPriorityTest.kt
+++ b/src/test/kotlin/oxbowlug/scheduling/InheritedPriorityTest.kt
@@ -16,7 +16,7 @@
     private val spec =
         JobSpecCodec
             .decode(JobSpecCodecTest.valid())
-            .copy(priority = Priority.LOW, deadlineS = null, estimateS = 10.0, imageGb = 0.0)
+            .copy(priority = Priority.LOW, deadlineS = null, runEstimateS = 10.0, imageGb = 0.0)
 
     private fun job(
         id: String,
--- a/src/test/kotlin/oxbowlug/sim/BehaviourTraceTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/BehaviourTraceTest.kt
@@ -84,7 +84,7 @@
         fun Simulation.at(
             ms: Long,
             action: Simulation.() -> Unit,
-        ) = world.after(ms) { action() }
+        ) = time.after(ms) { action() }
 
         fun Simulation.restart(
             node: SimNode,
@@ -93,7 +93,7 @@
         ) {
             if (!node.isUp) return
             node.crash()
-            world.after(forMs) {
+            time.after(forMs) {
                 node.isOldVersion = isOldVersion
                 node.start()
             }
@@ -104,9 +104,9 @@
             atMs: Long,
             count: Int,
         ) = at(atMs) {
-            val running = cloud.workers.flatMap { worker -> worker.onMachine().map { it.attempt.task.job.value } }
+            val running = cloud.workers.flatMap { worker -> worker.runningTasks().map { it.attempt.task.job.value } }
             val services = running.distinct().filter { spec(it)?.kind == JobKind.SERVICE }
-            for (id in services.take(count)) world.after(world.between(0, 200)) { cancel(id) }
+            for (id in services.take(count)) time.after(time.between(0, 200)) { cancel(id) }
         }
 
         fun Simulation.setUpCrashes() {
--- a/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
@@ -44,18 +44,18 @@
         fun at(
             ms: Long,
             action: () -> Unit,
-        ) = day.world.after(REFUSED_MS + ms - day.world.nowMs, action)
+        ) = day.time.after(REFUSED_MS + ms - day.time.nowMs, action)
 
         fun running(): Set<AttemptId> =
             day.cloud.workers
-                .flatMap { it.onMachine() }
+                .flatMap { it.runningTasks() }
                 .filter { day.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
                 .map { it.attempt }
                 .toSet()
 
         fun hosts(job: String): List<SimWorker> =
             day.cloud.workers.filter { worker ->
-                worker.onMachine().any { it.attempt.task.job.value == job }
+                worker.runningTasks().any { it.attempt.task.job.value == job }
             }
 
         private var told = 0
@@ -67,7 +67,7 @@
         /** The confirmer's last deed is its answer to a user. */
         private fun whenTold() {
             if (++told != endsAfterAnswers) return
-            day.world.after(0) {
+            day.time.after(0) {
                 confirmer.crash()
                 if (outageAtOnce) day.store.down = true
             }
@@ -88,7 +88,7 @@
 
         fun refuse(forMs: Long) {
             leader.withoutState = true
-            day.world.after(forMs) { leader.withoutState = false }
+            day.time.after(forMs) { leader.withoutState = false }
         }
 
         fun play(case: Case) {
@@ -103,22 +103,22 @@
             }
             at(2_000) { day.store.down = true }
             day.run(REFUSED_MS + 2_000)
-            val returned = day.cloud.returnedBusy
+            val returned = day.cloud.busyMachinesReturned
             case.goneWithinMs?.let {
                 day.run(REFUSED_MS + 500 + it)
                 assertEquals(emptyList<SimWorker>(), cancelled.flatMap(::hosts), "${case.name}: still there")
-                assertEquals(returned, day.cloud.returnedBusy, "${case.name}: returned for it")
+                assertEquals(returned, day.cloud.busyMachinesReturned, "${case.name}: returned for it")
             }
             val before = running().filter { !case.cancels || it.task.job.value !in cancelled }.toSet()
             day.run(REFUSED_MS + 2_000 + case.outageMs)
             val lost = before - running()
             day.store.down = false
             day.run(300_000)
-            assertEquals(emptyList<String>(), day.rules.broken.take(5), case.name)
+            assertEquals(emptyList<String>(), day.checker.ruleViolations.take(5), case.name)
             if (case.cancels) {
                 val confirmed =
                     cancelled.count {
-                        day.rules.jobs
+                        day.checker.jobs
                             .getValue(it)
                             .cancelledAt != null
                     }
@@ -126,7 +126,7 @@
             }
             assertTrue(before.isNotEmpty(), "${case.name}: nothing ran")
             if (case.runsOn) assertEquals(emptySet<AttemptId>(), lost, "${case.name}: ended in the outage")
-            assertEquals(emptyList<String>(), day.rules.unfinished(), "${case.name}: not served")
+            assertEquals(emptyList<String>(), day.checker.unfinished(), "${case.name}: not served")
         }
     }
 
@@ -193,11 +193,11 @@
                     at(60_000) { leader.withoutPeers = false }
                 },
                 Case("machines that hold cancelled work hang and go on later", runsOn = false) {
-                    at(400) { hosts(cancelled.first()).forEach { it.hungUntil = day.world.nowMs + 8_000 } }
-                    at(450) { hosts(cancelled.last()).forEach { it.hungUntil = day.world.nowMs + 33_000 } }
+                    at(400) { hosts(cancelled.first()).forEach { it.hungUntil = day.time.nowMs + 8_000 } }
+                    at(450) { hosts(cancelled.last()).forEach { it.hungUntil = day.time.nowMs + 33_000 } }
                 },
                 Case("machines that hold cancelled work hear nothing", runsOn = false) {
-                    at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 60_000 } }
+                    at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.time.nowMs + 60_000 } }
                 },
                 Case("only the old leader reaches workers, and learns of it when it no longer leads") {
                     leaveAllTo(leader)
@@ -211,10 +211,10 @@
                     leaveAllTo(leader)
                     leader.withoutPeers = true
                     at(6_000) { leader.withoutPeers = false }
-                    at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.world.nowMs + 7_000 } }
+                    at(400) { hosts(cancelled.first()).forEach { it.unresponsiveUntil = day.time.nowMs + 7_000 } }
                     // Each time within the lease, and not awake for long enough to take an order.
                     for (ms in 7_500L..44_000L step 8_000) {
-                        at(ms) { hosts(cancelled.first()).forEach { it.hungUntil = day.world.nowMs + 7_950 } }
+                        at(ms) { hosts(cancelled.first()).forEach { it.hungUntil = day.time.nowMs + 7_950 } }
                     }
                 },
                 Case("machines that hold cancelled work hang again and again", runsOn = false) {
@@ -223,7 +223,7 @@
                     for (ms in 400L..44_000L step 8_000) {
                         at(
                             ms,
-                        ) { hosts.forEach { it.hungUntil = day.world.nowMs + 7_950 } }
+                        ) { hosts.forEach { it.hungUntil = day.time.nowMs + 7_950 } }
                     }
                 },
                 Case("the refusal repeats before the first is settled") {
--- a/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
@@ -11,20 +11,20 @@
 internal class ConcurrentFaultsTest {
     private fun Simulation.running(): Set<AttemptId> =
         cloud.workers
-            .flatMap { it.onMachine() }
+            .flatMap { it.runningTasks() }
             .filter { spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
             .map { it.attempt }
             .toSet()
 
     private fun Simulation.hosts(job: String) =
-        cloud.workers.filter { worker -> worker.onMachine().any { it.attempt.task.job.value == job } }
+        cloud.workers.filter { worker -> worker.runningTasks().any { it.attempt.task.job.value == job } }
 
     private fun steady(seed: Long) =
         Simulation(seed, parameters = SimulationParameters(nodes = 5, initialMachines = 12, initialJobs = 40, serviceDurationMs = 150_000L..160_000L))
 
     private fun Simulation.assertKept(what: String) {
-        assertEquals(emptyList<String>(), rules.broken.take(5), what)
-        assertEquals(emptyList<String>(), rules.unfinished(), "$what: not served")
+        assertEquals(emptyList<String>(), checker.ruleViolations.take(5), what)
+        assertEquals(emptyList<String>(), checker.unfinished(), "$what: not served")
     }
 
     @Test
@@ -40,12 +40,12 @@
             assertTrue(day.leader !== former, "seed $seed: nobody was elected")
             val cancelled = before.map { it.task.job.value }.distinct().take(4)
             for (id in cancelled) day.cancelThrough(day.leader, id)
-            val returned = day.cloud.returnedBusy
+            val returned = day.cloud.busyMachinesReturned
             day.run(58_000)
             assertEquals(emptyList<SimWorker>(), cancelled.flatMap { day.hosts(it) }, "seed $seed: still there")
             assertEquals(0, day.cloud.workers.sumOf { it.endedByLease }, "seed $seed: ended with a lease")
             day.run(70_000)
-            assertEquals(returned, day.cloud.returnedBusy, "seed $seed: machines were returned for it")
+            assertEquals(returned, day.cloud.busyMachinesReturned, "seed $seed: machines were returned for it")
             former.withoutState = false
             former.withoutPeers = false
             day.run(300_000)
--- a/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
@@ -27,17 +27,17 @@
             )
         val day = Simulation(11, parameters = parameters)
         day.submitRandomJobs(everyMs = 350, untilMs = 90_000)
-        day.world.after(35_000) { day.activeFaults.isolatedZones.add(day.zones[1]) }
-        day.world.after(42_000) { crash(day, leader(day)) }
-        day.world.after(62_000) { day.activeFaults.isolatedZones.clear() }
-        day.world.after(75_000) { repeat(60) { day.randomWorker()?.let { day.cloud.fail(it.id) } } }
-        day.world.after(95_000) { day.store.down = true }
-        day.world.after(100_000) { for (node in day.nodes) crash(day, node) }
-        day.world.after(108_000) { day.store.down = false }
+        day.time.after(35_000) { day.activeFaults.isolatedZones.add(day.zones[1]) }
+        day.time.after(42_000) { crash(day, leader(day)) }
+        day.time.after(62_000) { day.activeFaults.isolatedZones.clear() }
+        day.time.after(75_000) { repeat(60) { day.randomWorker()?.let { day.cloud.fail(it.id) } } }
+        day.time.after(95_000) { day.store.down = true }
+        day.time.after(100_000) { for (node in day.nodes) crash(day, node) }
+        day.time.after(108_000) { day.store.down = false }
         day.run(260_000)
-        assertEquals(emptyList<String>(), day.rules.broken.take(5))
-        assertTrue(day.rules.starts > 4_000, "only ${day.rules.starts} starts")
-        assertEquals(emptyList<String>(), day.rules.unfinished().take(5))
+        assertEquals(emptyList<String>(), day.checker.ruleViolations.take(5))
+        assertTrue(day.checker.starts > 4_000, "only ${day.checker.starts} starts")
+        assertEquals(emptyList<String>(), day.checker.unfinished().take(5))
         assertBounded(day)
     }
 
@@ -55,12 +55,12 @@
         node: SimNode,
     ) {
         node.crash()
-        day.world.after(5_000) { if (!node.isUp) node.start() }
+        day.time.after(5_000) { if (!node.isUp) node.start() }
     }
 
     /** Counted work, never the clock. */
     private fun assertBounded(day: Simulation) {
-        val jobs = day.rules.jobs.values
+        val jobs = day.checker.jobs.values
         val plans = day.nodes.sumOf { it.plans }
         val priced = day.nodes.sumOf { it.priced }
         assertTrue(priced <= plans * MACHINES * 12, "$priced machines priced in $plans plans")
--- a/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/GrownFleetTest.kt
@@ -25,7 +25,7 @@
             )
         val day = Simulation(7, parameters = parameters)
         day.submitRandomJobs(everyMs = 900, untilMs = 150_000)
-        day.world.after(90_000) {
+        day.time.after(90_000) {
             val label =
                 day.store
                     .entry(Keys.LEADERSHIP)
@@ -33,22 +33,22 @@
                     ?.get("leader")
             val leader = day.nodes.first { it.label == label }
             leader.crash()
-            day.world.after(5_000) { leader.start() }
+            day.time.after(5_000) { leader.start() }
         }
         day.run(240_000)
-        assertEquals(emptyList<String>(), day.rules.broken.take(5))
-        assertTrue(day.rules.starts > 500, "only ${day.rules.starts} starts")
-        assertEquals(emptyList<String>(), day.rules.unfinished().take(5))
+        assertEquals(emptyList<String>(), day.checker.ruleViolations.take(5))
+        assertTrue(day.checker.starts > 500, "only ${day.checker.starts} starts")
+        assertEquals(emptyList<String>(), day.checker.unfinished().take(5))
         assertBounded(day)
     }
 
     /** Counted work, never the clock: the bounds catch costs that grow with the fleet, and work done in turn. */
     private fun assertBounded(day: Simulation) {
-        val jobs = day.rules.jobs.values
+        val jobs = day.checker.jobs.values
         val tasks = jobs.sumOf { it.spec.tasks }
         val plans = day.nodes.sumOf { it.plans }
         val priced = day.nodes.sumOf { it.priced }
-        assertTrue(day.rules.starts <= tasks * 1.2, "${day.rules.starts} starts for $tasks tasks")
+        assertTrue(day.checker.starts <= tasks * 1.2, "${day.checker.starts} starts for $tasks tasks")
         assertTrue(priced <= plans * MACHINES * 12, "$priced machines priced in $plans plans")
         assertTrue(day.store.writes <= jobs.size * 8, "${day.store.writes} writes for ${jobs.size} jobs")
         assertTrue(day.cloud.rentalCalls <= MACHINES / 2, "${day.cloud.rentalCalls} rentals")
--- a/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
@@ -37,9 +37,9 @@
         day.submitPipelines(everyMs = 5_000, untilMs = 90_000)
         case.play(day)
         day.run(280_000)
-        assertEquals(emptyList<String>(), day.rules.broken.take(5), "$case, seed $seed")
-        assertEquals(emptyList<String>(), day.progressChecks.broken.take(5), "$case, seed $seed")
-        assertEquals(emptyList<String>(), day.rules.unfinished(), "$case, seed $seed: not served")
+        assertEquals(emptyList<String>(), day.checker.ruleViolations.take(5), "$case, seed $seed")
+        assertEquals(emptyList<String>(), day.progressChecks.ruleViolations.take(5), "$case, seed $seed")
+        assertEquals(emptyList<String>(), day.checker.unfinished(), "$case, seed $seed: not served")
     }
 
     private fun shapeOf(case: Case) =
@@ -53,7 +53,7 @@
         private fun Simulation.at(
             ms: Long,
             action: Simulation.() -> Unit,
-        ) = world.after(ms) { action() }
+        ) = time.after(ms) { action() }
 
         private fun Simulation.spell(
             atMs: Long,
@@ -70,7 +70,7 @@
                 val node = leader
                 if (node.isUp) {
                     node.crash()
-                    world.after(3_000) { node.start() }
+                    time.after(3_000) { node.start() }
                 }
             }
 
@@ -90,19 +90,19 @@
 
         private fun Simulation.running(): List<String> =
             cloud.workers
-                .flatMap { it.onMachine() }
+                .flatMap { it.runningTasks() }
                 .map { it.attempt.task.job.value }
                 .distinct()
 
         private fun Simulation.cancelRunning(
             atMs: Long,
             count: Int,
-        ) = at(atMs) { running().shuffled(world.random).take(count).forEach(::cancel) }
+        ) = at(atMs) { running().shuffled(time.random).take(count).forEach(::cancel) }
 
         private fun Simulation.hangs(
             atMs: Long,
             forMs: Long,
-        ) = at(atMs) { randomWorker()?.let { it.hungUntil = world.nowMs + forMs } }
+        ) = at(atMs) { randomWorker()?.let { it.hungUntil = time.nowMs + forMs } }
 
         /** One controller after the other, or the leader, is refused for long enough that changes are forgotten. */
         private fun Simulation.refusals(
@@ -130,7 +130,7 @@
                     cancelAtTaskEndProbability = 0.1
                     for (ms in 25_000L..90_000L step 9_000) leaderEnds(ms)
                     for (ms in 22_000L..90_000L step 3_000) {
-                        hangs(ms, world.between(2_000, 20_000))
+                        hangs(ms, time.between(2_000, 20_000))
                         cancelRunning(ms + 500, count = 1)
                     }
                 },
--- a/src/test/kotlin/oxbowlug/sim/OldVersion.kt
+++ b/src/test/kotlin/oxbowlug/sim/OldVersion.kt
@@ -13,7 +13,7 @@
  * doesn't know. The simulation fails if that version reads data that is only written after all have been upgraded.
  */
 internal object OldVersion {
-    private val unknownKeyPrefixes = listOf(Keys.FORMATS, Keys.FORMAT, Keys.PARTS)
+    private val unknownKeyPrefixes = listOf(Keys.SUPPORTED_FORMATS, Keys.FORMAT_MARKER, Keys.PARTS)
     private val unknownFields = listOf("parts")
 
     fun isUnknownKey(key: String): Boolean = unknownKeyPrefixes.any { key.startsWith(it) }
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -33,14 +33,14 @@
             day.at(92_000) { submit(stage("wide").copy(tasks = 24, cores = 16.0)) }
             day.run(280_000)
             val what = "${case.name}, seed $seed"
-            assertEquals(emptyList<String>(), day.rules.broken.take(5), what)
-            assertEquals(emptyList<String>(), day.progressChecks.broken.take(5), what)
-            assertEquals(emptyList<String>(), day.rules.unfinished(), "$what: not served")
-            assertTrue(day.store.entry(Keys.FORMAT) != null, "$what: the format isn't switched on")
+            assertEquals(emptyList<String>(), day.checker.ruleViolations.take(5), what)
+            assertEquals(emptyList<String>(), day.progressChecks.ruleViolations.take(5), what)
+            assertEquals(emptyList<String>(), day.checker.unfinished(), "$what: not served")
+            assertTrue(day.store.entry(Keys.FORMAT_MARKER) != null, "$what: the format isn't switched on")
             if (!case.fallsUnprepared) assertEquals(0, day.store.refusedForSize, "$what: refused for their size")
             assertTrue(day.store.partsWritten > 0, "$what: no record was divided")
             val stages =
-                day.rules.jobs
+                day.checker.jobs
                     .filterKeys { it.startsWith("pipe-") }
                     .values
             assertTrue(stages.count { it.started.isNotEmpty() } > 20, "$what: few stages started")
@@ -54,7 +54,7 @@
         private fun Simulation.at(
             ms: Long,
             action: Simulation.() -> Unit,
-        ) = world.after(ms) { action() }
+        ) = time.after(ms) { action() }
 
         private fun Simulation.limitsFall(atMs: Long) = at(atMs) { store.limits = NEXT }
 
@@ -65,7 +65,7 @@
         ) {
             if (!node.isUp) return
             node.crash()
-            world.after(forMs) {
+            time.after(forMs) {
                 node.isOldVersion = isOldVersion
                 node.start()
             }
@@ -130,13 +130,13 @@
             atMs: Long,
         ) = at(atMs) {
             val first =
-                rules.jobs.values.filter {
+                checker.jobs.values.filter {
                     it.spec.id.value
                         .endsWith("-a") &&
                         it.accepted &&
-                        it.told?.isOverQuota != true
+                        it.observed?.isOverQuota != true
                 }
-            for (job in first.takeLast(count)) world.after(world.between(0, 200)) { cancel(job.spec.id.value) }
+            for (job in first.takeLast(count)) time.after(time.between(0, 200)) { cancel(job.spec.id.value) }
         }
 
         private val oxbowlug.wire.JobState.isOverQuota: Boolean
@@ -213,7 +213,7 @@
                     for (ms in 22_000L..80_000L step 6_000) cancelFirstStages(1, ms)
                     for (ms in 24_000L..60_000L step 6_000) {
                         at(ms) {
-                            val running = cloud.workers.flatMap { it.onMachine() }.map { it.attempt.task.job.value }
+                            val running = cloud.workers.flatMap { it.runningTasks() }.map { it.attempt.task.job.value }
                             running.distinct().take(1).forEach(::cancel)
                         }
                     }
@@ -232,13 +232,13 @@
                     }
                     upgrade(20_000, 5_000, listOf(2, 0, 4, 1, 3))
                     var hasFallen = false
-                    world.every(20) {
-                        if (!hasFallen && store.entry(Keys.FORMAT) != null) {
+                    time.every(20) {
+                        if (!hasFallen && store.entry(Keys.FORMAT_MARKER) != null) {
                             hasFallen = true
                             store.limits = NEXT
                             cancel("large-0")
-                            world.after(300) { end(leader, forMs = 2_000) }
-                            world.after(2_000) { cancel("large-1") }
+                            time.after(300) { end(leader, forMs = 2_000) }
+                            time.after(2_000) { cancel("large-1") }
                         }
                     }
                 },
@@ -248,9 +248,9 @@
                     limitsFall(30_000)
                     var nextEndAt = 25_000L
                     onTaskDone = {
-                        if (world.nowMs >= nextEndAt && world.nowMs < 90_000) {
-                            nextEndAt = world.nowMs + 9_000
-                            world.after(world.between(0, 40)) { end(leader, forMs = 1_000) }
+                        if (time.nowMs >= nextEndAt && time.nowMs < 90_000) {
+                            nextEndAt = time.nowMs + 9_000
+                            time.after(time.between(0, 40)) { end(leader, forMs = 1_000) }
                         }
                     }
                 },
@@ -262,7 +262,7 @@
                             val running =
                                 cloud.workers
                                     .flatMap {
-                                        it.onMachine()
+                                        it.runningTasks()
                                     }.map { it.attempt.task.job.value }
                                     .distinct()
                             running.take(1).forEach(::cancel)
--- a/src/test/kotlin/oxbowlug/sim/PortTrace.kt
+++ b/src/test/kotlin/oxbowlug/sim/PortTrace.kt
@@ -2,21 +2,21 @@
 
 import oxbowlug.config.Address
 import oxbowlug.lease.HeartbeatResponse
-import oxbowlug.peer.PeerFrames
+import oxbowlug.peer.PeerFrameCodec
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CloudPort
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.PeerHeartbeat
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.request.UserResponse
-import oxbowlug.standin.World
-import oxbowlug.wire.AnswerCodec
+import oxbowlug.standin.VirtualTime
+import oxbowlug.wire.ResponseCodec
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.FencingToken
@@ -25,7 +25,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.RentalRequest
-import oxbowlug.wire.StoreCodec
+import oxbowlug.wire.StateCodec
 import oxbowlug.wire.Transaction
 import oxbowlug.wire.WorkerCodec
 import oxbowlug.wire.WorkerCommand
@@ -66,7 +66,7 @@
         atMs: Long,
         sender: String,
         heartbeat: PeerHeartbeat,
-    ) = record(atMs, sender, "heartbeat", PeerFrames.encode(heartbeat).readByteArray())
+    ) = record(atMs, sender, "heartbeat", PeerFrameCodec.encode(heartbeat).readByteArray())
 
     fun heartbeatResponse(
         atMs: Long,
@@ -76,8 +76,8 @@
     ) {
         val (status, body) =
             when (answer) {
-                is HeartbeatResponse.Renewed -> 200 to WorkerCodec.encodeAnswer(answer.token, answer.commands)
-                is HeartbeatResponse.Redirect -> 421 to AnswerCodec.redirect(answer.label)
+                is HeartbeatResponse.Renewed -> 200 to WorkerCodec.encodeResponse(answer.token, answer.commands)
+                is HeartbeatResponse.Redirect -> 421 to ResponseCodec.redirect(answer.label)
                 HeartbeatResponse.Unavailable -> 503 to emptyMap()
             }
         record(atMs, sender, "report ${heartbeat.machine.value} $status", Cbor.encode(body))
@@ -90,12 +90,12 @@
         val (status, body) =
             when (answer) {
                 null -> 0 to emptyMap()
-                is UserResponse.Accepted -> 201 to AnswerCodec.accepted(answer.status)
-                is UserResponse.Known -> 200 to AnswerCodec.polled(answer.status)
-                is UserResponse.Malformed -> 400 to AnswerCodec.problem(answer.problem)
-                is UserResponse.Rejected -> 422 to AnswerCodec.problem(answer.problem)
+                is UserResponse.Accepted -> 201 to ResponseCodec.accepted(answer.status)
+                is UserResponse.Known -> 200 to ResponseCodec.polled(answer.status)
+                is UserResponse.Malformed -> 400 to ResponseCodec.problem(answer.problem)
+                is UserResponse.Rejected -> 422 to ResponseCodec.problem(answer.problem)
                 UserResponse.NotFound -> 404 to emptyMap()
-                is UserResponse.Unavailable -> 503 to AnswerCodec.problem(answer.reason)
+                is UserResponse.Unavailable -> 503 to ResponseCodec.problem(answer.reason)
                 is UserResponse.Overloaded -> 429 to emptyMap()
             }
         record(atMs, "user", "$status", Cbor.encode(body))
@@ -108,7 +108,7 @@
 
 /** Decorates the ports of one controller: records each call in [trace] before forwarding it. */
 internal class TracedPorts(
-    private val world: World,
+    private val time: VirtualTime,
     private val label: String,
     private val trace: PortTrace,
     private val state: StatePort,
@@ -122,13 +122,13 @@
     private fun record(
         description: String,
         body: ByteArray = ByteArray(0),
-    ) = trace.record(world.nowMs, label, description, body)
+    ) = trace.record(time.nowMs, label, description, body)
 
     override fun commit(
         transaction: Transaction,
         done: (CommitOutcome) -> Unit,
     ) {
-        record("commit", Cbor.encode(StoreCodec.encode(transaction)))
+        record("commit", Cbor.encode(StateCodec.encode(transaction)))
         state.commit(transaction, done)
     }
 
@@ -151,25 +151,25 @@
         state.changes(prefix, from, waitMs, done)
     }
 
-    override fun grant(
-        lifeMs: Long,
+    override fun grantLease(
+        ttlMs: Long,
         done: (Long?) -> Unit,
     ) {
-        record("grant $lifeMs")
-        state.grant(lifeMs, done)
+        record("grant $ttlMs")
+        state.grantLease(ttlMs, done)
     }
 
-    override fun touch(
+    override fun keepLeaseAlive(
         lease: Long,
-        done: (TouchOutcome) -> Unit,
+        done: (LeaseRenewalOutcome) -> Unit,
     ) {
         record("touch $lease")
-        state.touch(lease, done)
+        state.keepLeaseAlive(lease, done)
     }
 
-    override fun release(lease: Long) {
+    override fun revokeLease(lease: Long) {
         record("release $lease")
-        state.release(lease)
+        state.revokeLease(lease)
     }
 
     override fun types(done: (List<MachineType>?) -> Unit) {
@@ -189,7 +189,7 @@
         machines: List<MachineId>,
         done: (Boolean) -> Unit,
     ) {
-        record("return", Cbor.encode(CloudCodec.encodeReturn(machines)))
+        record("return", Cbor.encode(CloudCodec.encodeRelease(machines)))
         cloud.releaseMachines(machines, done)
     }
 
@@ -211,9 +211,9 @@
         token: FencingToken,
         incarnation: Long,
         commands: List<WorkerCommand>,
-        done: (DirectOutcome) -> Unit,
+        done: (CommandOutcome) -> Unit,
     ) {
-        record("command $endpoint", Cbor.encode(WorkerCodec.encodeDirect(token, incarnation, commands)))
+        record("command $endpoint", Cbor.encode(WorkerCodec.encodeDirectCommands(token, incarnation, commands)))
         workers.command(endpoint, token, incarnation, commands, done)
     }
 
@@ -221,12 +221,12 @@
         label: String,
         notice: CancellationNotice,
     ) {
-        record("to $label", PeerFrames.encode(notice).readByteArray())
+        record("to $label", PeerFrameCodec.encode(notice).readByteArray())
         peers.send(label, notice)
     }
 
-    override fun heartbeatChanged() {
+    override fun broadcastHeartbeat() {
         record("heartbeat changed")
-        peers.heartbeatChanged()
+        peers.broadcastHeartbeat()
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/RandomFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RandomFaultsTest.kt
@@ -31,8 +31,8 @@
         val schedule = FaultSchedule.draw(seed, FAULT_GROUPS, FAULTS_FROM_MS, FAULTS_UNTIL_MS, parameters.leaseMs)
         SimulatedFaults(simulation, parameters.leaseMs).inject(schedule)
         simulation.run(END_MS)
-        val broken = simulation.rules.broken.take(MAX_SHOWN)
-        return if (broken.isEmpty()) null else "seed $seed: $broken\n$schedule"
+        val ruleViolations = simulation.checker.ruleViolations.take(MAX_SHOWN)
+        return if (ruleViolations.isEmpty()) null else "seed $seed: $ruleViolations\n$schedule"
     }
 
     private companion object {
--- a/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
@@ -48,9 +48,9 @@
     ): Int {
         var ended = 0
         play(seed, policy) { day ->
-            for (number in 0..2) day.world.after(5_000) { day.submit(day.lonelyService("lonely-$number")) }
+            for (number in 0..2) day.time.after(5_000) { day.submit(day.lonelyService("lonely-$number")) }
             day.separate(30_000, 40_000)
-            day.world.after(69_500) {
+            day.time.after(69_500) {
                 ended =
                     day.cloud.workers
                         .filter { it.zone == day.zones[LONELY] }
@@ -65,9 +65,9 @@
     fun `no trouble while regions are apart breaks a rule, and afterwards everything runs`(trouble: Trouble) {
         for (seed in Seeds.all) {
             val day = play(seed, regional, trouble.cause)
-            assertEquals(emptyList<String>(), day.rules.broken.take(5), "$trouble, seed $seed")
-            assertTrue(day.rules.starts > 20, "$trouble, seed $seed: only ${day.rules.starts} starts")
-            assertEquals(emptyList<String>(), day.rules.unfinished(), "$trouble, seed $seed: not served")
+            assertEquals(emptyList<String>(), day.checker.ruleViolations.take(5), "$trouble, seed $seed")
+            assertTrue(day.checker.starts > 20, "$trouble, seed $seed: only ${day.checker.starts} starts")
+            assertEquals(emptyList<String>(), day.checker.unfinished(), "$trouble, seed $seed: not served")
         }
     }
 
@@ -95,18 +95,18 @@
             forMs: Long,
         ) {
             val south = zones.drop(2)
-            world.after(fromMs) { activeFaults.isolatedRegion.addAll(south) }
-            world.after(fromMs + forMs) { activeFaults.isolatedRegion.removeAll(south.toSet()) }
+            time.after(fromMs) { activeFaults.isolatedRegion.addAll(south) }
+            time.after(fromMs + forMs) { activeFaults.isolatedRegion.removeAll(south.toSet()) }
         }
 
         private fun Simulation.crash(
             atMs: Long,
             which: () -> SimNode,
         ) {
-            world.after(atMs) {
+            time.after(atMs) {
                 val node = which()
                 node.crash()
-                world.after(5_000) { if (!node.isUp) node.start() }
+                time.after(5_000) { if (!node.isUp) node.start() }
             }
         }
 
@@ -123,7 +123,7 @@
                 oneZone = false,
                 spread = false,
                 spot = false,
-                estimateS = 0.0,
+                runEstimateS = 0.0,
                 checkpointS = 0.0,
                 saveS = 0.0,
                 deadlineS = null,
@@ -132,8 +132,8 @@
         private fun Simulation.south(): SimNode = nodes.first { it.zone == zones[2] }
 
         private fun Simulation.cancelSome(atMs: Long) =
-            world.after(atMs) {
-                for ((id, job) in rules.jobs.entries.take(12)) if (job.accepted) cancel(id)
+            time.after(atMs) {
+                for ((id, job) in checker.jobs.entries.take(12)) if (job.accepted) cancel(id)
             }
 
         @JvmStatic
@@ -162,17 +162,17 @@
                 },
                 Trouble("apart with the delegate's own zone cut off as well") { day ->
                     day.separate(30_000, 40_000)
-                    day.world.after(35_000) { day.activeFaults.isolatedZones.add(day.zones[2]) }
-                    day.world.after(60_000) { day.activeFaults.isolatedZones.clear() }
+                    day.time.after(35_000) { day.activeFaults.isolatedZones.add(day.zones[2]) }
+                    day.time.after(60_000) { day.activeFaults.isolatedZones.clear() }
                 },
                 Trouble("only the delegate's zone is cut off, and machines of the other one die") { day ->
-                    day.world.after(30_000) { day.activeFaults.isolatedZones.add(day.zones[2]) }
-                    day.world.after(34_000) {
+                    day.time.after(30_000) { day.activeFaults.isolatedZones.add(day.zones[2]) }
+                    day.time.after(34_000) {
                         day.cloud.workers
                             .filter { it.zone == day.zones[LONELY] }
                             .forEach { day.cloud.fail(it.id) }
                     }
-                    day.world.after(65_000) { day.activeFaults.isolatedZones.clear() }
+                    day.time.after(65_000) { day.activeFaults.isolatedZones.clear() }
                 },
                 Trouble("apart, with held frames, late reports and late writes") { day ->
                     day.activeFaults.peerLinkStalls = 0.002
@@ -180,7 +180,7 @@
                     day.activeFaults.delayedWrites = 0.02
                     day.separate(30_000, 30_000)
                     day.cancelSome(45_000)
-                    day.world.after(100_000) {
+                    day.time.after(100_000) {
                         day.activeFaults.peerLinkStalls = 0.0
                         day.activeFaults.duplicateHeartbeats = 0.0
                         day.activeFaults.delayedWrites = 0.0
@@ -188,8 +188,8 @@
                 },
                 Trouble("apart while all controllers end") { day ->
                     day.separate(30_000, 40_000)
-                    day.world.after(38_000) { for (node in day.nodes) node.crash() }
-                    day.world.after(42_000) { for (node in day.nodes) if (!node.isUp) node.start() }
+                    day.time.after(38_000) { for (node in day.nodes) node.crash() }
+                    day.time.after(42_000) { for (node in day.nodes) if (!node.isUp) node.start() }
                 },
             )
     }
--- a/src/test/kotlin/oxbowlug/sim/RulesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RulesTest.kt
@@ -4,10 +4,10 @@
 import org.junit.jupiter.api.Test
 import oxbowlug.request.UserResponse
 import oxbowlug.standin.HeartbeatPacing
-import oxbowlug.standin.JobBook
-import oxbowlug.standin.Rules
+import oxbowlug.standin.SimJobs
+import oxbowlug.standin.InvariantChecker
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.AttemptId
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.JobId
@@ -27,14 +27,14 @@
 
 /** Tests the checkers themselves: each of them reports exactly the violations that it is meant for. */
 internal class RulesTest {
-    private val world = World(1)
-    private val rules = Rules(world, mapOf("red" to 4.0), CANCEL_DEADLINE_MS)
+    private val time = VirtualTime(1)
+    private val checker = InvariantChecker(time, mapOf("red" to 4.0), CANCEL_DEADLINE_MS)
     private val zones = listOf(Zone("a"), Zone("b"))
     private val type = MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, zones)
     private val workers =
         List(3) { index ->
             SimWorker(
-                world,
+                time,
                 TestJobBook(),
                 { emptyList() },
                 MachineId("host-00000$index"),
@@ -45,7 +45,7 @@
                 pacing = HeartbeatPacing.Fixed(1_000),
             )
         }
-    private val progressChecks = ProgressChecks(world, rules, { workers }, mapOf("red" to 4.0), 0)
+    private val progressChecks = ProgressChecks(time, checker, { workers }, mapOf("red" to 4.0), 0)
     private val spec =
         JobSpecCodec.decode(JobSpecCodecTest.valid()).copy(
             id = JobId("run-1"),
@@ -62,30 +62,30 @@
             spread = false,
         )
 
-    private inner class TestJobBook : JobBook {
-        override fun spec(job: String): JobSpec? = rules.jobs[job]?.spec
+    private inner class TestJobBook : SimJobs {
+        override fun spec(job: String): JobSpec? = checker.jobs[job]?.spec
 
         override fun runMs(job: String): Long = 10_000_000
 
         override fun onStarted(
             machine: SimWorker,
             attempt: AttemptId,
-        ) = rules.started(machine, attempt)
+        ) = checker.started(machine, attempt)
 
-        override fun onDone(attempt: AttemptId) = rules.done(attempt)
+        override fun onDone(attempt: AttemptId) = checker.done(attempt)
     }
 
     private fun submit(jobSpec: JobSpec = spec) {
-        rules.jobs[jobSpec.id.value] = Rules.Known(jobSpec)
-        rules.told(jobSpec.id.value, UserResponse.Accepted(status(JobState.QUEUED)), world.nowMs)
+        checker.jobs[jobSpec.id.value] = InvariantChecker.Known(jobSpec)
+        checker.observed(jobSpec.id.value, UserResponse.Accepted(status(JobState.QUEUED)), time.nowMs)
     }
 
     private fun status(state: JobState) = JobStatus(spec.id, state, 0, 0)
 
     private fun answerPoll(
         state: JobState,
-        requestedAtMs: Long = world.nowMs,
-    ) = rules.told(spec.id.value, UserResponse.Known(status(state)), requestedAtMs)
+        requestedAtMs: Long = time.nowMs,
+    ) = checker.observed(spec.id.value, UserResponse.Known(status(state)), requestedAtMs)
 
     private fun start(
         task: Int,
@@ -99,8 +99,8 @@
 
     /** Advances virtual time, which needs an event at the end. */
     private fun advance(ms: Long) {
-        world.after(ms) {}
-        world.runUntil(world.nowMs + ms)
+        time.after(ms) {}
+        time.runUntil(time.nowMs + ms)
     }
 
     private val dependency = spec.copy(id = JobId("run-dependency"), kind = JobKind.ARRAY)
@@ -111,13 +111,13 @@
         submit(spec.copy(dependsOn = listOf(middle.id)))
         submit(middle)
         submit(dependency)
-        rules.jobs.getValue(dependency.id.value).askedToCancel = true
+        checker.jobs.getValue(dependency.id.value).cancelRequested = true
         val cancelledStatus = JobStatus(dependency.id, JobState.CANCELLED, 0, 0)
-        rules.told(dependency.id.value, UserResponse.Known(cancelledStatus), world.nowMs)
+        checker.observed(dependency.id.value, UserResponse.Known(cancelledStatus), time.nowMs)
     }
 
     private fun cancel() {
-        rules.jobs.getValue(spec.id.value).askedToCancel = true
+        checker.jobs.getValue(spec.id.value).cancelRequested = true
         answerPoll(JobState.CANCELLED)
     }
 
@@ -132,7 +132,7 @@
             listOf(
                 Case(null, "no violation") {
                     repeat(3) { start(it, it) }
-                    rules.check(workers)
+                    checker.check(workers)
                 },
                 Case("ran_twice", "a task runs on two machines") {
                     start(0, 0)
@@ -141,7 +141,7 @@
                 Case("quota", "a team uses more GPUs than its limit") {
                     submit(spec.copy(gpus = 2.0))
                     repeat(3) { start(it, 0) }
-                    rules.check(workers)
+                    checker.check(workers)
                 },
                 Case("wrong_place", "a spread job has more than half of its tasks in one zone") {
                     submit(spec.copy(spread = true))
@@ -155,7 +155,7 @@
                     start(0, 0)
                     cancel()
                     advance(CANCEL_DEADLINE_MS + 1)
-                    rules.check(workers)
+                    checker.check(workers)
                 },
                 Case("ran_cancelled", "a task starts after the cancellation deadline") {
                     cancel()
@@ -165,18 +165,18 @@
                 Case(null, "no task runs after the cancellation deadline") {
                     cancel()
                     advance(CANCEL_DEADLINE_MS + 1)
-                    rules.check(workers)
+                    checker.check(workers)
                 },
                 Case(
                     "forgotten",
                     "404 for an accepted job",
-                ) { rules.told(spec.id.value, UserResponse.NotFound, world.nowMs) },
+                ) { checker.observed(spec.id.value, UserResponse.NotFound, time.nowMs) },
                 Case(
                     "forgotten",
                     "422 for an accepted job",
-                ) { rules.told(spec.id.value, UserResponse.Rejected("no"), world.nowMs) },
+                ) { checker.observed(spec.id.value, UserResponse.Rejected("no"), time.nowMs) },
                 Case("invented", "200 for a job that was never submitted") {
-                    rules.told("run-2", UserResponse.Known(status(JobState.QUEUED)), world.nowMs)
+                    checker.observed("run-2", UserResponse.Known(status(JobState.QUEUED)), time.nowMs)
                 },
                 Case("not_done", "done before its tasks are done") { answerPoll(JobState.DONE) },
                 Case("went_back", "cancelled without a request") { answerPoll(JobState.CANCELLED) },
@@ -188,7 +188,7 @@
                 Case(null, "a poll sent before the cancellation is answered after it") {
                     advance(10)
                     cancel()
-                    answerPoll(JobState.RUNNING, requestedAtMs = world.nowMs - 5)
+                    answerPoll(JobState.RUNNING, requestedAtMs = time.nowMs - 5)
                 },
                 Case("too_early", "a task starts before a dependency is done") {
                     submit(spec.copy(dependsOn = listOf(dependency.id)))
@@ -198,7 +198,7 @@
                 Case(null, "a task starts after all dependencies are done") {
                     submit(spec.copy(dependsOn = listOf(dependency.id)))
                     submit(dependency)
-                    repeat(dependency.tasks) { rules.done(AttemptId(TaskId(dependency.id, it), 1)) }
+                    repeat(dependency.tasks) { checker.done(AttemptId(TaskId(dependency.id, it), 1)) }
                     start(0, 0)
                 },
                 Case("orphaned", "queued after the cancellation deadline of an indirect dependency") {
@@ -218,16 +218,16 @@
                 Case("went_back", "accepted again after it was cancelled") {
                     cancel()
                     advance(10)
-                    rules.told(spec.id.value, UserResponse.Accepted(status(JobState.QUEUED)), world.nowMs)
+                    checker.observed(spec.id.value, UserResponse.Accepted(status(JobState.QUEUED)), time.nowMs)
                 },
             )
         for (case in cases) {
-            rules.broken.clear()
-            rules.jobs.clear()
+            checker.ruleViolations.clear()
+            checker.jobs.clear()
             for (worker in workers) worker.tasks.clear()
             submit()
             case.action()
-            val violatedRules = rules.broken.map { it.substringAfter("ms ").substringBefore(':') }.distinct()
+            val violatedRules = checker.ruleViolations.map { it.substringAfter("ms ").substringBefore(':') }.distinct()
             assertEquals(listOfNotNull(case.rule), violatedRules, case.name)
         }
     }
@@ -237,30 +237,30 @@
         submit()
         advance(74_000)
         progressChecks.check()
-        assertEquals(emptyList<String>(), progressChecks.broken)
+        assertEquals(emptyList<String>(), progressChecks.ruleViolations)
         advance(2_000)
         progressChecks.check()
-        assertEquals(listOf("forgotten: run-1, no answers"), progressChecks.broken.map { it.substringAfter("ms ") })
-        progressChecks.broken.clear()
+        assertEquals(listOf("forgotten: run-1, no answers"), progressChecks.ruleViolations.map { it.substringAfter("ms ") })
+        progressChecks.ruleViolations.clear()
         answerPoll(JobState.QUEUED)
         advance(70_000)
         progressChecks.check()
-        assertEquals(emptyList<String>(), progressChecks.broken, "the waiting time counts from the first check")
+        assertEquals(emptyList<String>(), progressChecks.ruleViolations, "the waiting time counts from the first check")
         advance(3_000)
         answerPoll(JobState.QUEUED)
         advance(20_000)
         progressChecks.check()
         assertEquals(
             listOf("left waiting: run-1 although a machine has capacity for it"),
-            progressChecks.broken.map { it.substringAfter("ms ") },
+            progressChecks.ruleViolations.map { it.substringAfter("ms ") },
         )
         val underserved = listOf("class ${spec.className}", "team red", "largest ${spec.className}")
         assertEquals(underserved.map { "$it: less than half served" }, progressChecks.underservedGroups())
         repeat(3) { start(it, it) }
-        progressChecks.broken.clear()
+        progressChecks.ruleViolations.clear()
         advance(1_000)
         progressChecks.check()
-        assertEquals(emptyList<String>(), progressChecks.broken + progressChecks.underservedGroups())
+        assertEquals(emptyList<String>(), progressChecks.ruleViolations + progressChecks.underservedGroups())
     }
 
     @Test
@@ -271,8 +271,8 @@
         advance(100_000)
         answerPoll(JobState.RUNNING)
         progressChecks.check()
-        assertEquals(emptyList<String>(), progressChecks.broken)
-        rules.jobs.clear()
+        assertEquals(emptyList<String>(), progressChecks.ruleViolations)
+        checker.jobs.clear()
         for (worker in workers) worker.tasks.clear()
         submit()
         advance(250_000)
--- a/src/test/kotlin/oxbowlug/sim/SimNode.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimNode.kt
@@ -9,20 +9,20 @@
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CloudPort
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.Invariant
 import oxbowlug.port.Meters
 import oxbowlug.port.PeerPort
 import oxbowlug.port.RentalOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.record.Member
 import oxbowlug.standin.HeartbeatTarget
 import oxbowlug.standin.SimCloud
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.ListedMachine
 import oxbowlug.wire.MachineId
@@ -91,7 +91,7 @@
  * execute requests late.
  */
 internal class SimNode(
-    private val world: World,
+    private val time: VirtualTime,
     private val settings: Settings,
     private val store: SimStore,
     private val cloud: SimCloud,
@@ -99,7 +99,7 @@
     private val workerAt: (Address) -> SimWorker?,
     private val peers: () -> List<SimNode>,
 ) : HeartbeatTarget {
-    private val clock = DriftingClock(world, world.random.nextDouble(0.0, 0.0005), world.between(-50, 50))
+    private val clock = DriftingClock(time, time.random.nextDouble(0.0, 0.0005), time.between(-50, 50))
 
     /** Advances with each start and each crash, so that callbacks of an earlier process are dropped. */
     private var currentGeneration = 0
@@ -151,26 +151,26 @@
 
     /** Until this time the process is stopped as by SIGSTOP: its clocks run on, and incoming events are queued. */
     var pausedUntil = 0L
-    private val remainingPauseMs: Long get() = (pausedUntil - world.nowMs).coerceAtLeast(0)
+    private val remainingPauseMs: Long get() = (pausedUntil - time.nowMs).coerceAtLeast(0)
 
     fun start() {
         val generation = ++currentGeneration
         // Ports belong to one process: responses to calls of an earlier process are dropped.
         val ports = Ports(generation)
-        val tracedPorts = trace?.let { TracedPorts(world, label, it, ports, ports, ports, ports) }
+        val tracedPorts = trace?.let { TracedPorts(time, label, it, ports, ports, ports, ports) }
         val state: StatePort = tracedPorts ?: ports
         val cloud: CloudPort = tracedPorts ?: ports
         val workers: WorkerPort = tracedPorts ?: ports
         val peers: PeerPort = tracedPorts ?: ports
         var draining = false
-        val random = Random(world.random.nextLong())
+        val random = Random(time.random.nextLong())
         val self = Member(label, "life$generation-${random.nextInt(1_000_000)}")
         lateinit var newController: Controller
         newController =
             Controller(settings, self, state, cloud, workers, clock, CountingMeters(), random, peers) {
                 if (!draining) {
                     draining = true
-                    world.after(remainingPauseMs) {
+                    time.after(remainingPauseMs) {
                         draining = false
                         if (currentGeneration == generation && core != null) newController.drain()
                     }
@@ -185,15 +185,15 @@
         running: Controller,
     ) {
         if (currentGeneration != generation || core == null) return
-        if (remainingPauseMs > 0) return world.after(remainingPauseMs) { tick(generation, running) }
+        if (remainingPauseMs > 0) return time.after(remainingPauseMs) { tick(generation, running) }
         running.offer(ControllerEvent.Tick)
         for (peer in peers()) {
             if (peer === this) continue
             val heartbeat = running.heartbeat()
-            trace?.heartbeat(world.nowMs, label, heartbeat)
+            trace?.heartbeat(time.nowMs, label, heartbeat)
             deliver(peer, minDelayMs = 0) { it.offer(ControllerEvent.PeerHeartbeatReceived(heartbeat)) }
         }
-        world.after(50) { tick(generation, running) }
+        time.after(50) { tick(generation, running) }
     }
 
     private val linkStalledUntil = HashMap<SimNode, Long>()
@@ -209,14 +209,14 @@
     ) {
         if (!reaches(peer)) return
         val until = linkStalledUntil[peer] ?: 0L
-        if (activeFaults.peerLinkStalls > 0.0 && world.nowMs >= until && world.chance(activeFaults.peerLinkStalls)) {
-            linkStalledUntil[peer] = world.nowMs + world.between(2_000, 20_000)
+        if (activeFaults.peerLinkStalls > 0.0 && time.nowMs >= until && time.chance(activeFaults.peerLinkStalls)) {
+            linkStalledUntil[peer] = time.nowMs + time.between(2_000, 20_000)
         }
-        val delayMs = maxOf((linkStalledUntil[peer] ?: 0L) - world.nowMs, minDelayMs)
+        val delayMs = maxOf((linkStalledUntil[peer] ?: 0L) - time.nowMs, minDelayMs)
         if (delayMs == 0L) {
             peer.core?.let(onDelivery)
         } else {
-            world.after(delayMs) { if (reaches(peer)) peer.core?.let(onDelivery) }
+            time.after(delayMs) { if (reaches(peer)) peer.core?.let(onDelivery) }
         }
     }
 
@@ -233,20 +233,20 @@
     }
 
     override fun receive(
-        report: WorkerHeartbeat,
+        workerHeartbeat: WorkerHeartbeat,
         answer: (HeartbeatResponse?) -> Unit,
     ) {
         val running = core
 
-        fun isCutOff() = isolated || withoutWorkers || activeFaults.arePartitioned(zone, report.zone)
+        fun isCutOff() = isolated || withoutWorkers || activeFaults.arePartitioned(zone, workerHeartbeat.zone)
 
         if (isCutOff()) return
         if (running == null) {
             answer(null)
         } else {
             running.offer(
-                ControllerEvent.Heartbeat(report) {
-                    trace?.heartbeatResponse(world.nowMs, label, report, it)
+                ControllerEvent.Heartbeat(workerHeartbeat) {
+                    trace?.heartbeatResponse(time.nowMs, label, workerHeartbeat, it)
                     if (!isCutOff()) answer(it)
                 },
             )
@@ -270,7 +270,7 @@
             deliver(peer, minDelayMs = 1) { it.offer(ControllerEvent.CancellationNoticeReceived(notice)) }
         }
 
-        override fun heartbeatChanged() = Unit
+        override fun broadcastHeartbeat() = Unit
 
         override fun status(
             endpoint: Address,
@@ -280,15 +280,15 @@
             val isCutOff = isolated || withoutWorkers || activeFaults.arePartitioned(zone, worker?.zone)
             if (isCutOff || worker == null || !worker.alive) return complete(TIMEOUT_MS, null, done)
             var answered = false
-            world.after(world.between(1, 15)) {
-                worker.status { report ->
+            time.after(time.between(1, 15)) {
+                worker.status { workerHeartbeat ->
                     if (!answered) {
                         answered = true
-                        complete(world.between(1, 15), report, done)
+                        complete(time.between(1, 15), workerHeartbeat, done)
                     }
                 }
             }
-            world.after(TIMEOUT_MS) {
+            time.after(TIMEOUT_MS) {
                 if (!answered) {
                     answered = true
                     complete(0, null, done)
@@ -301,7 +301,7 @@
             outcome: T,
             done: (T) -> Unit,
         ) {
-            world.after(delayMs) {
+            time.after(delayMs) {
                 if (currentGeneration == generation) core?.offer(ControllerEvent.CallCompleted { done(outcome) })
             }
         }
@@ -314,21 +314,21 @@
             done: (T) -> Unit,
             execute: () -> T,
         ) {
-            if (isolated || !isReachable()) return complete(world.between(1, 10), ifUnreachable, done)
-            if (world.chance(activeFaults.delayProbability)) {
+            if (isolated || !isReachable()) return complete(time.between(1, 10), ifUnreachable, done)
+            if (time.chance(activeFaults.delayProbability)) {
                 complete(TIMEOUT_MS, ifUnanswered, done)
-                world.after(world.between(TIMEOUT_MS / 2, activeFaults.maxDelayMs)) { if (isReachable()) execute() }
+                time.after(time.between(TIMEOUT_MS / 2, activeFaults.maxDelayMs)) { if (isReachable()) execute() }
                 return
             }
-            if (world.chance(activeFaults.lossProbability)) return complete(TIMEOUT_MS, ifUnanswered, done)
-            world.after(world.between(1, 5)) {
+            if (time.chance(activeFaults.lossProbability)) return complete(TIMEOUT_MS, ifUnanswered, done)
+            time.after(time.between(1, 5)) {
                 if (!isReachable()) {
                     complete(1, ifUnreachable, done)
                 } else {
                     val outcome = execute()
-                    val isAnswerLost = world.chance(activeFaults.lossProbability)
+                    val isAnswerLost = time.chance(activeFaults.lossProbability)
                     complete(
-                        if (isAnswerLost) TIMEOUT_MS else world.between(1, 5),
+                        if (isAnswerLost) TIMEOUT_MS else time.between(1, 5),
                         if (isAnswerLost) ifUnanswered else outcome,
                         done,
                     )
@@ -346,29 +346,29 @@
             done: (CommitOutcome) -> Unit,
         ) {
             if (runsOldVersion && transaction.changes.any { OldVersion.isUnknownKey(it.key) }) {
-                return complete(world.between(1, 10), CommitOutcome.Applied(0), done)
+                return complete(time.between(1, 10), CommitOutcome.Applied(0), done)
             }
             val stored = if (runsOldVersion) OldVersion.toOldWrite(transaction) else transaction
-            val isAppliedPromptly = world.chance(activeFaults.unansweredWrites)
-            if (reachesState() && !isolated && (isAppliedPromptly || world.chance(activeFaults.delayedWrites))) {
+            val isAppliedPromptly = time.chance(activeFaults.unansweredWrites)
+            if (reachesState() && !isolated && (isAppliedPromptly || time.chance(activeFaults.delayedWrites))) {
                 complete(TIMEOUT_MS, CommitOutcome.Unanswered, done)
-                val delayMs = if (isAppliedPromptly) world.between(1, 5) else world.between(2_000, 12_000)
-                return world.after(delayMs) { if (!store.down) store.commit(stored) }
+                val delayMs = if (isAppliedPromptly) time.between(1, 5) else time.between(2_000, 12_000)
+                return time.after(delayMs) { if (!store.down) store.commit(stored) }
             }
-            if (occurs(activeFaults.refusedWrites)) return complete(world.between(1, 10), CommitOutcome.Refused, done)
+            if (occurs(activeFaults.refusedWrites)) return complete(time.between(1, 10), CommitOutcome.Refused, done)
             if (reachesState() && !isolated && occurs(activeFaults.slowWriteAnswers)) return commitSlowly(stored, done)
             call(::reachesState, CommitOutcome.Refused, CommitOutcome.Unanswered, done) { store.commit(stored) }
         }
 
         /** Draws no random number if the fault is off, so that scenarios without it keep their random sequence. */
-        private fun occurs(probability: Double): Boolean = probability > 0.0 && world.chance(probability)
+        private fun occurs(probability: Double): Boolean = probability > 0.0 && time.chance(probability)
 
         private fun commitSlowly(
             transaction: Transaction,
             done: (CommitOutcome) -> Unit,
-        ) = world.after(world.between(1, 5)) {
+        ) = time.after(time.between(1, 5)) {
             val outcome = if (store.down) CommitOutcome.Refused else store.commit(transaction)
-            complete(world.between(50, 1_500), outcome, done)
+            complete(time.between(50, 1_500), outcome, done)
         }
 
         override fun readPage(
@@ -377,7 +377,7 @@
             done: (ReadPage?) -> Unit,
         ) {
             val delayRangeMs = activeFaults.pageDelayMs ?: return readNow(prefix, after, done)
-            world.after(world.between(delayRangeMs)) { readNow(prefix, after, done) }
+            time.after(time.between(delayRangeMs)) { readNow(prefix, after, done) }
         }
 
         private fun readNow(
@@ -404,10 +404,10 @@
             store.watch(prefix, from, waitMs) { outcome ->
                 if (!answered && reachesState() && !isolated && !dropsWatchAnswers) {
                     answered = true
-                    complete(world.between(1, 5), visibleChanges(outcome), done)
+                    complete(time.between(1, 5), visibleChanges(outcome), done)
                 }
             }
-            world.after(waitMs + TIMEOUT_MS) {
+            time.after(waitMs + TIMEOUT_MS) {
                 if (!answered) {
                     answered = true
                     complete(0, ChangesOutcome.Failed, done)
@@ -422,17 +422,17 @@
                 outcome
             }
 
-        override fun grant(
-            lifeMs: Long,
+        override fun grantLease(
+            ttlMs: Long,
             done: (Long?) -> Unit,
-        ) = call<Long?>(::reachesState, null, null, done) { store.grant(lifeMs) }
+        ) = call<Long?>(::reachesState, null, null, done) { store.grantLease(ttlMs) }
 
-        override fun touch(
+        override fun keepLeaseAlive(
             lease: Long,
-            done: (TouchOutcome) -> Unit,
-        ) = call(::reachesState, TouchOutcome.FAILED, TouchOutcome.FAILED, done) { store.touch(lease) }
+            done: (LeaseRenewalOutcome) -> Unit,
+        ) = call(::reachesState, LeaseRenewalOutcome.FAILED, LeaseRenewalOutcome.FAILED, done) { store.keepLeaseAlive(lease) }
 
-        override fun release(lease: Long) = call(::reachesState, Unit, Unit, {}) { store.release(lease) }
+        override fun revokeLease(lease: Long) = call(::reachesState, Unit, Unit, {}) { store.revokeLease(lease) }
 
         private fun reachesCloud() = !cloud.down && !withoutCloud && !activeFaults.arePartitioned(zone, null)
 
@@ -460,33 +460,33 @@
             token: FencingToken,
             incarnation: Long,
             commands: List<WorkerCommand>,
-            done: (DirectOutcome) -> Unit,
+            done: (CommandOutcome) -> Unit,
         ) {
             val worker = workerAt(endpoint)
             val isCutOff = isolated || withoutWorkers || activeFaults.arePartitioned(zone, worker?.zone)
-            if (isCutOff || worker == null || !worker.alive) return complete(TIMEOUT_MS, DirectOutcome.NotSent, done)
+            if (isCutOff || worker == null || !worker.alive) return complete(TIMEOUT_MS, CommandOutcome.NotSent, done)
             var answered = false
-            val isLate = world.chance(activeFaults.delayProbability)
-            val delay = if (isLate) world.between(TIMEOUT_MS, activeFaults.maxDelayMs) else world.between(1, 15)
-            world.after(delay) {
-                worker.direct(token, incarnation, commands) { report, executed ->
-                    if (!answered && !world.chance(activeFaults.lossProbability)) {
+            val isLate = time.chance(activeFaults.delayProbability)
+            val delay = if (isLate) time.between(TIMEOUT_MS, activeFaults.maxDelayMs) else time.between(1, 15)
+            time.after(delay) {
+                worker.direct(token, incarnation, commands) { workerHeartbeat, executed ->
+                    if (!answered && !time.chance(activeFaults.lossProbability)) {
                         answered = true
-                        complete(world.between(1, 15), DirectOutcome.Answered(report, executed), done)
+                        complete(time.between(1, 15), CommandOutcome.Answered(workerHeartbeat, executed), done)
                     }
                 }
             }
-            world.after(TIMEOUT_MS) {
+            time.after(TIMEOUT_MS) {
                 if (!answered) {
                     answered = true
-                    complete(0, DirectOutcome.Unanswered, done)
+                    complete(0, CommandOutcome.Unanswered, done)
                 }
             }
         }
     }
 
     private inner class CountingMeters : Meters {
-        override fun planned(
+        override fun recordPlan(
             nanos: Long,
             priced: Int,
         ) {
@@ -494,16 +494,16 @@
             this@SimNode.priced += priced
         }
 
-        override fun stepped(nanos: Long) = Unit
+        override fun recordStep(nanos: Long) = Unit
 
-        override fun waited(millis: Long) = Unit
+        override fun recordQueueDelay(millis: Long) = Unit
 
-        override fun committed(millis: Long) = Unit
+        override fun recordCommit(millis: Long) = Unit
 
-        override fun refused(reason: String) = Unit
+        override fun recordRefusal(reason: String) = Unit
 
-        override fun violated(invariant: Invariant): Nothing =
-            throw AssertionError("${world.nowMs} ms $label: invariant ${invariant.label} is violated")
+        override fun recordViolation(invariant: Invariant): Nothing =
+            throw AssertionError("${time.nowMs} ms $label: invariant ${invariant.label} is violated")
     }
 
     private companion object {
--- a/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulatedFaults.kt
@@ -4,7 +4,7 @@
 import oxbowlug.soak.FaultKind
 import oxbowlug.soak.FaultSchedule
 import oxbowlug.soak.LostAnswers
-import oxbowlug.soak.drawRunning
+import oxbowlug.soak.drawRunningJobs
 import oxbowlug.standin.SimWorker
 
 /** Injects the faults of a randomly drawn [FaultSchedule] into a simulation. */
@@ -12,11 +12,11 @@
     private val simulation: Simulation,
     private val leaseMs: Long,
 ) {
-    private val world = simulation.world
+    private val time = simulation.time
     private val activeFaults = simulation.activeFaults
 
     fun inject(schedule: FaultSchedule) {
-        for (fault in schedule.faults) world.after(fault.atMs - world.nowMs) { startFault(fault) }
+        for (fault in schedule.faults) time.after(fault.atMs - time.nowMs) { startFault(fault) }
     }
 
     private fun startFault(fault: Fault) {
@@ -27,8 +27,8 @@
             FaultKind.KILL_CONTROLLER -> kill(listOf(node), fault)
             FaultKind.KILL_LEADER -> kill(listOf(leader), fault)
             FaultKind.KILL_ALL_CONTROLLERS -> kill(simulation.nodes, fault)
-            FaultKind.PAUSE_CONTROLLER -> node.pausedUntil = world.nowMs + fault.forMs
-            FaultKind.PAUSE_LEADER -> leader.pausedUntil = world.nowMs + fault.forMs
+            FaultKind.PAUSE_CONTROLLER -> node.pausedUntil = time.nowMs + fault.forMs
+            FaultKind.PAUSE_LEADER -> leader.pausedUntil = time.nowMs + fault.forMs
             FaultKind.CUT_CONTROLLER_FROM_STATE -> during(fault) { node.withoutState = it }
             FaultKind.CUT_LEADER_FROM_STATE -> during(fault) { leader.withoutState = it }
             FaultKind.CUT_LEADER_FROM_STATE_AND_PEERS -> during(fault) { leader.setCutOffFromStateAndPeers(it) }
@@ -45,26 +45,26 @@
                 }
             FaultKind.STATE_OUTAGE -> during(fault) { simulation.store.down = it }
             FaultKind.CLOUD_OUTAGE -> during(fault) { simulation.cloud.down = it }
-            FaultKind.HOLD_LEADER_WATCH -> during(fault) { leader.dropsWatchAnswers = it }
+            FaultKind.DROP_LEADER_WATCH_ANSWERS -> during(fault) { leader.dropsWatchAnswers = it }
             FaultKind.REFUSE_WRITES -> during(fault) { activeFaults.refusedWrites = if (it) FREQUENT else 0.0 }
             FaultKind.SLOW_WRITE_ANSWERS -> during(fault) { activeFaults.slowWriteAnswers = if (it) FREQUENT else 0.0 }
             FaultKind.LOSE_WRITE_ANSWERS -> during(fault) { activeFaults.unansweredWrites = if (it) FREQUENT else 0.0 }
             FaultKind.DELAY_WRITES -> during(fault) { activeFaults.delayedWrites = if (it) FREQUENT else 0.0 }
-            FaultKind.FORGET_CHANGES -> simulation.store.forgetChanges()
+            FaultKind.DISCARD_CHANGE_HISTORY -> simulation.store.discardChangeHistory()
             FaultKind.LOSE_MESSAGES -> during(fault) { activeFaults.lossProbability = if (it) RARE else 0.0 }
             FaultKind.DELAY_MESSAGES -> during(fault) { activeFaults.delayProbability = if (it) RARE else 0.0 }
-            FaultKind.REPEAT_REPORTS -> during(fault) { activeFaults.duplicateHeartbeats = if (it) FREQUENT else 0.0 }
-            FaultKind.REPEAT_REPORTS_TO_NEXT_LEADER ->
+            FaultKind.DUPLICATE_HEARTBEATS -> during(fault) { activeFaults.duplicateHeartbeats = if (it) FREQUENT else 0.0 }
+            FaultKind.REPLAY_OLD_HEARTBEATS ->
                 during(fault) { activeFaults.heartbeatsForNextLeader = if (it) RARE else 0.0 }
-            FaultKind.HOLD_PEER_FRAMES -> during(fault) { activeFaults.peerLinkStalls = if (it) RARE / 10 else 0.0 }
-            FaultKind.DEAF_WORKERS -> randomWorkers(fault).forEach { it.unresponsiveUntil = world.nowMs + fault.forMs }
-            FaultKind.MUTE_WORKERS -> randomWorkers(fault).forEach { it.muteUntil = world.nowMs + fault.forMs }
-            FaultKind.HANG_WORKERS -> randomWorkers(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
-            FaultKind.UNANSWERED_THEN_MUTE_WORKERS ->
-                randomWorkers(fault).forEach { LostAnswers(world, leaseMs).begin(it) }
+            FaultKind.STALL_PEER_LINKS -> during(fault) { activeFaults.peerLinkStalls = if (it) RARE / 10 else 0.0 }
+            FaultKind.UNRESPONSIVE_WORKERS -> randomWorkers(fault).forEach { it.unresponsiveUntil = time.nowMs + fault.forMs }
+            FaultKind.LOSE_HEARTBEATS -> randomWorkers(fault).forEach { it.heartbeatsLostUntil = time.nowMs + fault.forMs }
+            FaultKind.HANG_WORKERS -> randomWorkers(fault).forEach { it.hungUntil = time.nowMs + fault.forMs }
+            FaultKind.LOSE_ANSWERS_THEN_HEARTBEATS ->
+                randomWorkers(fault).forEach { LostAnswers(time, leaseMs).begin(it) }
             FaultKind.CANCEL_RUNNING -> cancelRunning(fault)
             FaultKind.CANCEL_RUNNING_AND_HANG ->
-                cancelRunning(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
+                cancelRunning(fault).forEach { it.hungUntil = time.nowMs + fault.forMs }
         }
     }
 
@@ -79,7 +79,7 @@
         set: (Boolean) -> Unit,
     ) {
         set(true)
-        world.after(fault.forMs) { set(false) }
+        time.after(fault.forMs) { set(false) }
     }
 
     /** Crashes the controllers that are up, and restarts them after the fault's duration. */
@@ -89,18 +89,18 @@
     ) {
         val running = nodes.filter { it.isUp }
         running.forEach { it.crash() }
-        world.after(fault.forMs) { running.filterNot { it.isUp }.forEach { it.start() } }
+        time.after(fault.forMs) { running.filterNot { it.isUp }.forEach { it.start() } }
     }
 
     private fun randomWorkers(fault: Fault): List<SimWorker> =
         simulation.cloud.workers
-            .shuffled(world.random)
+            .shuffled(time.random)
             .take(1 + fault.target % MAX_WORKERS)
 
     /** Cancels running jobs within 500 ms and returns the machines on which their tasks run. */
     private fun cancelRunning(fault: Fault): Set<SimWorker> {
-        val machinesByJob = drawRunning(simulation.cloud.workers, 1 + fault.target % MAX_JOBS, world.random)
-        for (id in machinesByJob.keys) world.after(world.between(0, 500)) { simulation.cancel(id) }
+        val machinesByJob = drawRunningJobs(simulation.cloud.workers, 1 + fault.target % MAX_JOBS, time.random)
+        for (id in machinesByJob.keys) time.after(time.between(0, 500)) { simulation.cancel(id) }
         return machinesByJob.values.flatten().toSet()
     }
 
--- a/src/test/kotlin/oxbowlug/sim/Simulation.kt
+++ b/src/test/kotlin/oxbowlug/sim/Simulation.kt
@@ -14,13 +14,13 @@
 import oxbowlug.record.Keys
 import oxbowlug.request.UserResponse
 import oxbowlug.standin.HeartbeatPacing
-import oxbowlug.standin.JobBook
-import oxbowlug.standin.Rules
+import oxbowlug.standin.SimJobs
+import oxbowlug.standin.InvariantChecker
 import oxbowlug.standin.SimCloud
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
-import oxbowlug.standin.names
+import oxbowlug.standin.VirtualTime
+import oxbowlug.standin.isAttemptStored
 import oxbowlug.wire.AttemptId
 import oxbowlug.wire.ClassName
 import oxbowlug.wire.ImageName
@@ -72,8 +72,8 @@
     seed: Long,
     private val policy: Policy = Policy(),
     private val parameters: SimulationParameters = SimulationParameters(),
-) : JobBook {
-    val world = World(seed)
+) : SimJobs {
+    val time = VirtualTime(seed)
     private val pacing = HeartbeatPacing.Fixed(parameters.heartbeatIntervalMs)
     val activeFaults = ActiveFaults()
     val zones = parameters.zones.map(::Zone)
@@ -82,17 +82,17 @@
             MachineType(TypeName("g8"), 64.0, 8.0, 256.0, 200.0, 2.0, 20.0, 8.0, 8.0, zones),
             MachineType(TypeName("c32"), 32.0, 0.0, 128.0, 35.0, 0.5, 1.2, 0.5, 5.0, zones),
         )
-    val store = SimStore(world, parameters.retainedChanges)
-    val cloud = SimCloud(world, types, parameters.capacity, LIST_LAG_MS, ::createWorker)
+    val store = SimStore(time, parameters.retainedChanges)
+    val cloud = SimCloud(time, types, parameters.capacity, LIST_LAG_MS, ::createWorker)
 
     /** Boot time of rented machines instead of their types' boot time; null for the types' boot time. */
     var bootMs: Long? by cloud::bootMs
-    val rules = Rules(world, parameters.teamLimits, CANCEL_DEADLINE_MS, store::names)
+    val checker = InvariantChecker(time, parameters.teamLimits, CANCEL_DEADLINE_MS, store::isAttemptStored)
     val progressChecks =
-        ProgressChecks(world, rules, { cloud.workers }, parameters.teamLimits, parameters.faultFreeFromMs)
+        ProgressChecks(time, checker, { cloud.workers }, parameters.teamLimits, parameters.faultFreeFromMs)
     val nodes: List<SimNode> =
         List(parameters.nodes) { index ->
-            SimNode(world, settings(index), store, cloud, activeFaults, ::workerAt, ::peers)
+            SimNode(time, settings(index), store, cloud, activeFaults, ::workerAt, ::peers)
         }
     private val runMs = HashMap<String, Long>()
     private var submittedCount = 0
@@ -102,18 +102,18 @@
             cloud.add(MachineId("host-9%05d".format(index)), types[0], zones[index % zones.size], false, 1000L)
         }
         var nextCheckAt = 0L
-        world.afterStep = {
-            if (world.nowMs >= nextCheckAt) {
-                nextCheckAt = world.nowMs + parameters.checkIntervalMs
-                rules.check(cloud.workers)
+        time.afterEvent = {
+            if (time.nowMs >= nextCheckAt) {
+                nextCheckAt = time.nowMs + parameters.checkIntervalMs
+                checker.check(cloud.workers)
             }
         }
-        for (node in nodes) world.after(world.between(0, 300)) { node.start() }
-        world.every(100) { replayHeldHeartbeats() }
-        world.every(1_000) { rules.checkStored(cloud.workers) }
+        for (node in nodes) time.after(time.between(0, 300)) { node.start() }
+        time.every(100) { replayHeldHeartbeats() }
+        time.every(1_000) { checker.checkStored(cloud.workers) }
         progressChecks.startPeriodicChecks()
         repeat(parameters.initialJobs) {
-            world.after(world.between(2_000, 6_000)) { submitNext() }
+            time.after(time.between(2_000, 6_000)) { submitNext() }
         }
     }
 
@@ -134,19 +134,19 @@
         type: MachineType,
         zone: Zone,
         spot: Boolean,
-    ) = SimWorker(world, this, { nodes }, id, type, zone, spot, parameters.leaseMs, pacing, ::injectDuplicates)
+    ) = SimWorker(time, this, { nodes }, id, type, zone, spot, parameters.leaseMs, pacing, ::injectDuplicates)
 
     /** Heartbeats to deliver again after the next change of leader. */
     private val heldHeartbeats = ArrayList<WorkerHeartbeat>()
     private var lastLeaderToken: Any? = null
 
     private fun injectDuplicates(heartbeat: WorkerHeartbeat) {
-        if (world.chance(activeFaults.duplicateHeartbeats)) {
-            world.after(world.between(2_000, parameters.leaseMs * 2)) {
-                nodes[world.random.nextInt(nodes.size)].receive(heartbeat) {}
+        if (time.chance(activeFaults.duplicateHeartbeats)) {
+            time.after(time.between(2_000, parameters.leaseMs * 2)) {
+                nodes[time.random.nextInt(nodes.size)].receive(heartbeat) {}
             }
         }
-        if (world.chance(activeFaults.heartbeatsForNextLeader)) heldHeartbeats.add(heartbeat)
+        if (time.chance(activeFaults.heartbeatsForNextLeader)) heldHeartbeats.add(heartbeat)
     }
 
     /** Delivers the held heartbeats to every controller, within 1 s of a change of leader. */
@@ -155,19 +155,19 @@
         if (currentToken == lastLeaderToken) return
         lastLeaderToken = currentToken
         for (heartbeat in heldHeartbeats) {
-            for (node in nodes) world.after(world.between(0, 1_000)) { node.receive(heartbeat) {} }
+            for (node in nodes) time.after(time.between(0, 1_000)) { node.receive(heartbeat) {} }
         }
         heldHeartbeats.clear()
     }
 
-    override fun spec(job: String): JobSpec? = rules.jobs[job]?.spec
+    override fun spec(job: String): JobSpec? = checker.jobs[job]?.spec
 
     override fun runMs(job: String): Long = runMs.getValue(job)
 
     override fun onStarted(
         machine: SimWorker,
         attempt: AttemptId,
-    ) = rules.started(machine, attempt)
+    ) = checker.started(machine, attempt)
 
     /**
      * Probability that a user cancels a job within 400 ms of the completion of one of its tasks. With the last task the
@@ -179,10 +179,10 @@
     var onTaskDone: () -> Unit = {}
 
     override fun onDone(attempt: AttemptId) {
-        rules.done(attempt)
+        checker.done(attempt)
         onTaskDone()
         val id = attempt.task.job.value
-        if (world.chance(cancelAtTaskEndProbability)) world.after(world.between(0, 400)) { cancel(id) }
+        if (time.chance(cancelAtTaskEndProbability)) time.after(time.between(0, 400)) { cancel(id) }
     }
 
     private fun settings(index: Int) =
@@ -198,7 +198,7 @@
             cloudAddress = Address("127.0.0.1", 8443),
             stateAddress = Address("127.0.0.1", 2379),
             zones = zones,
-            skewMs = 100.0,
+            maxClockSkewMs = 100.0,
             teams =
                 parameters.teamLimits
                     .map { (name, limit) ->
@@ -230,8 +230,8 @@
         everyMs: Long,
         untilMs: Long,
     ) {
-        world.after(world.between(everyMs / 2, everyMs * 3 / 2)) {
-            if (world.nowMs < untilMs) {
+        time.after(time.between(everyMs / 2, everyMs * 3 / 2)) {
+            if (time.nowMs < untilMs) {
                 submitNext()
                 submitRandomJobs(everyMs, untilMs)
             }
@@ -251,8 +251,8 @@
         untilMs: Long,
         cancelProbability: Double = 0.2,
     ) {
-        world.after(world.between(everyMs / 2, everyMs * 3 / 2)) {
-            if (world.nowMs < untilMs) {
+        time.after(time.between(everyMs / 2, everyMs * 3 / 2)) {
+            if (time.nowMs < untilMs) {
                 submitPipeline("pipe-%04d".format(pipelineCount++), cancelProbability)
                 submitPipelines(everyMs, untilMs, cancelProbability)
             }
@@ -269,11 +269,11 @@
         val stages = listOf(first) + second + last
         submit(first)
         for (next in second) submitAfterDependencies(next)
-        if (world.chance(0.2)) world.after(30_000) { submitAfterDependencies(last) } else submitAfterDependencies(last)
-        if (world.chance(cancelProbability)) {
-            val cancelledJob = stages[world.random.nextInt(stages.size)].id.value
-            world.after(world.between(500, 25_000)) {
-                if (rules.jobs[cancelledJob]?.accepted == true) cancel(cancelledJob)
+        if (time.chance(0.2)) time.after(30_000) { submitAfterDependencies(last) } else submitAfterDependencies(last)
+        if (time.chance(cancelProbability)) {
+            val cancelledJob = stages[time.random.nextInt(stages.size)].id.value
+            time.after(time.between(500, 25_000)) {
+                if (checker.jobs[cancelledJob]?.accepted == true) cancel(cancelledJob)
             }
         }
     }
@@ -290,7 +290,7 @@
             className = ClassName("stage"),
             kind = JobKind.ARRAY,
             priority = Priority.LOW,
-            tasks = 1 + world.random.nextInt(12),
+            tasks = 1 + time.random.nextInt(12),
             cores = 16.0,
             gpus = 0.0,
             types = null,
@@ -298,19 +298,19 @@
             spread = false,
             oneZone = false,
             spot = true,
-            estimateS = 4.0,
+            runEstimateS = 4.0,
             deadlineS = null,
             dependsOn = dependencies.map { it.id },
         )
 
     private fun submitAfterDependencies(spec: JobSpec) {
         if (spec.dependsOn.all {
-                rules.jobs[it.value]?.accepted == true
+                checker.jobs[it.value]?.accepted == true
             }
         ) {
             submit(spec)
         } else {
-            world.after(50) { submitAfterDependencies(spec) }
+            time.after(50) { submitAfterDependencies(spec) }
         }
     }
 
@@ -318,58 +318,58 @@
 
     fun submit(
         spec: JobSpec,
-        taskMs: Long = world.between(2_000, 15_000),
+        taskMs: Long = time.between(2_000, 15_000),
     ) {
         val id = spec.id.value
-        rules.jobs[id] = Rules.Known(spec)
+        checker.jobs[id] = InvariantChecker.Known(spec)
         runMs[id] = taskMs
         trySubmit(spec)
         if (spec.kind == JobKind.SERVICE) {
-            world.after(
-                world.between(parameters.serviceDurationMs.first, parameters.serviceDurationMs.last),
+            time.after(
+                time.between(parameters.serviceDurationMs.first, parameters.serviceDurationMs.last),
             ) { cancel(id) }
         }
     }
 
     private fun trySubmit(spec: JobSpec) {
         val id = spec.id.value
-        val requestedAtMs = world.nowMs
+        val requestedAtMs = time.nowMs
         sendRequest({ answer -> ControllerEvent.Submit(spec, answer) }) { answer ->
-            if (answer != null) rules.told(id, answer, requestedAtMs)
+            if (answer != null) checker.observed(id, answer, requestedAtMs)
             if (answer is UserResponse.Accepted || answer is UserResponse.Known) sendFollowUps(spec)
             when (answer) {
                 is UserResponse.Accepted, is UserResponse.Known -> poll(id)
-                else -> world.after(1000) { trySubmit(spec) }
+                else -> time.after(1000) { trySubmit(spec) }
             }
         }
     }
 
     private fun poll(id: String) {
-        world.after(world.between(1500, 2500)) {
-            val requestedAtMs = world.nowMs
+        time.after(time.between(1500, 2500)) {
+            val requestedAtMs = time.nowMs
             sendRequest({ answer -> ControllerEvent.Poll(JobId(id), answer) }) { answer ->
-                if (answer != null) rules.told(id, answer, requestedAtMs)
-                val state = rules.jobs.getValue(id).told
+                if (answer != null) checker.observed(id, answer, requestedAtMs)
+                val state = checker.jobs.getValue(id).observed
                 val isFinal = state == oxbowlug.wire.JobState.DONE || state == oxbowlug.wire.JobState.CANCELLED
-                if (isFinal) rules.jobs[id]?.let { sendFollowUps(it.spec) }
+                if (isFinal) checker.jobs[id]?.let { sendFollowUps(it.spec) }
                 // With probability 0.5 the user polls a finished job again 20 s later.
                 if (!isFinal) {
                     poll(id)
-                } else if (world.chance(0.5)) {
-                    world.after(20_000) { poll(id) }
+                } else if (time.chance(0.5)) {
+                    time.after(20_000) { poll(id) }
                 }
             }
         }
     }
 
     fun cancel(id: String) {
-        val job = rules.jobs.getValue(id)
-        job.askedToCancel = true
-        val requestedAtMs = world.nowMs
+        val job = checker.jobs.getValue(id)
+        job.cancelRequested = true
+        val requestedAtMs = time.nowMs
         sendRequest({ answer -> ControllerEvent.Cancel(JobId(id), answer) }) { answer ->
-            if (answer != null) rules.told(id, answer, requestedAtMs)
+            if (answer != null) checker.observed(id, answer, requestedAtMs)
             if (answer is UserResponse.Known) sendFollowUps(job.spec)
-            if (answer !is UserResponse.Known && job.accepted) world.after(1000) { cancel(id) }
+            if (answer !is UserResponse.Known && job.accepted) time.after(1000) { cancel(id) }
         }
     }
 
@@ -379,10 +379,10 @@
         id: String,
         onAnswered: () -> Unit = {},
     ) {
-        rules.jobs.getValue(id).askedToCancel = true
-        val requestedAtMs = world.nowMs
+        checker.jobs.getValue(id).cancelRequested = true
+        val requestedAtMs = time.nowMs
         val onResponse: (UserResponse) -> Unit = {
-            rules.told(id, it, requestedAtMs)
+            checker.observed(id, it, requestedAtMs)
             onAnswered()
         }
         node.sendRequest(ControllerEvent.Cancel(JobId(id), onResponse))
@@ -407,15 +407,15 @@
     var followUpProbability = 0.0
 
     private fun sendFollowUps(spec: JobSpec) {
-        if (!world.chance(followUpProbability)) return
+        if (!time.chance(followUpProbability)) return
         val id = spec.id.value
         repeat(3) { round ->
             for (node in nodes) {
-                world.after(world.between(0, 30) + round * 40L) {
-                    val requestedAtMs = world.nowMs
-                    val onResponse: (UserResponse) -> Unit = { rules.told(id, it, requestedAtMs) }
+                time.after(time.between(0, 30) + round * 40L) {
+                    val requestedAtMs = time.nowMs
+                    val onResponse: (UserResponse) -> Unit = { checker.observed(id, it, requestedAtMs) }
                     node.sendRequest(
-                        if (world.chance(
+                        if (time.chance(
                                 0.7,
                             )
                         ) {
@@ -427,7 +427,7 @@
                 }
             }
         }
-        if (world.chance(0.1)) cancel(id)
+        if (time.chance(0.1)) cancel(id)
     }
 
     /** Sends a request to a random reachable controller; [onResponse] gets null after 5 s without a response. */
@@ -440,40 +440,40 @@
         val reply: (UserResponse?) -> Unit = { answer ->
             if (!answered) {
                 answered = true
-                userTrace?.userResponse(world.nowMs, answer)
+                userTrace?.userResponse(time.nowMs, answer)
                 onResponse(answer)
             }
         }
-        if (up.isNotEmpty()) up[world.random.nextInt(up.size)].sendRequest(command { reply(it) })
-        world.after(5000) { reply(null) }
+        if (up.isNotEmpty()) up[time.random.nextInt(up.size)].sendRequest(command { reply(it) })
+        time.after(5000) { reply(null) }
     }
 
     fun randomSpec(id: String): JobSpec {
-        val isService = world.chance(0.5)
-        val needsGpu = world.chance(0.7)
+        val isService = time.chance(0.5)
+        val needsGpu = time.chance(0.7)
         return JobSpec(
             id = JobId(id),
             className = ClassName(if (isService) "serving" else "nightly"),
-            team = TeamName(if (world.chance(0.5)) "red" else "blue"),
+            team = TeamName(if (time.chance(0.5)) "red" else "blue"),
             kind = if (isService) JobKind.SERVICE else JobKind.ARRAY,
-            priority = if (isService) Priority.entries[world.random.nextInt(2)] else Priority.NORMAL,
-            tasks = 1 + world.random.nextInt(if (isService) parameters.maxServiceTasks else parameters.maxArrayTasks),
+            priority = if (isService) Priority.entries[time.random.nextInt(2)] else Priority.NORMAL,
+            tasks = 1 + time.random.nextInt(if (isService) parameters.maxServiceTasks else parameters.maxArrayTasks),
             cores = 4.0,
-            gpus = if (needsGpu) 1.0 + world.random.nextInt(2) else 0.0,
+            gpus = if (needsGpu) 1.0 + time.random.nextInt(2) else 0.0,
             memoryGb = 16.0,
-            image = ImageName("img-${world.random.nextInt(4)}"),
+            image = ImageName("img-${time.random.nextInt(4)}"),
             imageGb = 2.0,
-            types = if (world.chance(0.3)) listOf(TypeName("g8")) else null,
-            zone = if (world.chance(0.1)) zones[world.random.nextInt(zones.size)] else null,
+            types = if (time.chance(0.3)) listOf(TypeName("g8")) else null,
+            zone = if (time.chance(0.1)) zones[time.random.nextInt(zones.size)] else null,
             oneZone = false,
             spread = false,
             spot = !isService,
-            estimateS = if (isService) 0.0 else 8.0,
+            runEstimateS = if (isService) 0.0 else 8.0,
             checkpointS = if (isService) 0.0 else 3.0,
             saveS = if (isService) 0.0 else 1.0,
             deadlineS = if (isService) null else 60.0,
         ).let { spec ->
-            when (world.random.nextInt(4)) {
+            when (time.random.nextInt(4)) {
                 0 -> spec.copy(spread = true, zone = null)
                 1 -> spec.copy(oneZone = true)
                 else -> spec
@@ -481,9 +481,9 @@
         }
     }
 
-    fun randomWorker(): SimWorker? = cloud.workers.takeIf { it.isNotEmpty() }?.let { it[world.random.nextInt(it.size)] }
+    fun randomWorker(): SimWorker? = cloud.workers.takeIf { it.isNotEmpty() }?.let { it[time.random.nextInt(it.size)] }
 
-    fun run(untilMs: Long) = world.runUntil(untilMs)
+    fun run(untilMs: Long) = time.runUntil(untilMs)
 
     companion object {
         const val CANCEL_DEADLINE_MS = 30_000L
