--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -30,13 +30,13 @@
             day.submitRandomJobs(everyMs = 2500, untilMs = 90_000)
             trouble.cause(day)
             var unknown: UserResponse? = null
-            day.world.after(200_000) { day.pollOnce("run-999999") { unknown = it } }
+            day.time.after(200_000) { day.pollOnce("run-999999") { unknown = it } }
             day.run(260_000)
-            assertEquals(emptyList<String>(), day.rules.broken.take(5), "$trouble, seed $seed")
-            assertTrue(day.rules.starts > 20, "$trouble, seed $seed: only ${day.rules.starts} starts")
-            assertEquals(emptyList<String>(), day.progressChecks.broken.take(5), "$trouble, seed $seed")
+            assertEquals(emptyList<String>(), day.checker.ruleViolations.take(5), "$trouble, seed $seed")
+            assertTrue(day.checker.starts > 20, "$trouble, seed $seed: only ${day.checker.starts} starts")
+            assertEquals(emptyList<String>(), day.progressChecks.ruleViolations.take(5), "$trouble, seed $seed")
             assertEquals(emptyList<String>(), day.progressChecks.underservedGroups(), "$trouble, seed $seed")
-            assertEquals(emptyList<String>(), day.rules.unfinished(), "$trouble, seed $seed: not served")
+            assertEquals(emptyList<String>(), day.checker.unfinished(), "$trouble, seed $seed: not served")
             assertEquals(UserResponse.NotFound, unknown, "$trouble, seed $seed: a job nobody submitted")
         }
     }
@@ -51,7 +51,7 @@
         val report =
             day.cloud.workers
                 .first()
-                .sent
+                .recentHeartbeats
                 .last()
         var answer: HeartbeatResponse? = null
         day.nodes[0].start()
@@ -81,7 +81,7 @@
             fun running() =
                 day.cloud.workers
                     .filter { it.zone == isolated }
-                    .flatMap { it.onMachine() }
+                    .flatMap { it.runningTasks() }
                     .filter { day.spec(it.attempt.task.job.value)?.kind == JobKind.SERVICE }
                     .map { it.attempt }
                     .toSet()
@@ -93,8 +93,8 @@
             assertEquals(emptySet<AttemptId>(), before - running(), "seed $seed: ended in the cut")
             day.activeFaults.isolatedZones.clear()
             day.run(200_000)
-            assertEquals(emptyList<String>(), day.rules.broken.take(5), "seed $seed")
-            assertEquals(emptyList<String>(), day.rules.unfinished(), "seed $seed: not served")
+            assertEquals(emptyList<String>(), day.checker.ruleViolations.take(5), "seed $seed")
+            assertEquals(emptyList<String>(), day.checker.unfinished(), "seed $seed: not served")
         }
     }
 
@@ -104,7 +104,7 @@
         private fun Simulation.at(
             ms: Long,
             action: Simulation.() -> Unit,
-        ) = world.after(ms) { action() }
+        ) = time.after(ms) { action() }
 
         private fun Simulation.crash(
             index: Int,
@@ -127,7 +127,7 @@
             val node = nodes[leaderIndex()]
             if (node.isUp) {
                 node.crash()
-                world.after(forMs) { node.start() }
+                time.after(forMs) { node.start() }
             }
         }
 
@@ -183,7 +183,7 @@
             forMs: Long,
         ) = at(atMs) {
             cloud.workers
-                .shuffled(world.random)
+                .shuffled(time.random)
                 .take(count)
                 .forEach { it.unresponsiveUntil = atMs + forMs }
         }
@@ -194,9 +194,9 @@
             forMs: Long,
         ) = at(atMs) {
             cloud.workers
-                .shuffled(world.random)
+                .shuffled(time.random)
                 .take(count)
-                .forEach { it.muteUntil = atMs + forMs }
+                .forEach { it.heartbeatsLostUntil = atMs + forMs }
         }
 
         /** Users call off as many jobs that run at once; their machines may hang that long. */
@@ -207,10 +207,10 @@
         ) = at(atMs) {
             val running =
                 cloud.workers.flatMap { worker ->
-                    worker.onMachine().map { it.attempt.task.job.value to worker }
+                    worker.runningTasks().map { it.attempt.task.job.value to worker }
                 }
             val called = running.map { it.first }.distinct().take(count)
-            for (id in called) world.after(world.between(0, 200)) { cancel(id) }
+            for (id in called) time.after(time.between(0, 200)) { cancel(id) }
             if (hangMs > 0) running.filter { it.first in called }.forEach { it.second.hungUntil = atMs + hangMs }
         }
 
@@ -223,7 +223,7 @@
                 at(atMs + index * 250) {
                     val spec = randomSpec("small-%06d".format(index)).copy(tasks = 1, spread = false, gpus = 1.0)
                     submit(spec)
-                    if (index % 4 == 0L) world.after(world.between(200, 6_000)) { cancel(spec.id.value) }
+                    if (index % 4 == 0L) time.after(time.between(200, 6_000)) { cancel(spec.id.value) }
                 }
             }
         }
@@ -235,7 +235,7 @@
             val node = nodes[leaderIndex()]
             node.withoutState = true
             node.withoutPeers = true
-            world.after(forMs) {
+            time.after(forMs) {
                 node.withoutState = false
                 node.withoutPeers = false
             }
@@ -247,7 +247,7 @@
             forMs: Long,
         ) = at(atMs) {
             activeFaults.isolatedZones.add(zones[index])
-            world.after(forMs) { activeFaults.isolatedZones.remove(zones[index]) }
+            time.after(forMs) { activeFaults.isolatedZones.remove(zones[index]) }
         }
 
         private fun Simulation.hang(
@@ -278,23 +278,23 @@
                     day.at(30_000) {
                         val node = nodes[leaderIndex()]
                         node.withoutState = true
-                        world.after(25_000) { node.withoutState = false }
+                        time.after(25_000) { node.withoutState = false }
                     }
                 },
                 Trouble("the leader is cut off") { day ->
                     day.at(30_000) {
                         val node = nodes[leaderIndex()]
                         node.isolated = true
-                        world.after(25_000) { node.isolated = false }
+                        time.after(25_000) { node.isolated = false }
                     }
                 },
                 Trouble("the leader loses its workers alone") { day ->
                     day.at(30_000) {
                         val node = nodes[leaderIndex()]
                         node.withoutWorkers = true
-                        world.after(25_000) { node.withoutWorkers = false }
+                        time.after(25_000) { node.withoutWorkers = false }
                         // Before the workers' leases are over another one answers them.
-                        world.after(8_000) { check(nodes[leaderIndex()] !== node) { "still led by the one cut off" } }
+                        time.after(8_000) { check(nodes[leaderIndex()] !== node) { "still led by the one cut off" } }
                     }
                 },
                 Trouble("a zone is cut off") { day -> day.cutZone(1, 30_000, 25_000) },
@@ -332,8 +332,8 @@
                     repeat(60) { index ->
                         day.at(20_000L + index * 1500) {
                             val worker = randomWorker()
-                            val copy = worker?.sent?.firstOrNull()
-                            if (copy != null) nodes[world.random.nextInt(3)].receive(copy) {}
+                            val copy = worker?.recentHeartbeats?.firstOrNull()
+                            if (copy != null) nodes[time.random.nextInt(3)].receive(copy) {}
                         }
                     }
                 },
--- a/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/UnobservedIncarnationTest.kt
@@ -27,7 +27,7 @@
         private fun at(
             ms: Long,
             action: () -> Unit,
-        ) = simulation.world.after(ms - simulation.world.nowMs, action)
+        ) = simulation.time.after(ms - simulation.time.nowMs, action)
 
         /** Long tasks in both zones; an array's machine isn't given back early for its silence. */
         private fun submitSpread(
@@ -46,7 +46,7 @@
                 oneZone = false,
                 spread = true,
                 spot = false,
-                estimateS = TASK_MS / 1000.0,
+                runEstimateS = TASK_MS / 1000.0,
                 checkpointS = 0.0,
             ),
             TASK_MS,
@@ -58,9 +58,9 @@
             worker = simulation.cloud.workers.first()
             // Its reports arrive and are answered; it hears nothing until its incarnation is over, and then reports
             // nothing.
-            val over = worker.leaseFrom + LEASE_MS + WORKER_TICK_MS
+            val over = worker.leaseStartedAt + LEASE_MS + WORKER_TICK_MS
             worker.unresponsiveUntil = over
-            at(over - MUTE_BEFORE_MS) { worker.muteUntil = over + LEASE_MS - BACK_BEFORE_MS }
+            at(over - MUTE_BEFORE_MS) { worker.heartbeatsLostUntil = over + LEASE_MS - BACK_BEFORE_MS }
             // The first start is refused, which shows the new incarnation; with the second, all are executed there.
             at(over + FIRST_JOB_MS) { submitSpread("first", FIRST_GPUS) }
             at(over + SECOND_JOB_MS) { submitSpread("second", SECOND_GPUS) }
@@ -91,11 +91,11 @@
         }
     }
 
-    private fun broken(rule: String): List<String> =
+    private fun ruleViolations(rule: String): List<String> =
         SEEDS.flatMap { seed ->
             val day = Day(seed)
             day.play()
-            day.simulation.rules.broken
+            day.simulation.checker.ruleViolations
                 .filter { rule in it }
                 .take(1)
                 .map { "seed $seed: $it" }
@@ -103,11 +103,11 @@
 
     @Test
     fun `what was started in a incarnation that hasn't reported isn't started elsewhere`() =
-        assertEquals(emptyList<String>(), broken("ran_twice"))
+        assertEquals(emptyList<String>(), ruleViolations("ran_twice"))
 
     @Test
     fun `what was started in a incarnation that hasn't reported ends when it is cancelled`() =
-        assertEquals(emptyList<String>(), broken("ran_cancelled"))
+        assertEquals(emptyList<String>(), ruleViolations("ran_cancelled"))
 
     private companion object {
         /** Not each of them brings the meeting about: reports are a second apart, and the moments are few. */
--- a/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
+++ b/src/test/kotlin/oxbowlug/standin/HeartbeatPacingTest.kt
@@ -20,7 +20,7 @@
 
 /** A worker that reports as the protocol has it. */
 internal class HeartbeatPacingTest {
-    private val world = World(7)
+    private val time = VirtualTime(7)
     private val zone = Zone("a")
     private val type = MachineType(TypeName("c"), 64.0, 0.0, 256.0, 200.0, 1.0, 3.0, 1.0, 8.0, listOf(zone))
     private val spec: JobSpec =
@@ -28,7 +28,7 @@
     private val targets = listOf(Controller("n0"), Controller("n1"))
     private val worker =
         SimWorker(
-            world,
+            time,
             Book(),
             { targets },
             MachineId("host-000001"),
@@ -36,7 +36,7 @@
             zone,
             false,
             LEASE_MS,
-            HeartbeatPacing.AsPublished(INTERVAL_MS),
+            HeartbeatPacing.Protocol(INTERVAL_MS),
         )
 
     private inner class Controller(
@@ -47,15 +47,15 @@
         val at = ArrayList<Long>()
 
         override fun receive(
-            report: WorkerHeartbeat,
+            workerHeartbeat: WorkerHeartbeat,
             answer: (HeartbeatResponse?) -> Unit,
         ) {
-            at.add(world.nowMs)
+            at.add(time.nowMs)
             if (!isSilent) answer(this.answer)
         }
     }
 
-    private inner class Book : JobBook {
+    private inner class Book : SimJobs {
         override fun spec(job: String): JobSpec = spec
 
         override fun runMs(job: String): Long = 700
@@ -73,7 +73,7 @@
     @Test
     fun `with nothing new it reports each interval, give or take a quarter`() {
         worker.boot()
-        world.advanceTo(60_000)
+        time.advanceTo(60_000)
         val gaps = gaps(targets[0].at).drop(2)
         val slack = 130
         assertTrue(gaps.all { it in INTERVAL_MS * 3 / 4..INTERVAL_MS * 5 / 4 + slack }, "$gaps")
@@ -83,13 +83,13 @@
     @Test
     fun `changes are reported within half a second and not more often`() {
         worker.boot()
-        world.advanceTo(10_000)
+        time.advanceTo(10_000)
         val before = targets[0].at.size
         val starts = (0 until 8).map { WorkerCommand.Start(AttemptId(TaskId(JobId("run-1"), it), 1)) }
         for ((index, start) in starts.withIndex()) {
-            world.after(index * 100L) { worker.direct(FencingToken(1), 1, listOf(start)) { _, _ -> } }
+            time.after(index * 100L) { worker.direct(FencingToken(1), 1, listOf(start)) { _, _ -> } }
         }
-        world.advanceTo(13_000)
+        time.advanceTo(13_000)
         val gaps = gaps(targets[0].at.drop(before))
         assertTrue(gaps.isNotEmpty() && gaps.all { it >= 500 }, "$gaps")
         assertTrue(gaps.first() <= 650, "$gaps")
@@ -99,12 +99,12 @@
     fun `a redirect is followed within half a second, and any other failure after a second`() {
         targets[0].answer = HeartbeatResponse.Redirect("n1")
         worker.boot()
-        world.advanceTo(1_000)
+        time.advanceTo(1_000)
         assertEquals(1, targets[0].at.size)
         assertTrue(targets[1].at.first() - targets[0].at.first() <= 620, "${targets[1].at}")
         targets[1].answer = HeartbeatResponse.Unavailable
         targets[0].answer = HeartbeatResponse.Unavailable
-        world.advanceTo(20_000)
+        time.advanceTo(20_000)
         val all = (targets[0].at + targets[1].at).sorted().filter { it > 5_000 }
         assertTrue(gaps(all).all { it in 1_000..1_130 }, "${gaps(all)}")
     }
@@ -112,9 +112,9 @@
     @Test
     fun `a silent controller is left after four seconds and one more`() {
         worker.boot()
-        world.advanceTo(5_000)
+        time.advanceTo(5_000)
         targets[0].isSilent = true
-        world.advanceTo(20_000)
+        time.advanceTo(20_000)
         val last = targets[0].at.last()
         val next = targets[1].at.first { it > last }
         assertTrue(next - last in 5_000..5_200, "${next - last} ms")
@@ -123,11 +123,11 @@
     @Test
     fun `without renewal its tasks end with the lease and a new incarnation begins`() {
         worker.boot()
-        world.advanceTo(3_000)
+        time.advanceTo(3_000)
         val start = WorkerCommand.Start(AttemptId(TaskId(JobId("run-1"), 0), 1))
         worker.direct(FencingToken(1), 1, listOf(start)) { _, _ -> }
         for (target in targets) target.isSilent = true
-        world.advanceTo(3_000 + LEASE_MS + 500)
+        time.advanceTo(3_000 + LEASE_MS + 500)
         assertEquals(0, worker.tasks.size)
         assertEquals(2, worker.account().incarnation)
     }
--- a/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
+++ b/src/test/kotlin/oxbowlug/testing/TestDoubles.kt
@@ -10,7 +10,7 @@
 import oxbowlug.port.Invariant
 import oxbowlug.port.Meters
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.WritableFormat
 import oxbowlug.standin.SimStore
@@ -19,7 +19,7 @@
 import oxbowlug.wire.Transaction
 
 /** Whoever tests a copy of the store without anything that depends on it. */
-internal object IgnoringListener : StateCacheListener {
+internal object NoOpStateCacheListener : StateCacheListener {
     override fun onMembershipRead() = Unit
 
     override fun onLeaderChanged(leadership: LeadershipRecord) = Unit
@@ -56,20 +56,20 @@
 
 /** A violated invariant fails the test. */
 internal object FailingMeters : Meters {
-    override fun planned(
+    override fun recordPlan(
         nanos: Long,
         priced: Int,
     ) = Unit
 
-    override fun stepped(nanos: Long) = Unit
+    override fun recordStep(nanos: Long) = Unit
 
-    override fun waited(millis: Long) = Unit
+    override fun recordQueueDelay(millis: Long) = Unit
 
-    override fun committed(millis: Long) = Unit
+    override fun recordCommit(millis: Long) = Unit
 
-    override fun refused(reason: String) = Unit
+    override fun recordRefusal(reason: String) = Unit
 
-    override fun violated(invariant: Invariant): Nothing = throw AssertionError("${invariant.label} is violated")
+    override fun recordViolation(invariant: Invariant): Nothing = throw AssertionError("${invariant.label} is violated")
 }
 
 internal val failingInvariants = Invariants(permissiveContext, FailingMeters)
@@ -98,17 +98,17 @@
         if (waitMs == 0L) done(store.changes(prefix, from))
     }
 
-    override fun grant(
-        lifeMs: Long,
+    override fun grantLease(
+        ttlMs: Long,
         done: (Long?) -> Unit,
     ) = Unit
 
-    override fun touch(
+    override fun keepLeaseAlive(
         lease: Long,
-        done: (TouchOutcome) -> Unit,
+        done: (LeaseRenewalOutcome) -> Unit,
     ) = Unit
 
-    override fun release(lease: Long) = Unit
+    override fun revokeLease(lease: Long) = Unit
 
     private companion object {
         const val PAGE = 1000
--- a/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
+++ b/src/test/kotlin/oxbowlug/wire/WireBytesTest.kt
@@ -14,8 +14,8 @@
 import oxbowlug.config.Address
 import oxbowlug.config.WriteLimits
 import oxbowlug.http.HttpCaller
-import oxbowlug.peer.PeerFrames
-import oxbowlug.port.Acknowledgement
+import oxbowlug.peer.PeerFrameCodec
+import oxbowlug.port.CancellationAcknowledgement
 import oxbowlug.port.Cancellation
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.HeartbeatEcho
@@ -75,13 +75,13 @@
             mapOf(
                 "head" to form.head,
                 "format" to DataFormat.encode(DataFormat.NEWEST),
-                "transaction" to StoreCodec.encode(transaction),
-                "report answer" to WorkerCodec.encodeAnswer(FencingToken(9), commands),
-                "direct command" to WorkerCodec.encodeDirect(FencingToken(9), 4, commands),
-                "redirect" to AnswerCodec.redirect("n1"),
-                "accepted" to AnswerCodec.accepted(view),
-                "polled" to AnswerCodec.polled(view),
-                "problem" to AnswerCodec.problem("a field is missing"),
+                "transaction" to StateCodec.encode(transaction),
+                "report answer" to WorkerCodec.encodeResponse(FencingToken(9), commands),
+                "direct command" to WorkerCodec.encodeDirectCommands(FencingToken(9), 4, commands),
+                "redirect" to ResponseCodec.redirect("n1"),
+                "accepted" to ResponseCodec.accepted(view),
+                "polled" to ResponseCodec.polled(view),
+                "problem" to ResponseCodec.problem("a field is missing"),
                 "keys" to
                     mapOf(
                         "all" to Keys.ROOT,
@@ -90,7 +90,7 @@
                         "view" to Keys.LEADERSHIP,
                         "member" to Keys.member(Member("n0", "x1")),
                         "delegates" to Keys.DELEGATES,
-                        "format" to Keys.FORMAT,
+                        "format" to Keys.FORMAT_MARKER,
                         "reads" to Keys.format("n0"),
                     ),
             )
@@ -116,23 +116,23 @@
                 self,
                 7,
                 leader,
-                seesState = true,
-                atMs = 41,
+                reachesState = true,
+                sendTimeMs = 41,
                 echo = HeartbeatEcho(leader, 40, 3),
-                hasUnacknowledged = true,
-                mayConfirm = true,
+                hasUnacknowledgedCancellations = true,
+                mayConfirmCancellations = true,
             )
         val cancelled = CancellationNotice.Cancelled(self, Cancellation(JobId("run-1"), 9, record.encode()))
         val known =
             CancellationNotice.Acknowledged(
                 self,
-                listOf(Acknowledgement(JobId("run-1"), isTerminationProven = true)),
+                listOf(CancellationAcknowledgement(JobId("run-1"), isTerminationProven = true)),
             )
         return mapOf(
-            "frame heartbeat" to PeerFrames.encode(heartbeat),
-            "frame cancelled" to PeerFrames.encode(cancelled),
-            "frame acknowledged" to PeerFrames.encode(known),
-            "frame images" to PeerFrames.encode(mapOf(MachineId("host-1") to listOf(ImageName("img-1")))),
+            "frame heartbeat" to PeerFrameCodec.encode(heartbeat),
+            "frame cancelled" to PeerFrameCodec.encode(cancelled),
+            "frame acknowledged" to PeerFrameCodec.encode(known),
+            "frame images" to PeerFrameCodec.encode(mapOf(MachineId("host-1") to listOf(ImageName("img-1")))),
         ).mapValues { (_, frame) -> frame.readByteArray() }
     }
 
@@ -173,10 +173,10 @@
     ) {
         val scope = CoroutineScope(vertx.dispatcher())
         val http = HttpCaller(vertx, 1)
-        val settle: (() -> Unit) -> Unit = { it() }
-        val state = StateClient(address, http, scope, CALL_MS, settle)
-        val cloud = CloudClient(address, http, scope, CALL_MS, settle)
-        val workers = WorkerClient(http, scope, CALL_MS, settle)
+        val runOnEventLoop: (() -> Unit) -> Unit = { it() }
+        val state = StateClient(address, http, scope, CALL_MS, runOnEventLoop)
+        val cloud = CloudClient(address, http, scope, CALL_MS, runOnEventLoop)
+        val workers = WorkerClient(http, scope, CALL_MS, runOnEventLoop)
         val rental = RentalRequest("n0-x-1", TypeName("g8"), Zone("a"), spot = true, count = 2)
         val transaction = Transaction(emptyList(), listOf(Change.Delete("ox/c")))
         val calls =
@@ -186,8 +186,8 @@
                 { done -> state.readPage("ox/", "ox/j/run-1") { done() } },
                 { done -> state.changes("ox/", 7, 0) { done() } },
                 { done -> state.changes("ox/", 7, 250) { done() } },
-                { done -> state.grant(3_000) { done() } },
-                { done -> state.touch(5) { done() } },
+                { done -> state.grantLease(3_000) { done() } },
+                { done -> state.keepLeaseAlive(5) { done() } },
                 { done -> cloud.types { done() } },
                 { done -> cloud.rent(rental) { done() } },
                 { done -> cloud.releaseMachines(listOf(MachineId("host-1"))) { done() } },
@@ -195,8 +195,8 @@
                 { done -> workers.status(address) { done() } },
                 { done -> workers.command(address, FencingToken(9), 4, commands) { done() } },
                 { done ->
-                    state.release(5)
-                    state.touch(6) { done() }
+                    state.revokeLease(5)
+                    state.keepLeaseAlive(6) { done() }
                 },
             )
         for (call in calls) {
