--- a/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/CancellationInOutageTest.kt
@@ -33,7 +33,13 @@
         val simulation =
             Simulation(
                 seed,
-                shape = Shape(nodes = 5, machinesUp = 12, jobsAtStart = 40, serviceMs = SERVICE_DURATION_MS),
+                parameters =
+                    SimulationParameters(
+                        nodes = 5,
+                        initialMachines = 12,
+                        initialJobs = 40,
+                        serviceDurationMs = SERVICE_DURATION_MS,
+                    ),
             )
 
         /** The leader at the start, which is then cut off from the state service. */
@@ -110,7 +116,7 @@
             cutLeaderFromState(14_000)
             case.setUp(this)
             if (case.cancelsJobs) {
-                at(500) { cancelledJobs.forEach { simulation.cancelAt(confirmer, it, ::onCancellationAnswered) } }
+                at(500) { cancelledJobs.forEach { simulation.cancelThrough(confirmer, it, ::onCancellationAnswered) } }
             }
             at(2_000) { simulation.store.down = true }
             simulation.run(LEADER_CUT_OFF_AT_MS + 2_000)
@@ -122,7 +128,11 @@
                     cancelledJobs.flatMap(::machinesOf),
                     "${case.name}: tasks of cancelled jobs still run",
                 )
-                assertEquals(returnedBefore, simulation.cloud.busyMachinesReturned, "${case.name}: busy machines were returned")
+                assertEquals(
+                    returnedBefore,
+                    simulation.cloud.busyMachinesReturned,
+                    "${case.name}: busy machines were returned",
+                )
             }
             val runningBefore =
                 runningAttempts()
@@ -197,8 +207,8 @@
                 },
                 Case("the leader's zone is cut off, without cancellations", cancelsJobs = false) {
                     leader.withoutState = false
-                    at(2_500) { simulation.weather.cutZones.add(leader.zone) }
-                    at(47_000) { simulation.weather.cutZones.clear() }
+                    at(2_500) { simulation.activeFaults.isolatedZones.add(leader.zone) }
+                    at(47_000) { simulation.activeFaults.isolatedZones.clear() }
                 },
                 Case(
                     "the leader's zone is cut off, and its jobs are cancelled through the other zone",
@@ -207,8 +217,8 @@
                     leader.withoutState = false
                     confirmer = simulation.nodes.first { it.zone != leader.zone }
                     serviceJobs = serviceJobs.filter { job -> machinesOf(job).any { it.zone == leader.zone } }
-                    simulation.weather.cutZones.add(leader.zone)
-                    at(50_000) { simulation.weather.cutZones.clear() }
+                    simulation.activeFaults.isolatedZones.add(leader.zone)
+                    at(50_000) { simulation.activeFaults.isolatedZones.clear() }
                 },
                 Case("the old leader crashes, and a delegate renews leases", expectsNoLoss = false) {
                     at(1_500) { leader.crash() }
@@ -270,7 +280,7 @@
                 Case("the leader is cut off again before the first cancellations are complete") {
                     at(48_000) { cutLeaderFromState(14_000) }
                     at(49_000) {
-                        serviceJobs.drop(CANCELLED_JOBS).take(2).forEach { simulation.cancelAt(confirmer, it) }
+                        serviceJobs.drop(CANCELLED_JOBS).take(2).forEach { simulation.cancelThrough(confirmer, it) }
                     }
                     at(49_500) { simulation.store.down = true }
                     at(49_500 + 45_000) { simulation.store.down = false }
@@ -278,9 +288,9 @@
                 Case("jobs are cancelled while their start commands are sent") {
                     at(-300) { repeat(6) { simulation.submit(simulation.randomSpec("late-00000$it").copy(tasks = 2)) } }
                     for (ms in 100L..1_500L step 100) {
-                        at(ms) { repeat(6) { simulation.cancelAt(confirmer, "late-00000$it") } }
+                        at(ms) { repeat(6) { simulation.cancelThrough(confirmer, "late-00000$it") } }
                     }
                 },
-            ).filter(Seeds::takes)
+            ).filter(Seeds::isSelected)
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/ConcurrentFaultsTest.kt
@@ -20,7 +20,17 @@
         cloud.workers.filter { worker -> worker.runningTasks().any { it.attempt.task.job.value == job } }
 
     private fun simulationWithRunningServices(seed: Long) =
-        Simulation(seed, shape = Shape(nodes = 5, machinesUp = 12, jobsAtStart = 40, serviceMs = 150_000L..160_000L))
+        Simulation(
+            seed,
+            parameters =
+                SimulationParameters(
+                    nodes = 5,
+                    initialMachines = 12,
+                    initialJobs = 40,
+                    serviceDurationMs =
+                        150_000L..160_000L,
+                ),
+        )
 
     private fun Simulation.assertRulesHoldAndJobsServed(context: String) {
         assertEquals(emptyList<String>(), checker.ruleViolations.take(5), context)
@@ -39,7 +49,7 @@
             simulation.run(46_000)
             assertTrue(simulation.leader !== formerLeader, "seed $seed: no other controller was elected")
             val cancelledJobs = runningBefore.map { it.task.job.value }.distinct().take(4)
-            for (id in cancelledJobs) simulation.cancelAt(simulation.leader, id)
+            for (id in cancelledJobs) simulation.cancelThrough(simulation.leader, id)
             val returnedBefore = simulation.cloud.busyMachinesReturned
             simulation.run(58_000)
             assertEquals(
@@ -53,7 +63,11 @@
                 "seed $seed: tasks ended with a worker's lease",
             )
             simulation.run(70_000)
-            assertEquals(returnedBefore, simulation.cloud.busyMachinesReturned, "seed $seed: busy machines were returned")
+            assertEquals(
+                returnedBefore,
+                simulation.cloud.busyMachinesReturned,
+                "seed $seed: busy machines were returned",
+            )
             formerLeader.withoutState = false
             formerLeader.withoutPeers = false
             simulation.run(300_000)
--- a/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/FleetSizeTest.kt
@@ -9,27 +9,27 @@
 internal class FleetSizeTest {
     @Test
     fun `a large fleet keeps the rules when a zone is cut off, many machines fail and all controllers crash`() {
-        val shape =
-            Shape(
+        val parameters =
+            SimulationParameters(
                 nodes = 5,
-                machinesUp = 900,
+                initialMachines = 900,
                 capacity = MACHINES,
                 teamLimits = mapOf("red" to 5_000.0, "blue" to 3_000.0),
                 teamGuarantee = 1_500.0,
                 writeRps = 70.0,
-                jobsAtStart = 950,
-                largestService = 8,
-                largestArray = 60,
-                serviceMs = 60_000L..150_000L,
-                checkEveryMs = 500,
-                reportMs = 2_500,
+                initialJobs = 950,
+                maxServiceTasks = 8,
+                maxArrayTasks = 60,
+                serviceDurationMs = 60_000L..150_000L,
+                checkIntervalMs = 500,
+                heartbeatIntervalMs = 2_500,
                 leaseMs = 15_000,
             )
-        val simulation = Simulation(11, shape = shape)
-        simulation.users(everyMs = 350, untilMs = 90_000)
-        simulation.time.after(35_000) { simulation.weather.cutZones.add(simulation.zones[1]) }
+        val simulation = Simulation(11, parameters = parameters)
+        simulation.submitRandomJobs(everyMs = 350, untilMs = 90_000)
+        simulation.time.after(35_000) { simulation.activeFaults.isolatedZones.add(simulation.zones[1]) }
         simulation.time.after(42_000) { crash(simulation, leader(simulation)) }
-        simulation.time.after(62_000) { simulation.weather.cutZones.clear() }
+        simulation.time.after(62_000) { simulation.activeFaults.isolatedZones.clear() }
         simulation.time.after(75_000) {
             repeat(60) { simulation.randomWorker()?.let { simulation.cloud.fail(it.id) } }
         }
--- a/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/LargeFleetFaultsTest.kt
@@ -10,7 +10,7 @@
 internal class LargeFleetFaultsTest {
     class Case(
         val name: String,
-        val keptChanges: Int = 10_000,
+        val retainedChanges: Int = 10_000,
         val setUp: Simulation.() -> Unit,
     ) {
         override fun toString() = name
@@ -35,18 +35,23 @@
         case: Case,
         seed: Long,
     ) {
-        val simulation = Simulation(seed, shape = parametersOf(case))
-        simulation.users(everyMs = 2_500, untilMs = 90_000)
-        simulation.pipelines(everyMs = 5_000, untilMs = 90_000)
+        val simulation = Simulation(seed, parameters = parametersOf(case))
+        simulation.submitRandomJobs(everyMs = 2_500, untilMs = 90_000)
+        simulation.submitPipelines(everyMs = 5_000, untilMs = 90_000)
         case.setUp(simulation)
         simulation.run(280_000)
         assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), "$case, seed $seed")
-        assertEquals(emptyList<String>(), simulation.serving.ruleViolations.take(5), "$case, seed $seed")
+        assertEquals(emptyList<String>(), simulation.progressChecks.ruleViolations.take(5), "$case, seed $seed")
         assertEquals(emptyList<String>(), simulation.checker.unfinished(), "$case, seed $seed: not served")
     }
 
     private fun parametersOf(case: Case) =
-        Shape(nodes = 5, machinesUp = 8, nextLimits = NEXT_LIMITS, keptChanges = case.keptChanges)
+        SimulationParameters(
+            nodes = 5,
+            initialMachines = 8,
+            nextLimits = NEXT_LIMITS,
+            retainedChanges = case.retainedChanges,
+        )
 
     companion object {
         private const val SLOW_ANSWERS_CASE = "answers are slow and writes are refused"
@@ -82,12 +87,12 @@
                 15_000,
                 80_000,
                 {
-                    weather.slowAnswers = 0.5
-                    weather.refusedWrites = 0.3
+                    activeFaults.slowWriteAnswers = 0.5
+                    activeFaults.refusedWrites = 0.3
                 },
                 {
-                    weather.slowAnswers = 0.0
-                    weather.refusedWrites = 0.0
+                    activeFaults.slowWriteAnswers = 0.0
+                    activeFaults.refusedWrites = 0.0
                 },
             )
 
@@ -133,28 +138,28 @@
                 },
                 Case("answers are slow, leaders crash, machines hang and jobs are cancelled") {
                     slowStateService()
-                    cancelsAtEnd = 0.1
+                    cancelAtTaskEndProbability = 0.1
                     for (ms in 25_000L..90_000L step 9_000) crashLeader(ms)
                     for (ms in 22_000L..90_000L step 3_000) {
                         hangMachine(ms, time.between(2_000, 20_000))
                         cancelRunning(ms + 500, count = 1)
                     }
                 },
-                Case("the change history is too short, and controllers resync in full", keptChanges = 10) {
-                    weather.slowPages = 20L..200L
+                Case("the change history is too short, and controllers resync in full", retainedChanges = 10) {
+                    activeFaults.pageDelayMs = 20L..200L
                     cutFromState(18_000, onlyLeader = false)
                     for (ms in 30_000L..80_000L step 16_000) crashLeader(ms)
                     for (ms in 22_000L..90_000L step 5_000) cancelRunning(ms, count = 1)
                 },
-                Case("the leader resyncs in full repeatedly while answers are slow", keptChanges = 10) {
+                Case("the leader resyncs in full repeatedly while answers are slow", retainedChanges = 10) {
                     slowStateService()
-                    weather.slowPages = 50L..400L
-                    closeLooks = 0.1
+                    activeFaults.pageDelayMs = 50L..400L
+                    followUpProbability = 0.1
                     cutFromState(20_000, onlyLeader = true)
                     for (ms in 22_000L..90_000L step 5_000) cancelRunning(ms, count = 1)
                 },
                 Case("the leader resyncs and crashes, and an outage begins as many jobs are cancelled", 10) {
-                    weather.slowPages = 20L..200L
+                    activeFaults.pageDelayMs = 20L..200L
                     cutFromState(20_000, onlyLeader = true)
                     for (ms in listOf(30_000L, 62_000L)) {
                         repeat(3) { hangMachine(ms - 100, forMs = 25_000) }
@@ -163,6 +168,6 @@
                         during(ms + 500, 22_000, { store.down = true }, { store.down = false })
                     }
                 },
-            ).filter(Seeds::takes)
+            ).filter(Seeds::isSelected)
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/PipelinesTest.kt
@@ -24,17 +24,21 @@
     @MethodSource("cases")
     fun `stages start in order, a cancellation ends dependent stages, and all other jobs are served`(case: Case) {
         for (seed in Seeds.all) {
-            val simulation = Simulation(seed, shape = Shape(nodes = 5, machinesUp = 8, nextLimits = NEXT_LIMITS))
-            if (case.startsOnOldVersion) simulation.nodes.forEach { it.isOld = true }
-            simulation.users(everyMs = 4_000, untilMs = 90_000)
-            simulation.pipelines(everyMs = 5_000, untilMs = 90_000)
+            val simulation =
+                Simulation(
+                    seed,
+                    parameters = SimulationParameters(nodes = 5, initialMachines = 8, nextLimits = NEXT_LIMITS),
+                )
+            if (case.startsOnOldVersion) simulation.nodes.forEach { it.isOldVersion = true }
+            simulation.submitRandomJobs(everyMs = 4_000, untilMs = 90_000)
+            simulation.submitPipelines(everyMs = 5_000, untilMs = 90_000)
             case.setUp(simulation)
             // This job runs on so many machines that its record is split in every scenario.
             simulation.at(92_000) { submit(stage("wide").copy(tasks = 24, cores = 16.0)) }
             simulation.run(280_000)
             val context = "${case.name}, seed $seed"
             assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), context)
-            assertEquals(emptyList<String>(), simulation.serving.ruleViolations.take(5), context)
+            assertEquals(emptyList<String>(), simulation.progressChecks.ruleViolations.take(5), context)
             assertEquals(emptyList<String>(), simulation.checker.unfinished(), "$context: not served")
             assertTrue(simulation.store.entry(Keys.FORMAT_MARKER) != null, "$context: the format isn't enabled")
             if (!case.lowersLimitsEarly) assertEquals(0, simulation.store.refusedForSize, "$context: oversized writes")
@@ -61,12 +65,12 @@
         private fun Simulation.restart(
             node: SimNode,
             forMs: Long,
-            isOld: Boolean = false,
+            isOldVersion: Boolean = false,
         ) {
             if (!node.isUp) return
             node.crash()
             time.after(forMs) {
-                node.isOld = isOld
+                node.isOldVersion = isOldVersion
                 node.start()
             }
         }
@@ -96,7 +100,7 @@
         ) {
             repeat(nodes.size) { batchIndex ->
                 at(fromMs + batchIndex * everyMs) {
-                    val oldNodes = nodes.filter { it.isOld && it.isUp }
+                    val oldNodes = nodes.filter { it.isOldVersion && it.isUp }
                     val oldLeader = oldNodes.firstOrNull { it === leader }
                     val nextNode =
                         if (leaderFirst) {
@@ -122,12 +126,12 @@
         private fun Simulation.unansweredWrites(
             atMs: Long,
             forMs: Long,
-        ) = during(atMs, forMs, { weather.unansweredWrites = 0.2 }, { weather.unansweredWrites = 0.0 })
+        ) = during(atMs, forMs, { activeFaults.unansweredWrites = 0.2 }, { activeFaults.unansweredWrites = 0.0 })
 
-        private fun Simulation.lateWrites(
+        private fun Simulation.delayedWrites(
             atMs: Long,
             forMs: Long,
-        ) = during(atMs, forMs, { weather.lateWrites = 0.2 }, { weather.lateWrites = 0.0 })
+        ) = during(atMs, forMs, { activeFaults.delayedWrites = 0.2 }, { activeFaults.delayedWrites = 0.0 })
 
         /** Users cancel the latest [count] first stages that aren't over, on which running or waiting stages depend. */
         private fun Simulation.cancelFirstStages(
@@ -162,24 +166,24 @@
                     at(60_000) { nodes.forEach { restart(it, forMs = 400) } }
                 },
                 Case("transaction answers are lost while stages end and the leader crashes") {
-                    closeLooks = 0.3
+                    followUpProbability = 0.3
                     unansweredWrites(20_000, 70_000)
                     crashLeader(40_000)
                     crashLeader(60_000, forMs = 300)
                 },
                 Case("transactions are applied late while first stages are cancelled") {
-                    closeLooks = 0.2
-                    lateWrites(20_000, 70_000)
+                    followUpProbability = 0.2
+                    delayedWrites(20_000, 70_000)
                     for (ms in 25_000L..80_000L step 8_000) cancelFirstStages(2, ms)
                     crashLeader(45_000)
                 },
                 Case("jobs are cancelled at the moment of their end") {
-                    cancelsAtEnd = 0.15
-                    closeLooks = 0.3
+                    cancelAtTaskEndProbability = 0.15
+                    followUpProbability = 0.3
                     crashLeader(50_000)
                 },
                 Case("the leader loses the state service, first stages are cancelled, then an outage for all") {
-                    closeLooks = 0.2
+                    followUpProbability = 0.2
                     at(40_000) {
                         val node = leader
                         during(0, 14_000, { node.withoutState = true }, { node.withoutState = false })
@@ -188,7 +192,12 @@
                     during(42_000, 45_000, { store.down = true }, { store.down = false })
                 },
                 Case("a zone is cut off, and first stages are cancelled") {
-                    during(40_000, 25_000, { weather.cutZones.add(zones[0]) }, { weather.cutZones.clear() })
+                    during(
+                        40_000,
+                        25_000,
+                        { activeFaults.isolatedZones.add(zones[0]) },
+                        { activeFaults.isolatedZones.clear() },
+                    )
                     cancelFirstStages(3, 44_000)
                     crashLeader(50_000)
                 },
@@ -205,13 +214,18 @@
                     lowerLimits(80_000)
                 },
                 Case("a rolling upgrade, the leader last, while writes are delayed", startsOnOldVersion = true) {
-                    lateWrites(15_000, 60_000)
+                    delayedWrites(15_000, 60_000)
                     upgradeByLeader(20_000, 9_000, leaderFirst = false)
                     lowerLimits(85_000)
                 },
                 Case("links between old and new controllers stall during cancellations", startsOnOldVersion = true) {
-                    closeLooks = 0.2
-                    during(15_000, 80_000, { weather.heldFrames = 0.01 }, { weather.heldFrames = 0.0 })
+                    followUpProbability = 0.2
+                    during(
+                        15_000,
+                        80_000,
+                        { activeFaults.peerLinkStalls = 0.01 },
+                        { activeFaults.peerLinkStalls = 0.0 },
+                    )
                     upgrade(20_000, 8_000, listOf(1, 3, 0, 2, 4))
                     for (ms in 22_000L..80_000L step 6_000) cancelFirstStages(1, ms)
                     for (ms in 24_000L..60_000L step 6_000) {
@@ -224,10 +238,14 @@
                 },
                 Case("controllers crash and restart on the old version during the upgrade", startsOnOldVersion = true) {
                     at(24_000) {
-                        nodes.filter { it.isOld }.take(2).forEach { restart(it, forMs = 2_000, isOld = true) }
+                        nodes
+                            .filter { it.isOldVersion }
+                            .take(
+                                2,
+                            ).forEach { restart(it, forMs = 2_000, isOldVersion = true) }
                     }
                     upgrade(20_000, 9_000, listOf(0, 1, 2, 3))
-                    at(58_000) { restart(nodes[4], forMs = 4_000, isOld = true) }
+                    at(58_000) { restart(nodes[4], forMs = 4_000, isOldVersion = true) }
                     at(70_000) { restart(nodes[4], forMs = 4_000) }
                     lowerLimits(90_000)
                 },
@@ -248,11 +266,11 @@
                     }
                 },
                 Case("stages end, are cancelled, and the leader crashes, within milliseconds") {
-                    closeLooks = 0.2
-                    cancelsAtEnd = 0.3
+                    followUpProbability = 0.2
+                    cancelAtTaskEndProbability = 0.3
                     lowerLimits(30_000)
                     var nextCrashAt = 25_000L
-                    onAnyDone = {
+                    onTaskDone = {
                         if (time.nowMs >= nextCrashAt && time.nowMs < 90_000) {
                             nextCrashAt = time.nowMs + 9_000
                             time.after(time.between(0, 40)) { restart(leader, forMs = 1_000) }
@@ -260,7 +278,7 @@
                     }
                 },
                 Case("jobs are cancelled and a zone is cut off during the upgrade", startsOnOldVersion = true) {
-                    closeLooks = 0.2
+                    followUpProbability = 0.2
                     upgrade(20_000, 8_000, listOf(4, 2, 0, 1, 3))
                     for (ms in 22_000L..60_000L step 6_000) {
                         at(ms) {
@@ -273,9 +291,14 @@
                             running.take(1).forEach(::cancel)
                         }
                     }
-                    during(30_000, 12_000, { weather.cutZones.add(zones[1]) }, { weather.cutZones.clear() })
+                    during(
+                        30_000,
+                        12_000,
+                        { activeFaults.isolatedZones.add(zones[1]) },
+                        { activeFaults.isolatedZones.clear() },
+                    )
                     lowerLimits(80_000)
                 },
-            ).filter(Seeds::takes)
+            ).filter(Seeds::isSelected)
     }
 }
--- a/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/RegionsApartTest.kt
@@ -27,15 +27,15 @@
         policy: Policy,
         setUp: (Simulation) -> Unit,
     ): Simulation {
-        val shape =
-            Shape(
+        val parameters =
+            SimulationParameters(
                 zones = listOf("a", "b", "c", "d"),
-                machinesUp = 8,
+                initialMachines = 8,
                 capacity = 16,
-                serviceMs = 60_000L..100_000L,
+                serviceDurationMs = 60_000L..100_000L,
             )
-        val simulation = Simulation(seed, policy, shape)
-        simulation.users(everyMs = 2500, untilMs = 90_000)
+        val simulation = Simulation(seed, policy, parameters)
+        simulation.submitRandomJobs(everyMs = 2500, untilMs = 90_000)
         setUp(simulation)
         simulation.run(260_000)
         return simulation
@@ -73,7 +73,10 @@
         for (seed in Seeds.all) {
             val simulation = runSimulation(seed, regionalPolicy, scenario.setUp)
             assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), "$scenario, seed $seed")
-            assertTrue(simulation.checker.starts > 20, "$scenario, seed $seed: only ${simulation.checker.starts} starts")
+            assertTrue(
+                simulation.checker.starts > 20,
+                "$scenario, seed $seed: only ${simulation.checker.starts} starts",
+            )
             assertEquals(emptyList<String>(), simulation.checker.unfinished(), "$scenario, seed $seed: not served")
         }
     }
@@ -106,8 +109,8 @@
             forMs: Long,
         ) {
             val southernZones = zones.drop(2)
-            time.after(fromMs) { weather.separatedZones.addAll(southernZones) }
-            time.after(fromMs + forMs) { weather.separatedZones.removeAll(southernZones.toSet()) }
+            time.after(fromMs) { activeFaults.isolatedRegion.addAll(southernZones) }
+            time.after(fromMs + forMs) { activeFaults.isolatedRegion.removeAll(southernZones.toSet()) }
         }
 
         private fun Simulation.crash(
@@ -174,32 +177,32 @@
                 },
                 Scenario("the delegate's zone is cut off during a region partition") { simulation ->
                     simulation.partitionRegions(30_000, 40_000)
-                    simulation.time.after(35_000) { simulation.weather.cutZones.add(simulation.zones[2]) }
-                    simulation.time.after(60_000) { simulation.weather.cutZones.clear() }
+                    simulation.time.after(35_000) { simulation.activeFaults.isolatedZones.add(simulation.zones[2]) }
+                    simulation.time.after(60_000) { simulation.activeFaults.isolatedZones.clear() }
                 },
                 Scenario(
                     "only the delegate's zone is cut off, and machines of the region's other zone fail",
                 ) { simulation ->
-                    simulation.time.after(30_000) { simulation.weather.cutZones.add(simulation.zones[2]) }
+                    simulation.time.after(30_000) { simulation.activeFaults.isolatedZones.add(simulation.zones[2]) }
                     simulation.time.after(34_000) {
                         simulation.cloud.workers
                             .filter { it.zone == simulation.zones[ZONE_WITHOUT_CONTROLLER] }
                             .forEach { simulation.cloud.fail(it.id) }
                     }
-                    simulation.time.after(65_000) { simulation.weather.cutZones.clear() }
+                    simulation.time.after(65_000) { simulation.activeFaults.isolatedZones.clear() }
                 },
                 Scenario(
                     "region partition with stalled peer links, duplicate heartbeats and delayed writes",
                 ) { simulation ->
-                    simulation.weather.heldFrames = 0.002
-                    simulation.weather.lateReports = 0.02
-                    simulation.weather.lateWrites = 0.02
+                    simulation.activeFaults.peerLinkStalls = 0.002
+                    simulation.activeFaults.duplicateHeartbeats = 0.02
+                    simulation.activeFaults.delayedWrites = 0.02
                     simulation.partitionRegions(30_000, 30_000)
                     simulation.cancelAcceptedJobs(45_000)
                     simulation.time.after(100_000) {
-                        simulation.weather.heldFrames = 0.0
-                        simulation.weather.lateReports = 0.0
-                        simulation.weather.lateWrites = 0.0
+                        simulation.activeFaults.peerLinkStalls = 0.0
+                        simulation.activeFaults.duplicateHeartbeats = 0.0
+                        simulation.activeFaults.delayedWrites = 0.0
                     }
                 },
                 Scenario("all controllers crash during a region partition") { simulation ->
--- a/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
+++ b/src/test/kotlin/oxbowlug/sim/SimulationTest.kt
@@ -30,15 +30,18 @@
     fun `no scenario breaks a rule, and all jobs are served afterwards`(scenario: Scenario) {
         for (seed in Seeds.all) {
             val simulation = Simulation(seed)
-            simulation.users(everyMs = 2500, untilMs = 90_000)
+            simulation.submitRandomJobs(everyMs = 2500, untilMs = 90_000)
             scenario.setUp(simulation)
             var unknownJobResponse: UserResponse? = null
-            simulation.time.after(200_000) { simulation.pollUnknown("run-999999") { unknownJobResponse = it } }
+            simulation.time.after(200_000) { simulation.pollOnce("run-999999") { unknownJobResponse = it } }
             simulation.run(260_000)
             assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), "$scenario, seed $seed")
-            assertTrue(simulation.checker.starts > 20, "$scenario, seed $seed: only ${simulation.checker.starts} starts")
-            assertEquals(emptyList<String>(), simulation.serving.ruleViolations.take(5), "$scenario, seed $seed")
-            assertEquals(emptyList<String>(), simulation.serving.neglected(), "$scenario, seed $seed")
+            assertTrue(
+                simulation.checker.starts > 20,
+                "$scenario, seed $seed: only ${simulation.checker.starts} starts",
+            )
+            assertEquals(emptyList<String>(), simulation.progressChecks.ruleViolations.take(5), "$scenario, seed $seed")
+            assertEquals(emptyList<String>(), simulation.progressChecks.underservedGroups(), "$scenario, seed $seed")
             assertEquals(emptyList<String>(), simulation.checker.unfinished(), "$scenario, seed $seed: not served")
             assertEquals(
                 UserResponse.NotFound,
@@ -86,7 +89,13 @@
             val simulation =
                 Simulation(
                     seed,
-                    shape = Shape(nodes = 5, machinesUp = 12, jobsAtStart = 40, serviceMs = SERVICE_DURATION_MS),
+                    parameters =
+                        SimulationParameters(
+                            nodes = 5,
+                            initialMachines = 12,
+                            initialJobs = 40,
+                            serviceDurationMs = SERVICE_DURATION_MS,
+                        ),
                 )
             simulation.run(25_000)
             val cutOffZone = simulation.zones[(simulation.leaderIndex() + zoneOffset) % 2]
@@ -100,7 +109,7 @@
                     .toSet()
 
             val runningBefore = runningServices()
-            simulation.weather.cutZones.add(cutOffZone)
+            simulation.activeFaults.isolatedZones.add(cutOffZone)
             simulation.run(50_000)
             assertTrue(runningBefore.isNotEmpty(), "seed $seed: nothing ran")
             assertEquals(
@@ -108,7 +117,7 @@
                 runningBefore - runningServices(),
                 "seed $seed: ended while the zone was cut off",
             )
-            simulation.weather.cutZones.clear()
+            simulation.activeFaults.isolatedZones.clear()
             simulation.run(200_000)
             assertEquals(emptyList<String>(), simulation.checker.ruleViolations.take(5), "seed $seed")
             assertEquals(emptyList<String>(), simulation.checker.unfinished(), "seed $seed: not served")
@@ -150,14 +159,14 @@
 
         /** Loses and delays messages with these probabilities until 110 s. */
         private fun Simulation.lossyNetwork(
-            lost: Double,
-            late: Double,
+            lossProbability: Double,
+            delayProbability: Double,
         ) {
-            weather.lost = lost
-            weather.late = late
+            activeFaults.lossProbability = lossProbability
+            activeFaults.delayProbability = delayProbability
             at(110_000) {
-                weather.lost = 0.0
-                weather.late = 0.0
+                activeFaults.lossProbability = 0.0
+                activeFaults.delayProbability = 0.0
             }
         }
 
@@ -171,29 +180,40 @@
             at(atMs + forMs) { end() }
         }
 
-        private fun Simulation.lateWrites(
+        private fun Simulation.delayedWrites(
             probability: Double,
             atMs: Long,
             forMs: Long,
-        ) = during(atMs, forMs, { weather.lateWrites = probability }, { weather.lateWrites = 0.0 })
+        ) = during(atMs, forMs, { activeFaults.delayedWrites = probability }, { activeFaults.delayedWrites = 0.0 })
 
         private fun Simulation.unansweredWrites(
             probability: Double,
             atMs: Long,
             forMs: Long,
-        ) = during(atMs, forMs, { weather.unansweredWrites = probability }, { weather.unansweredWrites = 0.0 })
+        ) = during(
+            atMs,
+            forMs,
+            { activeFaults.unansweredWrites = probability },
+            { activeFaults.unansweredWrites = 0.0 },
+        )
 
-        private fun Simulation.lateReports(
+        private fun Simulation.duplicateHeartbeats(
             probability: Double,
             atMs: Long,
             forMs: Long,
-        ) = during(atMs, forMs, { weather.lateReports = probability }, { weather.lateReports = 0.0 })
+        ) = during(atMs, forMs, { activeFaults.duplicateHeartbeats = probability }, {
+            activeFaults.duplicateHeartbeats =
+                0.0
+        })
 
-        private fun Simulation.reportsForNext(
+        private fun Simulation.heartbeatsForNextLeader(
             probability: Double,
             atMs: Long,
             forMs: Long,
-        ) = during(atMs, forMs, { weather.reportsForNext = probability }, { weather.reportsForNext = 0.0 })
+        ) = during(atMs, forMs, { activeFaults.heartbeatsForNextLeader = probability }, {
+            activeFaults.heartbeatsForNextLeader =
+                0.0
+        })
 
         /** No response or command reaches [count] random workers, while their heartbeats arrive. */
         private fun Simulation.stopReceiving(
@@ -266,8 +286,8 @@
             atMs: Long,
             forMs: Long,
         ) = at(atMs) {
-            weather.cutZones.add(zones[index])
-            time.after(forMs) { weather.cutZones.remove(zones[index]) }
+            activeFaults.isolatedZones.add(zones[index])
+            time.after(forMs) { activeFaults.isolatedZones.remove(zones[index]) }
         }
 
         /** A random worker hangs: it neither sends nor executes anything until it resumes. */
@@ -281,7 +301,7 @@
             listOf(
                 Scenario("no faults") {},
                 Scenario("messages are lost, and requests are executed late") {
-                    it.lossyNetwork(lost = 0.05, late = 0.05)
+                    it.lossyNetwork(lossProbability = 0.05, delayProbability = 0.05)
                 },
                 Scenario("the leader crashes") { it.crashLeader(30_000, 5_000) },
                 Scenario("the leader crashes and restarts within 200 ms, twice") {
@@ -311,8 +331,8 @@
                 Scenario("the leader is cut off from everything") { simulation ->
                     simulation.at(30_000) {
                         val node = nodes[leaderIndex()]
-                        node.cut = true
-                        time.after(25_000) { node.cut = false }
+                        node.isolated = true
+                        time.after(25_000) { node.isolated = false }
                     }
                 },
                 Scenario("the leader is cut off from the workers only") { simulation ->
@@ -338,7 +358,7 @@
                     simulation.at(55_000) { isolateZone(leaderIndex() % 2, 0, 22_000) }
                 },
                 Scenario("a zone is cut off while messages are lost and machines hang") { simulation ->
-                    simulation.lossyNetwork(lost = 0.03, late = 0.05)
+                    simulation.lossyNetwork(lossProbability = 0.03, delayProbability = 0.05)
                     simulation.isolateZone(0, 30_000, 18_000)
                     simulation.hangMachine(32_000, 6_000)
                     simulation.hangMachine(34_000, 14_000)
@@ -376,13 +396,13 @@
                 Scenario(
                     "transaction answers are lost while users follow up at every controller and the leader crashes",
                 ) { simulation ->
-                    simulation.closeLooks = 0.3
+                    simulation.followUpProbability = 0.3
                     simulation.unansweredWrites(0.3, 20_000, 60_000)
                     simulation.crashLeader(40_000, 5_000)
                     simulation.crashLeader(60_000, 300)
                 },
                 Scenario("transactions are applied late while the leader crashes") { simulation ->
-                    simulation.lateWrites(0.2, 20_000, 60_000)
+                    simulation.delayedWrites(0.2, 20_000, 60_000)
                     simulation.crashLeader(35_000, 5_000)
                     simulation.crashLeader(55_000, 300)
                 },
@@ -390,7 +410,7 @@
                     "new machines boot in 500 ms, get tasks while writes are delayed, and the leader crashes",
                 ) { simulation ->
                     simulation.bootMs = 500
-                    simulation.lateWrites(0.2, 20_000, 70_000)
+                    simulation.delayedWrites(0.2, 20_000, 70_000)
                     for (ms in 25_000L..75_000L step 10_000) {
                         simulation.at(ms) { repeat(4) { submit(randomSpec("boot-%03d%03d".format(ms / 1000, it))) } }
                         simulation.crashLeader(ms + 2_000, 300)
@@ -399,8 +419,8 @@
                 Scenario(
                     "duplicate heartbeats, also of old incarnations, arrive late and at the next leader",
                 ) { simulation ->
-                    simulation.lateReports(0.2, 15_000, 80_000)
-                    simulation.reportsForNext(0.1, 15_000, 80_000)
+                    simulation.duplicateHeartbeats(0.2, 15_000, 80_000)
+                    simulation.heartbeatsForNextLeader(0.1, 15_000, 80_000)
                     simulation.hangMachine(26_000, 12_000)
                     simulation.hangMachine(40_000, 12_000)
                     for (ms in 30_000L..80_000L step 10_000) simulation.crashLeader(ms, 1_000)
@@ -428,25 +448,25 @@
                     simulation.crashLeader(61_000, 300)
                 },
                 Scenario("the leader is cut off from state service and peers while jobs are cancelled") { simulation ->
-                    simulation.closeLooks = 0.2
+                    simulation.followUpProbability = 0.2
                     simulation.cutLeaderFromStateAndPeers(30_000, 30_000)
                     simulation.cancelRunning(6, 36_000)
                     simulation.cancelRunning(4, 50_000)
                 },
                 Scenario("jobs are cancelled in the seconds after leader crashes") { simulation ->
-                    simulation.closeLooks = 0.2
+                    simulation.followUpProbability = 0.2
                     for (ms in 30_000L..70_000L step 20_000) {
                         simulation.crashLeader(ms, 5_000)
                         for (delayMs in 0L..6_000L step 500) simulation.cancelRunning(1, ms + delayMs)
                     }
                 },
                 Scenario("jobs are cancelled at the moment of their end") { simulation ->
-                    simulation.closeLooks = 0.3
+                    simulation.followUpProbability = 0.3
                     simulation.during(
                         20_000,
                         70_000,
-                        { simulation.cancelsAtEnd = 0.5 },
-                        { simulation.cancelsAtEnd = 0.0 },
+                        { simulation.cancelAtTaskEndProbability = 0.5 },
+                        { simulation.cancelAtTaskEndProbability = 0.0 },
                     )
                     simulation.crashLeader(50_000, 1_000)
                 },
@@ -464,14 +484,14 @@
                 Scenario(
                     "machines are cut off at the teams' limits, jobs are cancelled and the leader crashes",
                 ) { simulation ->
-                    simulation.users(everyMs = 1800, untilMs = 80_000)
+                    simulation.submitRandomJobs(everyMs = 1800, untilMs = 80_000)
                     simulation.isolateZone(0, 40_000, 22_000)
                     simulation.cancelRunning(5, 43_000)
                     simulation.crashLeader(46_000, 5_000)
                     simulation.hangMachine(50_000, 9_000)
                 },
                 Scenario("lost messages, hangs, outage, leader crashes and a reclaimed machine") { simulation ->
-                    simulation.lossyNetwork(lost = 0.03, late = 0.03)
+                    simulation.lossyNetwork(lossProbability = 0.03, delayProbability = 0.03)
                     simulation.crashLeader(25_000, 5_000)
                     simulation.hangMachine(28_000, 20_000)
                     simulation.at(45_000) { store.down = true }
@@ -479,6 +499,6 @@
                     simulation.crashLeader(62_000, 300)
                     simulation.at(70_000) { randomWorker()?.let { cloud.take(it.id) } }
                 },
-            ).filter(Seeds::takes)
+            ).filter(Seeds::isSelected)
     }
 }
