--- a/src/test/kotlin/oxbowlug/plan/PlacementCandidatesTest.kt
+++ b/src/test/kotlin/oxbowlug/plan/PlacementCandidatesTest.kt
@@ -179,9 +179,7 @@
                     assertEquals(scanned?.cost, candidate?.cost, "seed $seed, ${job.id}/$task in $capacity")
                     compared++
                     if (candidate != null) {
-                        if (capacity ==
-                            Capacity.PENDING_FREE
-                        ) {
+                        if (capacity == Capacity.PENDING_FREE) {
                             candidate.machine.reservePendingFree(need)
                         } else {
                             candidate.machine.allocate(need)
--- a/src/test/kotlin/oxbowlug/sim/ProgressChecks.kt
+++ b/src/test/kotlin/oxbowlug/sim/ProgressChecks.kt
@@ -28,9 +28,7 @@
         for ((id, job) in checker.jobs) {
             if (!job.accepted || checker.mayBeCancelled(job) || job.observed == JobState.DONE) continue
             val answeredAt = maxOf(job.answeredAt, faultFreeFromMs)
-            if (time.nowMs - answeredAt >
-                MAX_UNANSWERED_MS
-            ) {
+            if (time.nowMs - answeredAt > MAX_UNANSWERED_MS) {
                 ruleViolations.add("${time.nowMs} ms forgotten: $id, no answers")
             }
             if (!isStartable(id, job)) {
