--- a/src/main/kotlin/oxbowlug/api/ApiServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ApiServer.kt
@@ -21,13 +21,17 @@
 import oxbowlug.wire.MalformedBody
 import oxbowlug.wire.WorkerCodec
 
-/** Users, workers and health checks, all on one port. Decodes, hands to the core, and encodes its answer. */
+/**
+ * HTTP server for users, workers, health checks and metrics, all on one port. Decodes each request, passes it to the
+ * controller as an event, and encodes the answer.
+ */
 internal class ApiServer(
     private val vertx: Vertx,
     private val settings: Settings,
     private val controller: Controller,
     private val metrics: () -> String,
 ) {
+    /** Starts to listen; the future completes once the port is bound. */
     fun start(): Future<HttpServer> =
         vertx
             .createHttpServer(
@@ -35,137 +39,140 @@
                     .setHost(settings.clientListen.host)
                     .setPort(settings.clientListen.port)
                     .setTcpNoDelay(true)
-                    .setMaxInitialLineLength(MAX_LINE)
-                    .setMaxHeaderSize(MAX_HEADERS)
-                    .setIdleTimeout(IDLE_S),
+                    .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                    .setMaxHeaderSize(MAX_HEADER_BYTES)
+                    .setIdleTimeout(IDLE_TIMEOUT_S),
             ).requestHandler(::route)
             .listen()
 
     private fun route(request: HttpServerRequest) {
         val path = request.path()
         when {
-            path == "/hello" -> withBody(request, HttpMethod.POST, ::heartbeat)
-            path == "/work" -> withBody(request, HttpMethod.POST, ::submit)
+            path == "/hello" -> readBody(request, HttpMethod.POST, ::handleHeartbeat)
+            path == "/work" -> readBody(request, HttpMethod.POST, ::handleSubmission)
             path == "/healthz" -> reply(request, if (controller.isHealthy()) 200 else 503, emptyMap())
             path == "/metrics" -> request.response().putHeader("content-type", "text/plain").end(metrics())
-            path != null && path.startsWith(WORK) -> job(request, path.substring(WORK.length))
+            path != null && path.startsWith(JOB_PREFIX) -> routeJob(request, path.substring(JOB_PREFIX.length))
             else -> reply(request, 404, AnswerCodec.problem("no such page"))
         }
     }
 
-    private fun job(
+    private fun routeJob(
         request: HttpServerRequest,
-        rest: String,
+        jobPath: String,
     ) {
-        val id = rest.removeSuffix(CANCEL)
-        val cancelling = id.length < rest.length
+        val id = jobPath.removeSuffix(CANCEL_SUFFIX)
+        val isCancellation = id.length < jobPath.length
         when {
-            request.method() != if (cancelling) HttpMethod.POST else HttpMethod.GET -> wrongMethod(request)
+            request.method() != if (isCancellation) HttpMethod.POST else HttpMethod.GET -> replyWrongMethod(request)
             !JobId.isValid(id) -> reply(request, 404, AnswerCodec.problem("no such job"))
-            cancelling -> offer(request, ControllerEvent.Cancel(JobId(id)) { answerCancel(request, it) })
-            else -> offer(request, ControllerEvent.Poll(JobId(id)) { answer(request, it) })
+            isCancellation -> enqueue(request, ControllerEvent.Cancel(JobId(id)) { replyToCancellation(request, it) })
+            else -> enqueue(request, ControllerEvent.Poll(JobId(id)) { replyToUser(request, it) })
         }
     }
 
-    private fun submit(
+    private fun handleSubmission(
         request: HttpServerRequest,
         body: Map<String, Any?>,
     ) {
-        val command =
+        val event =
             try {
-                ControllerEvent.Submit(JobSpecCodec.decode(body)) { answer(request, it) }
+                ControllerEvent.Submit(JobSpecCodec.decode(body)) { replyToUser(request, it) }
             } catch (e: InvalidField) {
                 val id = (body["id"] as? String)?.takeIf(JobId::isValid) ?: throw e
                 log.info("refused {}: {}", request.path(), e.message)
-                ControllerEvent.SubmitMalformed(JobId(id), e.message.orEmpty()) { answer(request, it) }
+                ControllerEvent.SubmitMalformed(JobId(id), e.message.orEmpty()) { replyToUser(request, it) }
             }
-        offer(request, command)
+        enqueue(request, event)
     }
 
-    private fun heartbeat(
+    private fun handleHeartbeat(
         request: HttpServerRequest,
         body: Map<String, Any?>,
     ) {
         val heartbeat = WorkerCodec.decodeHeartbeat(body)
-        offer(
+        enqueue(
             request,
-            ControllerEvent.Heartbeat(heartbeat) { answer ->
-                when (answer) {
+            ControllerEvent.Heartbeat(heartbeat) { response ->
+                when (response) {
                     is HeartbeatResponse.Renewed ->
-                        reply(request, 200, WorkerCodec.encodeAnswer(answer.token, answer.commands))
-                    is HeartbeatResponse.Redirect -> reply(request, 421, AnswerCodec.redirect(answer.label))
+                        reply(request, 200, WorkerCodec.encodeAnswer(response.token, response.commands))
+                    is HeartbeatResponse.Redirect -> reply(request, 421, AnswerCodec.redirect(response.label))
                     HeartbeatResponse.Unavailable -> reply(request, 503, emptyMap())
                 }
             },
         )
     }
 
-    private fun answer(
+    private fun replyToUser(
         request: HttpServerRequest,
-        answer: UserResponse,
+        response: UserResponse,
     ) {
-        when (answer) {
-            is UserResponse.Accepted -> reply(request, 201, AnswerCodec.accepted(answer.status))
-            is UserResponse.Known -> reply(request, 200, AnswerCodec.polled(answer.status))
-            is UserResponse.Malformed -> reply(request, 400, AnswerCodec.problem(answer.problem))
-            is UserResponse.Rejected -> reply(request, 422, AnswerCodec.problem(answer.problem))
+        when (response) {
+            is UserResponse.Accepted -> reply(request, 201, AnswerCodec.accepted(response.status))
+            is UserResponse.Known -> reply(request, 200, AnswerCodec.polled(response.status))
+            is UserResponse.Malformed -> reply(request, 400, AnswerCodec.problem(response.problem))
+            is UserResponse.Rejected -> reply(request, 422, AnswerCodec.problem(response.problem))
             UserResponse.NotFound -> reply(request, 404, AnswerCodec.problem("no such job"))
-            is UserResponse.Unavailable -> later(request, 503, answer.retryAfterS, answer.reason)
-            is UserResponse.Overloaded -> later(request, 429, answer.retryAfterS, "more is asked than can be done")
+            is UserResponse.Unavailable -> replyRetryLater(request, 503, response.retryAfterS, response.reason)
+            is UserResponse.Overloaded ->
+                replyRetryLater(request, 429, response.retryAfterS, "more is asked than can be done")
         }
     }
 
-    private fun answerCancel(
+    private fun replyToCancellation(
         request: HttpServerRequest,
-        answer: UserResponse,
+        response: UserResponse,
     ) {
-        if (answer !is UserResponse.Known) return answer(request, answer)
-        reply(request, 200, AnswerCodec.accepted(answer.status))
+        if (response !is UserResponse.Known) return replyToUser(request, response)
+        reply(request, 200, AnswerCodec.accepted(response.status))
     }
 
-    private fun later(
+    private fun replyRetryLater(
         request: HttpServerRequest,
         status: Int,
-        afterS: Int,
-        why: String,
+        retryAfterS: Int,
+        reason: String,
     ) {
-        request.response().putHeader("Retry-After", afterS.toString())
-        reply(request, status, AnswerCodec.problem(why))
+        request.response().putHeader("Retry-After", retryAfterS.toString())
+        reply(request, status, AnswerCodec.problem(reason))
     }
 
-    private fun offer(
+    /** Adds [event] to the controller's queue, or answers 503 if the queue is full. */
+    private fun enqueue(
         request: HttpServerRequest,
-        command: ControllerEvent,
+        event: ControllerEvent,
     ) {
-        if (!controller.offer(command)) later(request, 503, 1, "too busy")
+        if (!controller.offer(event)) replyRetryLater(request, 503, 1, "too busy")
     }
 
-    private fun wrongMethod(request: HttpServerRequest) = reply(request, 405, AnswerCodec.problem("wrong method"))
+    private fun replyWrongMethod(request: HttpServerRequest) = reply(request, 405, AnswerCodec.problem("wrong method"))
 
-    private fun withBody(
+    /** Reads and decodes the request's body and calls [handle] with it; a body that is too large is rejected early. */
+    private fun readBody(
         request: HttpServerRequest,
         method: HttpMethod,
         handle: (HttpServerRequest, Map<String, Any?>) -> Unit,
     ) {
-        if (request.method() != method) return wrongMethod(request)
-        val announced = request.getHeader("content-length")?.toLongOrNull() ?: 0
-        if (announced > MAX_BODY) return tooLarge(request)
+        if (request.method() != method) return replyWrongMethod(request)
+        val declaredLength = request.getHeader("content-length")?.toLongOrNull() ?: 0
+        if (declaredLength > MAX_BODY_BYTES) return replyBodyTooLarge(request)
         val body = Buffer.buffer()
-        var refused = false
-        request.exceptionHandler { refused = true }
-        request.handler { part ->
-            if (refused) return@handler
-            if (body.length() + part.length() > MAX_BODY) {
-                refused = true
-                tooLarge(request)
+        var isAborted = false
+        request.exceptionHandler { isAborted = true }
+        request.handler { chunk ->
+            if (isAborted) return@handler
+            if (body.length() + chunk.length() > MAX_BODY_BYTES) {
+                isAborted = true
+                replyBodyTooLarge(request)
             } else {
-                body.appendBuffer(part)
+                body.appendBuffer(chunk)
             }
         }
-        request.endHandler { if (!refused) decode(request, body, handle) }
+        request.endHandler { if (!isAborted) decodeBody(request, body, handle) }
     }
 
-    private fun decode(
+    private fun decodeBody(
         request: HttpServerRequest,
         body: Buffer,
         handle: (HttpServerRequest, Map<String, Any?>) -> Unit,
@@ -173,24 +180,24 @@
         try {
             handle(request, Cbor.decode(body.bytes))
         } catch (e: MalformedBody) {
-            malformed(request, e.message.orEmpty())
+            replyMalformed(request, e.message.orEmpty())
         } catch (e: InvalidField) {
-            malformed(request, e.message.orEmpty())
+            replyMalformed(request, e.message.orEmpty())
         }
     }
 
-    private fun malformed(
+    private fun replyMalformed(
         request: HttpServerRequest,
-        why: String,
+        reason: String,
     ) {
-        log.info("refused {}: {}", request.path(), why)
-        reply(request, 400, AnswerCodec.problem(why))
+        log.info("refused {}: {}", request.path(), reason)
+        reply(request, 400, AnswerCodec.problem(reason))
     }
 
-    /** The rest of an oversized body isn't waited for. */
-    private fun tooLarge(request: HttpServerRequest) {
+    /** Answers without reading the rest of the body, and closes the connection. */
+    private fun replyBodyTooLarge(request: HttpServerRequest) {
         request.response().putHeader("Connection", "close")
-        reply(request, 400, AnswerCodec.problem("the body has more than $MAX_BODY bytes"))
+        reply(request, 400, AnswerCodec.problem("the body has more than $MAX_BODY_BYTES bytes"))
     }
 
     private fun reply(
@@ -207,12 +214,12 @@
     }
 
     private companion object {
-        const val WORK = "/work/"
-        const val CANCEL = "/cancel"
-        const val MAX_BODY = 64 * 1024
-        const val MAX_LINE = 1024
-        const val MAX_HEADERS = 4096
-        const val IDLE_S = 120
+        const val JOB_PREFIX = "/work/"
+        const val CANCEL_SUFFIX = "/cancel"
+        const val MAX_BODY_BYTES = 64 * 1024
+        const val MAX_REQUEST_LINE_BYTES = 1024
+        const val MAX_HEADER_BYTES = 4096
+        const val IDLE_TIMEOUT_S = 120
         val log = LoggerFactory.getLogger("api")
     }
 }
--- a/src/main/kotlin/oxbowlug/api/RecordedDurations.kt
+++ b/src/main/kotlin/oxbowlug/api/RecordedDurations.kt
@@ -4,16 +4,16 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Durations of one kind of event: their count and sum since the process started, and their distribution over the
- * present and the previous window of [windowNanos]. Not thread-safe; [nanoTime] is a steady clock.
+ * Durations of one kind of event: their count and sum since the process started, and a histogram over the current and
+ * the previous window of [windowNanos]. Not thread-safe; [nanoTime] is a monotonic clock.
  */
 internal class RecordedDurations(
     private val windowNanos: Long,
     private val nanoTime: () -> Long = System::nanoTime,
 ) {
-    private var present = Histogram(SIGNIFICANT_DIGITS)
+    private var current = Histogram(SIGNIFICANT_DIGITS)
     private var previous = Histogram(SIGNIFICANT_DIGITS)
-    private var presentSince = nanoTime()
+    private var currentSince = nanoTime()
 
     var count = 0L
         private set
@@ -24,27 +24,27 @@
         rotate()
         count++
         totalNanos += nanos
-        present.recordValue(TimeUnit.NANOSECONDS.toMicros(nanos).coerceAtLeast(0))
+        current.recordValue(TimeUnit.NANOSECONDS.toMicros(nanos).coerceAtLeast(0))
     }
 
-    /** The duration in seconds that the given share of the recent events did not exceed, 0 if there were none. */
-    fun percentileSeconds(share: Double): Double {
+    /** The percentile [fraction] (0.0 to 1.0) of the durations in both windows, in seconds; 0 if there are none. */
+    fun percentileSeconds(fraction: Double): Double {
         rotate()
-        val recent = present.copy()
+        val recent = current.copy()
         recent.add(previous)
-        return recent.getValueAtPercentile(share * PERCENT) / MICROS_PER_SECOND
+        return recent.getValueAtPercentile(fraction * PERCENT) / MICROS_PER_SECOND
     }
 
     private fun rotate() {
-        val age = nanoTime() - presentSince
+        val age = nanoTime() - currentSince
         if (age < windowNanos) return
-        val emptied = previous
-        emptied.reset()
-        // After a long pause the present window is out of date as well.
-        if (age >= 2 * windowNanos) present.reset()
-        previous = present
-        present = emptied
-        presentSince = nanoTime()
+        val recycled = previous
+        recycled.reset()
+        // The current window ended at least one window ago, so its durations are out of date as well.
+        if (age >= 2 * windowNanos) current.reset()
+        previous = current
+        current = recycled
+        currentSince = nanoTime()
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
+++ b/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
@@ -12,8 +12,9 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * What one controller counts, and its text form. Recording is plain arithmetic; Micrometer's registry, which takes a
- * noticeable part of a start on a small machine, is only made when somebody reads the metrics for the first time.
+ * The metrics of one controller, and their text format. Recording only updates plain fields: Micrometer's registry is
+ * created at the first request for the metrics, since creating it takes a noticeable part of the process's startup time
+ * on a small machine.
  */
 internal class ServiceMetrics(
     windowNanos: Long,
@@ -24,14 +25,14 @@
     private val plans = durations.getValue("plan")
     private val commits = durations.getValue("commit")
     private val steps = durations.getValue("step")
-    private val delays = durations.getValue("queue.delay")
+    private val queueDelays = durations.getValue("queue.delay")
     private var pricedMachines = 0L
-    private val refusals = HashMap<String, Refusals>()
+    private val refusalsByReason = HashMap<String, RefusalCounter>()
     private val gauges = LinkedHashMap<String, () -> Number>()
     private val violations = EnumMap<Invariant, Long>(Invariant::class.java)
     private var registry: SimpleMeterRegistry? = null
 
-    private class Refusals {
+    private class RefusalCounter {
         var count = 0L
     }
 
@@ -45,19 +46,21 @@
 
     override fun recordStep(nanos: Long) = steps.record(nanos)
 
-    override fun recordQueueDelay(millis: Long) = delays.record(TimeUnit.MILLISECONDS.toNanos(millis))
+    override fun recordQueueDelay(millis: Long) = queueDelays.record(TimeUnit.MILLISECONDS.toNanos(millis))
 
     override fun recordCommit(millis: Long) = commits.record(TimeUnit.MILLISECONDS.toNanos(millis))
 
     override fun recordRefusal(reason: String) {
-        val counted = refusals.getOrPut(reason) { Refusals().also { added -> registry?.publish(reason, added) } }
-        counted.count++
+        val counter =
+            refusalsByReason.getOrPut(reason) { RefusalCounter().also { added -> registry?.publish(reason, added) } }
+        counter.count++
     }
 
     override fun recordViolation(invariant: Invariant) {
         violations.merge(invariant, 1L, Long::plus)
     }
 
+    /** Adds the gauges that read [status]; called before the metrics are first read. */
     fun registerGauges(status: ControllerStatus) {
         gauges["queue.depth"] = { status.queueDepth }
         gauges["submissions.in.progress"] = { status.submissionsInProgress }
@@ -76,27 +79,27 @@
         gauges["cache.full.resyncs"] = { status.fullResyncs }
     }
 
-    /** Every meter's present values, a line each. */
+    /** The current values of all meters, one line for each measurement. */
     fun text(): String {
-        val opened = registry ?: open()
+        val activeRegistry = registry ?: createRegistry()
         return buildString {
-            for (meter in opened.meters.sortedBy { it.id.name }) {
+            for (meter in activeRegistry.meters.sortedBy { it.id.name }) {
                 for (measurement in meter.measure()) {
-                    append(line(meter.id, measurement.statistic.tagValueRepresentation, measurement.value))
+                    append(formatLine(meter.id, measurement.statistic.tagValueRepresentation, measurement.value))
                 }
             }
         }
     }
 
-    private fun open(): SimpleMeterRegistry {
-        val opened = SimpleMeterRegistry()
-        for ((name, recorded) in durations) opened.publish(name, recorded)
-        for ((name, value) in gauges) opened.publish(name, value)
-        for ((reason, counted) in refusals) opened.publish(reason, counted)
-        for (invariant in Invariant.entries) opened.publish(invariant)
-        FunctionCounter.builder("$PREFIX.plan.priced", this) { it.pricedMachines.toDouble() }.register(opened)
-        registry = opened
-        return opened
+    private fun createRegistry(): SimpleMeterRegistry {
+        val created = SimpleMeterRegistry()
+        for ((name, recorded) in durations) created.publish(name, recorded)
+        for ((name, value) in gauges) created.publish(name, value)
+        for ((reason, counter) in refusalsByReason) created.publish(reason, counter)
+        for (invariant in Invariant.entries) created.publish(invariant)
+        FunctionCounter.builder("$PREFIX.plan.priced", this) { it.pricedMachines.toDouble() }.register(created)
+        registry = created
+        return created
     }
 
     private fun SimpleMeterRegistry.publish(
@@ -111,10 +114,10 @@
                 { it.totalNanos.toDouble() },
                 TimeUnit.NANOSECONDS,
             ).register(this)
-        for (share in PERCENTILES) {
+        for (fraction in PERCENTILES) {
             Gauge
-                .builder("$PREFIX.$name.percentile") { recorded.percentileSeconds(share) }
-                .tag("phi", share.toString())
+                .builder("$PREFIX.$name.percentile") { recorded.percentileSeconds(fraction) }
+                .tag("phi", fraction.toString())
                 .strongReference(true)
                 .register(this)
         }
@@ -130,9 +133,9 @@
 
     private fun SimpleMeterRegistry.publish(
         reason: String,
-        counted: Refusals,
+        counter: RefusalCounter,
     ) {
-        FunctionCounter.builder("$PREFIX.refused", counted) { it.count.toDouble() }.tag("reason", reason).register(this)
+        FunctionCounter.builder("$PREFIX.refused", counter) { it.count.toDouble() }.tag("reason", reason).register(this)
     }
 
     private fun SimpleMeterRegistry.publish(invariant: Invariant) {
@@ -142,7 +145,7 @@
             .register(this)
     }
 
-    private fun line(
+    private fun formatLine(
         id: Meter.Id,
         statistic: String,
         value: Double,
--- a/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
+++ b/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
@@ -15,7 +15,7 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.RentalRequest
 
-/** The cloud over HTTP. [runOnEventLoop] brings outcomes back to the owner's event loop. */
+/** HTTP client of the cloud provider. [runOnEventLoop] enqueues outcomes as events of the controller. */
 internal class CloudClient(
     private val address: Address,
     private val http: HttpCaller,
@@ -65,8 +65,8 @@
             var hasMorePages = true
             var isComplete = true
             while (hasMorePages && isComplete) {
-                val from = listed.lastOrNull()?.let { "from=${it.id}&" }.orEmpty()
-                val body = get("/rentals?${from}limit=${CloudCodec.MAX_LISTED}")
+                val fromParameter = listed.lastOrNull()?.let { "from=${it.id}&" }.orEmpty()
+                val body = get("/rentals?${fromParameter}limit=${CloudCodec.MAX_LISTED}")
                 if (body == null) {
                     isComplete = false
                 } else {
@@ -85,7 +85,7 @@
 
     private fun <T> launch(
         done: (T) -> Unit,
-        malformed: T,
+        outcomeIfMalformed: T,
         call: suspend () -> T,
     ) {
         scope.launch {
@@ -93,8 +93,8 @@
                 try {
                     call()
                 } catch (_: InvalidField) {
-                    // A malformed answer counts as none.
-                    malformed
+                    // A malformed answer is treated as no answer.
+                    outcomeIfMalformed
                 }
             runOnEventLoop { done(outcome) }
         }
--- a/src/main/kotlin/oxbowlug/http/HttpCaller.kt
+++ b/src/main/kotlin/oxbowlug/http/HttpCaller.kt
@@ -11,13 +11,16 @@
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.MalformedBody
 
-/** What became of a call. */
+/** The outcome of an HTTP call. */
 internal sealed interface CallResult {
+    /** The server answered with [status], whatever it is. */
     class Answered(
         val status: Int,
         private val bytes: ByteArray,
     ) : CallResult {
-        /** Null when the body is not a CBOR map: such an answer counts as none. */
+        /**
+         * The decoded body, or null if it isn't a CBOR map; clients treat a successful answer without it as no answer.
+         */
         val body: Map<String, Any?>? by lazy(LazyThreadSafetyMode.NONE) {
             try {
                 Cbor.decode(bytes)
@@ -27,18 +30,23 @@
         }
     }
 
-    /** The connection was never opened. */
+    /** No connection could be obtained, so the request was not sent. */
     data object NotSent : CallResult
 
+    /** The request may have been sent, but no complete answer arrived in time. */
     data object Unanswered : CallResult
 }
 
-/** Calls with CBOR bodies over connections that stay open for [keepAliveS]; at most [maxQueuedCalls] calls wait for one. */
+/**
+ * HTTP client for calls with CBOR bodies. Uses up to [maxConnections] keep-alive connections to each address; an idle
+ * one is closed after [keepAliveS] seconds. At most [maxQueuedCalls] calls wait for a free connection to the same
+ * address; further ones fail with [CallResult.NotSent].
+ */
 internal class HttpCaller(
     vertx: Vertx,
-    connections: Int,
+    maxConnections: Int,
     keepAliveS: Int = KEEP_ALIVE_S,
-    maxQueuedCalls: Int = MAX_WAITING,
+    maxQueuedCalls: Int = MAX_QUEUED_CALLS,
 ) {
     private val client =
         vertx
@@ -49,7 +57,7 @@
                     .setKeepAliveTimeout(keepAliveS)
                     .setDecompressionSupported(false)
                     .setTcpNoDelay(true),
-            ).with(PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(maxQueuedCalls))
+            ).with(PoolOptions().setHttp1MaxSize(maxConnections).setMaxWaitQueueSize(maxQueuedCalls))
             .build()
 
     suspend fun call(
@@ -74,13 +82,13 @@
                 return CallResult.NotSent
             }
         return try {
-            val sending =
+            val responseFuture =
                 if (body == null) {
                     request.send()
                 } else {
                     request.putHeader("content-type", "application/cbor").send(Buffer.buffer(Cbor.encode(body)))
                 }
-            val response = sending.coAwait()
+            val response = responseFuture.coAwait()
             CallResult.Answered(response.statusCode(), response.body().coAwait().bytes)
         } catch (_: Exception) {
             request.reset()
@@ -90,6 +98,6 @@
 
     private companion object {
         const val KEEP_ALIVE_S = 60
-        const val MAX_WAITING = 256
+        const val MAX_QUEUED_CALLS = 256
     }
 }
--- a/src/main/kotlin/oxbowlug/peer/PeerTransport.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerTransport.kt
@@ -13,11 +13,15 @@
 import oxbowlug.port.PeerPort
 import oxbowlug.wire.ImageName
 import oxbowlug.wire.MachineId
-import okio.Buffer as Frames
+import okio.Buffer as FrameBuffer
 
 /**
- * One connection to each other controller, over which this one sends its heartbeat. So a controller that lost
- * only the state service learns that another one leads, and redirects its workers.
+ * Sends and receives the messages between controllers, over TCP. Each controller opens one connection to each of the
+ * others and uses it for sending only: heartbeats at an interval of [intervalMs], cancellation notices and cached
+ * images.
+ *
+ * Without these heartbeats, a controller that has lost only its connection to the state service wouldn't learn that
+ * another one has become leader, and couldn't redirect its workers to it.
  */
 internal class PeerTransport(
     private val vertx: Vertx,
@@ -28,49 +32,50 @@
     private val onMessage: (PeerMessage) -> Unit,
 ) : PeerPort {
     private val client = vertx.createNetClient(NetClientOptions().setConnectTimeout((intervalMs * 2).toInt()))
-    private val socketByPeer = arrayOfNulls<NetSocket>(settings.peers.size)
-    private var rounds = 0L
+
+    /** The open connections, by the index of the peer in the settings. */
+    private val sockets = arrayOfNulls<NetSocket>(settings.peers.size)
+    private var periodicBroadcasts = 0L
     private val isConnecting = BooleanArray(settings.peers.size)
 
-    /** Listens for the other controllers, and sends heartbeats from now on. Called once, on the event loop. */
+    /** Starts to listen for the other controllers and to send heartbeats. Called once, on the event loop. */
     fun start() {
         vertx
             .createNetServer(NetServerOptions().setHost(settings.peerListen.host).setPort(settings.peerListen.port))
-            .connectHandler(::receive)
+            .connectHandler(::acceptConnection)
             .listen()
             .onFailure { log.error("peer listener failed: address={} reason={}", settings.peerListen, it.message) }
         vertx.setPeriodic(intervalMs) {
-            // Images change slowly, and their frame is the larger one.
-            broadcast(if (rounds++ % ROUNDS_BETWEEN_IMAGES == 0L) images() else emptyMap())
+            // Cached images change slowly and need large frames, so only some of the broadcasts carry them.
+            broadcast(if (periodicBroadcasts++ % BROADCASTS_PER_IMAGES == 0L) images() else emptyMap())
         }
         broadcast()
     }
 
-    /** Sends the heartbeat now. */
     private fun broadcast() = broadcast(emptyMap())
 
     override fun broadcastHeartbeat() = broadcast()
 
-    /** Lost if there is no connection: whoever needs an acknowledgement sends it again. */
+    /** The notice is dropped if there is no connection to the peer yet. */
     override fun send(
         label: String,
         notice: CancellationNotice,
     ) {
         val index = settings.peers.indexOfFirst { it.label == label }
-        if (index >= 0) write(index, PeerFrameCodec.encode(notice).readByteArray())
+        if (index >= 0) sendTo(index, PeerFrameCodec.encode(notice).readByteArray())
     }
 
     private fun broadcast(imagesByMachine: Map<MachineId, List<ImageName>>) {
         val frames = PeerFrameCodec.encode(heartbeat())
         if (imagesByMachine.isNotEmpty()) frames.writeAll(PeerFrameCodec.encode(imagesByMachine))
         val bytes = frames.readByteArray()
-        for (index in settings.peers.indices) write(index, bytes)
+        for (index in settings.peers.indices) sendTo(index, bytes)
     }
 
-    private fun receive(socket: NetSocket) {
-        val input = Frames()
-        socket.handler { bytes ->
-            input.write(bytes.bytes)
+    private fun acceptConnection(socket: NetSocket) {
+        val input = FrameBuffer()
+        socket.handler { received ->
+            input.write(received.bytes)
             try {
                 while (true) onMessage(PeerFrameCodec.decodeNext(input) ?: break)
             } catch (e: MalformedFrame) {
@@ -78,16 +83,19 @@
                 socket.close()
             }
         }
+        // A connection error closes the socket, and the peer opens a new connection.
         socket.exceptionHandler { }
     }
 
-    private fun write(
+    /** Sends [bytes] if the connection is open; otherwise drops them and opens the connection. */
+    private fun sendTo(
         index: Int,
         bytes: ByteArray,
     ) {
-        val socket = socketByPeer[index]
+        val socket = sockets[index]
         if (socket != null) {
-            // A peer that reads nothing any more must not be written to for ever.
+            // The peer has stopped reading. Closing the connection keeps the write queue from growing without limit;
+            // the next message opens a new one.
             if (socket.writeQueueFull()) {
                 socket.close()
             } else {
@@ -101,17 +109,18 @@
         client.connect(address.port, address.host).onComplete { result ->
             isConnecting[index] = false
             if (result.succeeded()) {
-                val opened = result.result()
-                socketByPeer[index] = opened
-                opened.closeHandler { if (socketByPeer[index] === opened) socketByPeer[index] = null }
-                opened.exceptionHandler { }
-                opened.write(Buffer.buffer(PeerFrameCodec.encode(heartbeat()).readByteArray()))
+                val openedSocket = result.result()
+                sockets[index] = openedSocket
+                openedSocket.closeHandler { if (sockets[index] === openedSocket) sockets[index] = null }
+                openedSocket.exceptionHandler { }
+                openedSocket.write(Buffer.buffer(PeerFrameCodec.encode(heartbeat()).readByteArray()))
             }
         }
     }
 
     private companion object {
-        const val ROUNDS_BETWEEN_IMAGES = 10L
+        /** Every tenth periodic broadcast carries the cached images. */
+        const val BROADCASTS_PER_IMAGES = 10L
         val log = LoggerFactory.getLogger("peer")
     }
 }
--- a/src/main/kotlin/oxbowlug/port/CancellationListener.kt
+++ b/src/main/kotlin/oxbowlug/port/CancellationListener.kt
@@ -3,17 +3,21 @@
 import oxbowlug.wire.JobId
 
 /**
- * What has to be known of a cancellation before its user is answered. Both are called on the owner's event loop, right
- * before the answer: a crash of the process between the answer and the call would lose the cancellation.
+ * Notified of a cancellation before the user gets the answer. Both functions are called on the event loop that owns the
+ * controller's state, right before the answer is sent: in the reverse order, a crash of the process between the answer
+ * and the call would lose a confirmed cancellation.
  */
 internal interface CancellationListener {
-    /** This controller committed the cancellation of [id] at [revision]; [record] is the job's whole record by then. */
+    /**
+     * This controller committed the cancellation of [id] at [revision]; [record] is the job's whole record as of that
+     * revision.
+     */
     fun onCancellationCommitted(
         id: JobId,
         revision: Long,
         record: Map<String, Any?>,
     )
 
-    /** A user is about to be answered that [id] is cancelled, whichever controller cancelled it. */
+    /** The answer that [id] is cancelled is about to be sent to a user; any controller may have cancelled the job. */
     fun onCancellationAnswered(id: JobId)
 }
--- a/src/main/kotlin/oxbowlug/port/Clock.kt
+++ b/src/main/kotlin/oxbowlug/port/Clock.kt
@@ -1,13 +1,13 @@
 package oxbowlug.port
 
-/** The clocks of this node. May be read from any thread. */
+/** The clocks of this node. Thread-safe. */
 internal interface Clock {
-    /** Milliseconds since some moment, never set back: for every wait and every proof that a lease has expired. */
+    /** Monotonic milliseconds since an arbitrary origin: for all timeouts and all proofs that a lease has expired. */
     fun steadyMs(): Long
 
-    /** Milliseconds since the epoch of Unix, which may jump: only for what several nodes compare. */
+    /** Milliseconds since the Unix epoch, which may jump: only for times that several nodes compare. */
     fun wallMs(): Long
 
-    /** Nanoseconds since some moment, for how long this process's own work takes. */
+    /** Monotonic nanoseconds since an arbitrary origin: for measuring how long this process's own work takes. */
     fun nanoTime(): Long
 }
--- a/src/main/kotlin/oxbowlug/port/CloudPort.kt
+++ b/src/main/kotlin/oxbowlug/port/CloudPort.kt
@@ -5,42 +5,51 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.RentalRequest
 
-/** What became of a call to rent machines. */
+/**
+ * The outcome of a call to rent machines. After [NoCapacity] and [Refused] it is certain that the call was not executed
+ * and will not be.
+ */
 internal sealed interface RentalOutcome {
-    /** Rented: the ids of the new machines. */
+    /** Rented. [machines] may be fewer than requested. */
     data class Rented(
         val machines: List<MachineId>,
     ) : RentalOutcome
 
-    /** The provider has none of this kind now. */
+    /** The provider has no capacity for this machine kind now. */
     data object NoCapacity : RentalOutcome
 
-    /** Surely not executed: 429 or an outage. */
+    /** The provider answered 429 or 503, or no connection could be opened. */
     data object Refused : RentalOutcome
 
-    /** No answer, or a malformed one: executed, or not, or later. What it rented is found by [CloudPort.list]. */
+    /**
+     * No usable answer: the call may have been executed, or may still be executed later. Machines that it rented appear
+     * in [CloudPort.list].
+     */
     data object Unanswered : RentalOutcome
 }
 
 /**
- * The provider that machines are rented from. Threading, as of all ports: a call is made on the event loop that owns
- * the controller's state and returns at once; its outcome comes back as an event on the controller's queue, so that
- * `done` runs on that event loop. A failure outside is an outcome, never an exception. Callers keep within the
- * provider's limit of calls by a token bucket of their own.
+ * The cloud provider that machines are rented from. Threading, here and in all other ports: a call is made on the event
+ * loop that owns the controller's state and returns at once; its outcome comes back as an event in the controller's
+ * queue, so `done` runs on the same event loop. A failed call is reported as an outcome, never as an exception. Callers
+ * stay within the provider's rate limit by a token bucket of their own.
  */
 internal interface CloudPort {
-    /** All machine types with their prices, or null when the call failed. */
+    /** Fetches all machine types with their prices. [done] gets null if the call failed. */
     fun types(done: (List<MachineType>?) -> Unit)
 
-    /** Not idempotent: a call that is [RentalOutcome.Unanswered] must not simply be repeated. */
+    /**
+     * Rents machines. Idempotent only by [RentalRequest.name]: after [RentalOutcome.Unanswered] a retry under another
+     * name could rent a second time.
+     */
     fun rent(
         request: RentalRequest,
         done: (RentalOutcome) -> Unit,
     )
 
     /**
-     * Ends the rental of [machines], of which there are at most [oxbowlug.wire.CloudCodec.MAX_RETURNED]. May be
-     * repeated. [done] gets true when the provider confirmed it; false says nothing: it may be executed, or not, or
+     * Ends the rental of [machines], at most [oxbowlug.wire.CloudCodec.MAX_RETURNED] a call. Idempotent. [done] gets
+     * true if the provider confirmed the release; after false it may have been executed, or may still be executed
      * later.
      */
     fun releaseMachines(
@@ -48,6 +57,9 @@
         done: (Boolean) -> Unit,
     )
 
-    /** All rented machines, read page by page, or null when any page failed: a part proves no machine absent. */
+    /**
+     * Lists all rented machines, page by page. [done] gets null if any page failed, because an incomplete list doesn't
+     * prove that a machine is gone.
+     */
     fun list(done: (List<ListedMachine>?) -> Unit)
 }
--- a/src/main/kotlin/oxbowlug/port/Invariant.kt
+++ b/src/main/kotlin/oxbowlug/port/Invariant.kt
@@ -1,15 +1,18 @@
 package oxbowlug.port
 
-/** What must hold whatever fails outside. [label] is what logs and metrics call it. */
+/** Invariants that must hold under any failure outside this process. [label] is the name in logs and metrics. */
 internal enum class Invariant(
     val label: String,
 ) {
-    /** A start that no stored record names is unknown to whoever leads next. */
+    /**
+     * A task attempt is only started after its placement is stored. Otherwise the next leader would not know of the
+     * attempt.
+     */
     STARTS_ARE_STORED("starts.are.stored"),
 
-    /** Whoever renews a worker's lease ends the cancelled work there. */
+    /** A controller that renews a worker's lease also stops the cancelled work on that worker. */
     CANCELLED_WORK_IS_STOPPED("cancelled.work.is.stopped"),
 
-    /** A task that runs on one machine is not placed on another. */
+    /** A task that runs on one machine is not placed on another one. */
     ONE_MACHINE_PER_TASK("one.place.a.task"),
 }
--- a/src/main/kotlin/oxbowlug/port/Meters.kt
+++ b/src/main/kotlin/oxbowlug/port/Meters.kt
@@ -1,27 +1,28 @@
 package oxbowlug.port
 
-/** What the controller measures; the adapter publishes it. Called on the owner's event loop. */
+/** Metrics that the controller records. Called on the event loop that owns the controller's state. */
 internal interface Meters {
     /**
-     * A scheduling round took [nanos] and priced [priced] machines, each counted once for a job and kind of capacity.
+     * Records a scheduling round that took [nanos] and computed the cost of [priced] machines, each counted once for
+     * every job and kind of capacity.
      */
     fun recordPlan(
         nanos: Long,
         priced: Int,
     )
 
-    /** One batch of events was processed in [nanos]. */
+    /** Records a batch of events that the event loop processed in [nanos]. */
     fun recordStep(nanos: Long)
 
-    /** A tick came [millis] late, and whatever came with it waited as long for the event loop. */
+    /** Records that a tick ran [millis] late: other events waited about as long for the event loop. */
     fun recordQueueDelay(millis: Long)
 
-    /** The commit of a submission was settled, whatever its outcome, after [millis]. */
+    /** Records the commit of a submission that completed after [millis], with any outcome. */
     fun recordCommit(millis: Long)
 
-    /** A user's request was refused; [reason] becomes a label, so it has to be one of a few fixed texts. */
+    /** Counts a rejected user request; [reason] becomes a label value, so it must be one of a few fixed texts. */
     fun recordRefusal(reason: String)
 
-    /** [invariant] was found violated. */
+    /** Counts a violation of [invariant]. */
     fun recordViolation(invariant: Invariant)
 }
--- a/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
@@ -3,26 +3,31 @@
 import oxbowlug.record.Member
 
 /**
- * What controllers send to one another at an interval and on a change: who they are, the newest epoch and leader that
- * they know, and whether the state service answers them.
+ * The heartbeat that controllers send to one another at an interval and when the leader changes: the sender's identity,
+ * the newest epoch and leader that it knows, and whether the state service answers it.
  */
 internal data class PeerHeartbeat(
     val sender: Member,
     val epoch: Long,
     val leader: Member?,
     val reachesState: Boolean,
-    /** Milliseconds of the sender's steady clock, comparable only with other heartbeats of the same incarnation. */
+    /** Send time by the sender's steady clock; comparable only between heartbeats of the same incarnation. */
     val sentAtMs: Long = 0,
+    /** Echoes the newest heartbeat that the sender has received from a leader; null if there was none yet. */
     val echo: HeartbeatEcho? = null,
-    /** Confirmed a cancellation that the leader hasn't acknowledged. */
+    /** Whether the sender has confirmed a cancellation that the leader hasn't acknowledged yet. */
     val hasUnacknowledgedCancellations: Boolean = false,
-    /** Answered by the state service within the last moments: it may be confirming cancellations now. */
+    /**
+     * Whether the state service answered the sender so recently that the sender may be confirming cancellations to
+     * users now.
+     */
     val mayConfirmCancellations: Boolean = false,
 )
 
 /**
- * The newest heartbeat of [leader] that the sender had received, by the leader's clock, and how many leases the sender
- * has renewed as delegate in this incarnation.
+ * Echo of the leader's heartbeats in a peer's heartbeat. [sentAtMs] is the send time, by the clock of [leader], of the
+ * newest heartbeat that the peer has received from it. [renewals] counts the worker leases that the peer has renewed as
+ * a lease renewal delegate in its current incarnation.
  */
 internal data class HeartbeatEcho(
     val leader: Member,
--- a/src/main/kotlin/oxbowlug/port/PeerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerPort.kt
@@ -1,16 +1,19 @@
 package oxbowlug.port
 
 /**
- * The other controllers, by their labels. Called on the owner's event loop; nothing is answered or awaited. Messages to
- * one of them arrive in order, or not at all.
+ * Sends messages to the other controllers, which are addressed by their labels. Called on the event loop that owns the
+ * controller's state. Sending is fire-and-forget: calls return at once and report no outcome. Messages to the same
+ * controller may be lost, but are never reordered.
  */
 internal interface PeerPort {
-    /** Sends [notice] once, without a guarantee: whoever needs an acknowledgement sends it again. */
+    /**
+     * Sends [notice] once to the controller [label]; a caller that needs an acknowledgement retries until it has one.
+     */
     fun send(
         label: String,
         notice: CancellationNotice,
     )
 
-    /** The heartbeat of this controller has changed, and has to be sent at once instead of after its interval. */
+    /** Sends this controller's heartbeat to all others now, because it has changed, instead of at the next interval. */
     fun broadcastHeartbeat()
 }
--- a/src/main/kotlin/oxbowlug/port/StatePort.kt
+++ b/src/main/kotlin/oxbowlug/port/StatePort.kt
@@ -4,69 +4,74 @@
 import oxbowlug.wire.ReadPage
 import oxbowlug.wire.Transaction
 
-/** What became of a transaction. */
+/**
+ * The outcome of a transaction. After any other outcome than [Applied] and [Unanswered] it is certain that the
+ * transaction was not executed and will not be.
+ */
 internal sealed interface CommitOutcome {
-    /** Executed; [revision] is that of all its changes. */
+    /** Executed. All changes of the transaction have this [revision]. */
     data class Applied(
         val revision: Long,
     ) : CommitOutcome
 
-    /** Surely not executed: the conditions on the keys [failed] don't hold. */
+    /** The conditions on the keys [failed] don't hold. */
     data class Conflict(
         val failed: List<String>,
     ) : CommitOutcome
 
-    /** Surely not executed: 429, 503, or no connection. */
+    /** The service answered 429 or 503, or no connection could be opened. */
     data object Refused : CommitOutcome
 
-    /** The lease named in it has expired. Surely not executed. */
+    /** A lease that the transaction binds a key to has expired. */
     data object LeaseExpired : CommitOutcome
 
-    /** Malformed to the service, or larger than it takes. Surely not executed, and never if sent again unchanged. */
+    /** The service rejected the transaction as malformed or too large. Retrying it unchanged fails again. */
     data object Invalid : CommitOutcome
 
-    /** No answer: executed, or not, or later. */
+    /** No usable answer: the transaction may have been executed, or may still be executed later. */
     data object Unanswered : CommitOutcome
 }
 
-/** What became of a watch. */
+/** The outcome of a watch or of a read of changes. */
 internal sealed interface ChangesOutcome {
+    /** The changes after the requested revision; none if the wait time passed without one. */
     data class Read(
         val changes: Changes,
     ) : ChangesOutcome
 
-    /** The revision asked for is compacted: a full resync is needed. */
+    /** The service has compacted its history beyond the requested revision: a full resync is needed. */
     data object Compacted : ChangesOutcome
 
-    /** No answer, or a refusal. The watch may be repeated from the same revision. */
+    /** No usable answer, or an error. The call may be retried from the same revision. */
     data object Failed : ChangesOutcome
 }
 
-/** What became of the renewal of a lease. */
+/** The outcome of a lease renewal. */
 internal enum class LeaseRenewalOutcome {
-    /** Renewed for its whole time to live, from some moment after the call was sent. */
+    /** Renewed for its full TTL, which starts at some time after the call was sent. */
     RENEWED,
 
-    /** The lease has expired, and the keys bound to it are deleted. */
+    /** The lease has expired, and the service has deleted the keys bound to it. */
     EXPIRED,
 
-    /** No answer, or a refusal: renewed, or not. */
+    /** No answer, or an error: the lease may or may not be renewed. */
     FAILED,
 }
 
 /**
- * The strongly consistent store of all controllers. Callbacks run on the owner's event loop; durations are in
- * milliseconds.
+ * The state service: the strongly consistent key-value store that all controllers share. Callbacks run on the event
+ * loop that owns the controller's state; durations are in milliseconds.
  */
 internal interface StatePort {
-    /** Executes all changes in one transaction if all its conditions hold, which compare versions of keys. */
+    /** Applies all changes of [transaction] atomically if all its conditions on the versions of keys hold. */
     fun commit(
         transaction: Transaction,
         done: (CommitOutcome) -> Unit,
     )
 
     /**
-     * The page of entries whose keys begin with [prefix] and follow [after] (null: the first), or null if it failed.
+     * Reads the page of entries whose keys begin with [prefix] and follow [after], or the first page if [after] is
+     * null. [done] gets null if the call failed.
      */
     fun readPage(
         prefix: String,
@@ -75,8 +80,8 @@
     )
 
     /**
-     * Watches keys that begin with [prefix]: what changed after revision [from], as soon as there is any, or after
-     * [waitMs].
+     * Watches keys that begin with [prefix]. The service answers with the changes after revision [from] as soon as
+     * there are any, and after [waitMs] without any; 0 makes it answer at once.
      */
     fun changes(
         prefix: String,
@@ -86,22 +91,23 @@
     )
 
     /**
-     * A new lease that lives for [ttlMs] unless it is renewed; null if the call failed, and then one may exist unused.
+     * Creates a lease that expires after [ttlMs] unless it is renewed. [done] gets the lease's id, or null if the call
+     * failed; then an unused lease may exist until it expires.
      */
     fun grantLease(
         ttlMs: Long,
         done: (Long?) -> Unit,
     )
 
-    /** Renews [lease]. */
+    /** Renews [lease] for its full TTL. */
     fun keepLeaseAlive(
         lease: Long,
         done: (LeaseRenewalOutcome) -> Unit,
     )
 
     /**
-     * Ends [lease] at once and so deletes the keys bound to it. Its outcome isn't awaited: unreached, the lease
-     * expires.
+     * Ends [lease] at once, which deletes the keys bound to it. The outcome isn't reported: if the call fails, the
+     * lease expires after its TTL.
      */
     fun revokeLease(lease: Long)
 }
--- a/src/main/kotlin/oxbowlug/port/WorkerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/WorkerPort.kt
@@ -5,32 +5,38 @@
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
 
-/** What became of a direct command to a worker. */
+/** The outcome of a direct call with commands to a worker. */
 internal sealed interface CommandOutcome {
-    /** Executed, or refused for its token or incarnation: either way the heartbeat is the worker's present account. */
+    /**
+     * The worker answered with its current status in [heartbeat]. [executed] is false if it rejected the commands
+     * because of their fencing token or incarnation.
+     */
     data class Answered(
         val heartbeat: WorkerHeartbeat,
         val executed: Boolean,
     ) : CommandOutcome
 
-    /** The connection could not be opened: surely not executed, now or later. */
+    /** No connection could be opened: the commands were not sent and will never be executed. */
     data object NotSent : CommandOutcome
 
-    /** Sent, but not answered: it may be executed minutes later. */
+    /** Sent, but no usable answer: the commands may have been executed, or may still be executed minutes later. */
     data object Unanswered : CommandOutcome
 }
 
-/** Calls straight to a worker, instead of in an answer to its heartbeat. Callbacks run on the owner's event loop. */
+/**
+ * Calls to a worker's own endpoint, besides the answers to its heartbeats. Callbacks run on the event loop that owns
+ * the controller's state.
+ */
 internal interface WorkerPort {
-    /** The worker's own account, or null when it gave none in time. Renews no lease. */
+    /** Reads the worker's current status. [done] gets null if there was no usable answer in time. Renews no lease. */
     fun status(
         endpoint: Address,
         done: (WorkerHeartbeat?) -> Unit,
     )
 
     /**
-     * Commands under [token], which the worker refuses when it knows a newer one or is in another [incarnation]. Renews
-     * no lease.
+     * Sends [commands] under the fencing [token]. The worker rejects them if it has seen a newer token or is not in
+     * this [incarnation]. Renews no lease.
      */
     fun command(
         endpoint: Address,
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -16,8 +16,8 @@
 import oxbowlug.wire.Transaction
 
 /**
- * The state service over HTTP. [runOnEventLoop] brings outcomes back to the controller's event queue. A malformed answer counts
- * as none. Times are in milliseconds; a read of changes may be answered later than [timeoutMs] by its own wait.
+ * HTTP client of the state service. [runOnEventLoop] enqueues outcomes as events of the controller. A malformed answer
+ * is treated as no answer. Times are in milliseconds; the timeout of a watch is [timeoutMs] plus its wait time.
  */
 internal class StateClient(
     private val address: Address,
@@ -53,9 +53,9 @@
         after: String?,
         done: (ReadPage?) -> Unit,
     ) {
-        val from = if (after == null) "" else "&from=$after"
-        call(HttpMethod.GET, "/store?prefix=$prefix$from&limit=$PAGE_ENTRIES", null, timeoutMs, done) { result ->
-            result.bodyOf(OK)?.let(StoreCodec::decodePage)
+        val fromParameter = if (after == null) "" else "&from=$after"
+        call(HttpMethod.GET, "/store?prefix=$prefix$fromParameter&limit=$PAGE_SIZE", null, timeoutMs, done) { result ->
+            result.bodyIfStatus(OK)?.let(StoreCodec::decodePage)
         }
     }
 
@@ -67,7 +67,7 @@
     ) {
         val path = "/changes?prefix=$prefix&from=$from&block_ms=$waitMs"
         call(HttpMethod.GET, path, null, timeoutMs + waitMs, done) { result ->
-            val body = result.bodyOf(OK)
+            val body = result.bodyIfStatus(OK)
             when {
                 body != null -> ChangesOutcome.Read(StoreCodec.decodeChanges(body))
                 result is CallResult.Answered && result.status == GONE -> ChangesOutcome.Compacted
@@ -80,7 +80,7 @@
         ttlMs: Long,
         done: (Long?) -> Unit,
     ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to ttlMs), timeoutMs, done) { result ->
-        result.bodyOf(OK)?.let(StoreCodec::decodeLease)
+        result.bodyIfStatus(OK)?.let(StoreCodec::decodeLease)
     }
 
     override fun keepLeaseAlive(
@@ -100,29 +100,29 @@
         method: HttpMethod,
         path: String,
         body: Map<String, Any?>?,
-        timeout: Long,
+        callTimeoutMs: Long,
         done: (T) -> Unit,
-        read: (CallResult) -> T,
+        toOutcome: (CallResult) -> T,
     ) {
         scope.launch {
-            val result = http.call(address, method, path, body, timeout)
+            val result = http.call(address, method, path, body, callTimeoutMs)
             val outcome =
                 try {
-                    read(result)
+                    toOutcome(result)
                 } catch (_: InvalidField) {
-                    // A malformed answer counts as none.
-                    read(CallResult.Unanswered)
+                    // A malformed answer is treated as no answer.
+                    toOutcome(CallResult.Unanswered)
                 }
             runOnEventLoop { done(outcome) }
         }
     }
 
-    private fun CallResult.bodyOf(status: Int): Map<String, Any?>? =
+    private fun CallResult.bodyIfStatus(status: Int): Map<String, Any?>? =
         if (this is CallResult.Answered && this.status == status) body else null
 
     private companion object {
-        /** How many entries of a page are asked for. */
-        const val PAGE_ENTRIES = 250
+        /** Entries requested per page. */
+        const val PAGE_SIZE = 250
         const val OK = 200
         const val BAD_REQUEST = 400
         const val NOT_FOUND = 404
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
 
-/** Calls straight to a worker's address over HTTP. [runOnEventLoop] brings outcomes back to the owner's event loop. */
+/** HTTP client of the workers' endpoints. [runOnEventLoop] enqueues outcomes as events of the controller. */
 internal class WorkerClient(
     private val http: HttpCaller,
     private val scope: CoroutineScope,
@@ -32,7 +32,7 @@
             val body = WorkerCodec.encodeDirect(token, incarnation, commands)
             val outcome =
                 when (val result = http.call(endpoint, HttpMethod.POST, "/do", body, timeoutMs)) {
-                    is CallResult.Answered -> read(result)
+                    is CallResult.Answered -> toCommandOutcome(result)
                     CallResult.NotSent -> CommandOutcome.NotSent
                     CallResult.Unanswered -> CommandOutcome.Unanswered
                 }
@@ -48,7 +48,7 @@
             val result = http.call(endpoint, HttpMethod.GET, "/status", null, timeoutMs)
             val heartbeat =
                 if (result is CallResult.Answered && result.status == 200) {
-                    (read(result) as? CommandOutcome.Answered)?.heartbeat
+                    (toCommandOutcome(result) as? CommandOutcome.Answered)?.heartbeat
                 } else {
                     null
                 }
@@ -56,7 +56,7 @@
         }
     }
 
-    private fun read(result: CallResult.Answered): CommandOutcome {
+    private fun toCommandOutcome(result: CallResult.Answered): CommandOutcome {
         val body = result.body ?: return CommandOutcome.Unanswered
         if (result.status != 200 && result.status != 409) return CommandOutcome.Unanswered
         return try {
