--- a/src/main/kotlin/oxbowlug/cli/ClassArchiveWarmUp.kt
+++ b/src/main/kotlin/oxbowlug/cli/ClassArchiveWarmUp.kt
@@ -19,19 +19,20 @@
 import kotlin.system.exitProcess
 
 /**
- * A run of a few seconds on loopback, made by the build, so that the class-data-sharing archive holds every class that
- * a controller loads. One class that is missing there costs a start tens of milliseconds of processor time, since it
- * is looked for in every jar of the class path. So the run goes through the ordinary start, and its controller is
- * elected, answers a worker, accepts, plans and cancels, against stand-ins of the services around it.
+ * Loads every class that a controller uses, so that the build can put them into the class-data-sharing (CDS) archive. A
+ * class missing from the archive costs each start tens of milliseconds of processor time, because it is searched for in
+ * every jar of the class path. The build runs a controller for a few seconds on loopback with the ordinary start
+ * procedure: the controller is elected, responds to a worker, and accepts, plans and cancels jobs, against
+ * [StandInServices] in place of the external services.
  */
 internal object ClassArchiveWarmUp {
     private const val ROUNDS = 10
     private const val ROUND_MS = 150L
     private const val CALL_TIMEOUT_MS = 1000L
 
-    /** [load] reads a settings file as an ordinary start does. */
+    /** Runs the warm-up and exits the process. [load] reads a settings file as an ordinary start does. */
     fun run(load: (path: String) -> Settings) {
-        // What the controller logs is formatted as ever, but is of no use to whoever reads the build's output.
+        // Log messages are still formatted, which loads the classes for it, but are kept out of the build's output.
         System.setErr(PrintStream(OutputStream.nullOutputStream()))
         val vertx = Vertx.vertx()
         CoroutineScope(vertx.dispatcher()).launch {
@@ -39,13 +40,13 @@
             val port = services.start().coAwait()
             val settings = load(settingsFile(port).path)
             Service(settings).start()
-            useController(HttpCaller(vertx, 2), settings.clientListen, port)
+            exerciseController(HttpCaller(vertx, 2), settings.clientListen, port)
             loadOwnClasses()
             exitProcess(0)
         }
     }
 
-    private suspend fun useController(
+    private suspend fun exerciseController(
         http: HttpCaller,
         controller: Address,
         servicesPort: Int,
@@ -55,11 +56,12 @@
             val id = "warm-up-$round"
             val calls =
                 listOf(
-                    HttpMethod.POST to "/hello" to StandInServices.report(round, servicesPort),
+                    HttpMethod.POST to "/hello" to StandInServices.heartbeat(round, servicesPort),
                     HttpMethod.POST to "/work" to StandInServices.job(id),
                     HttpMethod.GET to "/work/$id" to null,
                     HttpMethod.POST to "/work/$id/cancel" to null,
                     HttpMethod.GET to "/work/$id" to null,
+                    // An invalid submission, for the classes of error responses.
                     HttpMethod.POST to "/work" to mapOf("id" to JobId(id).value),
                     HttpMethod.GET to "/healthz" to null,
                     HttpMethod.GET to "/metrics" to null,
@@ -71,7 +73,7 @@
         }
     }
 
-    /** Those that a quiet run doesn't need belong to the archive as well. */
+    /** Loads the project's classes that the run above didn't need, such as those for faults. */
     private fun loadOwnClasses() {
         val jar = File(ClassArchiveWarmUp::class.java.protectionDomain.codeSource.location.path)
         if (!jar.isFile) return
@@ -84,6 +86,10 @@
         }
     }
 
+    /**
+     * Writes a settings file with two peers: one is this controller itself, so that it sends and receives peer frames,
+     * and nothing listens at the address of the other.
+     */
     private fun settingsFile(servicesPort: Int): File {
         val (client, peer) = freePorts()
         val services = Address("127.0.0.1", servicesPort)
--- a/src/main/kotlin/oxbowlug/cli/Main.kt
+++ b/src/main/kotlin/oxbowlug/cli/Main.kt
@@ -14,7 +14,10 @@
 private const val USAGE_ERROR = 2
 private const val VERSION = "0.1.0"
 
-/** Starts a controller, or answers an option and ends: 0 if that worked, 2 for wrong options or settings. */
+/**
+ * Starts a controller, or handles an option such as `--check` and exits: with code 0 on success, and 2 if the options
+ * or the settings are invalid.
+ */
 fun main(args: Array<String>) {
     val parser = OptionParser()
     val config = parser.accepts("config", "the platform's settings (TOML)").withRequiredArg().describedAs("FILE")
@@ -61,8 +64,8 @@
     policy: String?,
 ): Settings {
     if (config == null) throw InvalidSettings("--config: is missing")
-    val rules = if (policy == null) Policy() else PolicyFile.parse(read("--policy", policy))
-    return SettingsFile.parse(read("--config", config), rules)
+    val parsedPolicy = if (policy == null) Policy() else PolicyFile.parse(read("--policy", policy))
+    return SettingsFile.parse(read("--config", config), parsedPolicy)
 }
 
 private fun read(
--- a/src/main/kotlin/oxbowlug/cli/StandInServices.kt
+++ b/src/main/kotlin/oxbowlug/cli/StandInServices.kt
@@ -7,21 +7,21 @@
 import oxbowlug.wire.Cbor
 
 /**
- * The least of a state service, a cloud and a worker that a controller needs to be elected and to place a task, for
- * [ClassArchiveWarmUp] alone: conditions of transactions are not checked, and leases never end.
+ * A minimal state service, cloud and worker on one port, with which a controller can be elected and place a task. Only
+ * [ClassArchiveWarmUp] uses it: the conditions of transactions are not checked, and leases never expire.
  */
 internal class StandInServices(
     private val vertx: Vertx,
 ) {
-    private class Stored(
+    private class StoredValue(
         val value: Any?,
         val revision: Long,
     )
 
-    private val store = sortedMapOf<String, Stored>()
+    private val store = sortedMapOf<String, StoredValue>()
     private var revision = 0L
 
-    /** The port on which all of them answer. */
+    /** Starts the server and returns its port, which serves all three. */
     fun start(): Future<Int> =
         vertx
             .createHttpServer()
@@ -42,7 +42,7 @@
             path == "/changes" -> changes(request)
             path == "/machine_types" -> reply(request, mapOf("breeds" to listOf(MACHINE_TYPE)))
             path == "/rentals" -> reply(request, mapOf("herd" to listOf(listedMachine(request)), "more" to false))
-            path == "/do" || path == "/status" -> reply(request, report(0, request.localAddress().port()))
+            path == "/do" || path == "/status" -> reply(request, heartbeat(0, request.localAddress().port()))
             else -> reply(request, emptyMap())
         }
     }
@@ -60,20 +60,20 @@
         for (change in transaction["then"] as List<*>) {
             val fields = change as Map<*, *>
             val key = fields["set"] ?: continue
-            store[key as String] = Stored(fields["value"], revision)
+            store[key as String] = StoredValue(fields["value"], revision)
         }
         return mapOf("ledger" to revision)
     }
 
     private fun changes(request: HttpServerRequest) {
         val from = request.getParam("from").orEmpty().toLong()
-        val blocks = request.getParam("block_ms") != "0"
+        val isWatch = request.getParam("block_ms") != "0"
         val events =
             store.filterValues { it.revision > from }.map { (key, stored) ->
                 mapOf("set" to key, "value" to stored.value, "mark" to stored.revision)
             }
         val body = mapOf("ledger" to revision, "events" to events)
-        if (events.isEmpty() && blocks) vertx.setTimer(WATCH_MS) { reply(request, body) } else reply(request, body)
+        if (events.isEmpty() && isWatch) vertx.setTimer(WATCH_MS) { reply(request, body) } else reply(request, body)
     }
 
     private fun listedMachine(request: HttpServerRequest) =
@@ -113,9 +113,9 @@
                 "paddocks" to listOf(ZONE),
             )
 
-        /** A worker's report, the [number]th of its incarnation. */
-        fun report(
-            number: Int,
+        /** A heartbeat of the worker with sequence number [sequence]. */
+        fun heartbeat(
+            sequence: Int,
             port: Int,
         ): Map<String, Any?> =
             mapOf(
@@ -125,13 +125,13 @@
                 "paddock" to ZONE,
                 "stray" to false,
                 "shift" to 1L,
-                "tally" to number.toLong(),
+                "tally" to sequence.toLong(),
                 "brand" to 0L,
                 "whistle_s" to null,
                 "furrows" to listOf(mapOf("furrow" to "other-job/0", "try" to 1L, "stance" to "running")),
             )
 
-        /** A service that needs a GPU. */
+        /** The specification of a service whose tasks need one GPU each. */
         fun job(id: String): Map<String, Any?> =
             mapOf(
                 "id" to id,
