--- a/src/scale/kotlin/oxbowlug/scale/ArgumentParser.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ArgumentParser.kt
@@ -13,26 +13,26 @@
     protected val parser = OptionParser()
     private val help = parser.accepts("help", "show this help and end").forHelp()
 
-    protected fun whole(name: String, what: String, default: Int): OptionSpec<Int> =
-        parser.accepts(name, what).withRequiredArg().ofType(Int::class.javaObjectType).defaultsTo(default)
+    protected fun intOption(name: String, description: String, default: Int): OptionSpec<Int> =
+        parser.accepts(name, description).withRequiredArg().ofType(Int::class.javaObjectType).defaultsTo(default)
 
-    protected fun amount(name: String, what: String, default: Double): OptionSpec<Double> =
-        parser.accepts(name, what).withRequiredArg().ofType(Double::class.javaObjectType).defaultsTo(default)
+    protected fun doubleOption(name: String, description: String, default: Double): OptionSpec<Double> =
+        parser.accepts(name, description).withRequiredArg().ofType(Double::class.javaObjectType).defaultsTo(default)
 
     /** Null when only the help was asked for, which is then printed. Throws [InvalidOption]. */
     fun parse(arguments: List<String>): T? {
-        val given = refusing { parser.parse(*arguments.toTypedArray()) }
-        if (given.has(help)) {
+        val parsed = rethrowingAsInvalidOption { parser.parse(*arguments.toTypedArray()) }
+        if (parsed.has(help)) {
             println("$introduction\n")
             parser.printHelpOn(System.out)
             return null
         }
-        given.nonOptionArguments().firstOrNull()?.let { throw InvalidOption("$it: is not an option") }
+        parsed.nonOptionArguments().firstOrNull()?.let { throw InvalidOption("$it: is not an option") }
         // Values are converted only when they are asked for.
-        return refusing { read(given) }.also(::check)
+        return rethrowingAsInvalidOption { read(parsed) }.also(::check)
     }
 
-    protected abstract fun read(given: OptionSet): T
+    protected abstract fun read(parsed: OptionSet): T
 
     protected abstract fun check(options: T)
 
@@ -40,7 +40,7 @@
         if (!isValid) throw InvalidOption("$option: $problem")
     }
 
-    private fun <R> refusing(action: () -> R): R = try {
+    private fun <R> rethrowingAsInvalidOption(action: () -> R): R = try {
         action()
     } catch (e: OptionException) {
         throw InvalidOption(e.message.orEmpty())
--- a/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
@@ -21,33 +21,33 @@
     private val traffic: Traffic,
     rps: Double,
 ) {
-    private val requests = RequestLimit(world, rps, BURST_S)
+    private val rateLimiter = RateLimiter(world, rps, BURST_S)
 
     fun start(vertx: Vertx, topology: Topology): List<Future<*>> = topology.controllers.map { controller ->
         vertx.serveCbor(controller.cloudHost, topology.ports.cloud) { exchange ->
             val caller = Endpoint.Controller(controller)
             network.deliver(caller, Endpoint.CloudProvider) {
-                exchange.guarded {
-                    val (status, body) = answer(exchange, controller, topology.ports.workers)
+                exchange.rejectingMalformed {
+                    val (status, body) = handle(exchange, controller, topology.ports.workers)
                     network.deliver(Endpoint.CloudProvider, caller) { exchange.reply(status, body) }
                 }
             }
         }
     }
 
-    private fun answer(exchange: HttpExchange, controller: ControllerPlace, port: Int): Pair<Int, Map<String, Any?>> {
+    private fun handle(exchange: HttpExchange, controller: ControllerIdentity, port: Int): Pair<Int, Map<String, Any?>> {
         traffic.cloudCalls++
-        if (cloud.down) return Status.UNAVAILABLE to mapOf("error" to "trouble")
-        if (!requests.take()) return Status.TOO_MANY to mapOf("error" to "rate")
+        if (cloud.down) return HttpStatus.UNAVAILABLE to mapOf("error" to "trouble")
+        if (!rateLimiter.tryAcquire()) return HttpStatus.TOO_MANY_REQUESTS to mapOf("error" to "rate")
         return when (exchange.path) {
-            "/machine_types" -> Status.OK to mapOf("breeds" to cloud.types.map(Wire::encodeType))
+            "/machine_types" -> HttpStatus.OK to mapOf("breeds" to cloud.types.map(StandInCodec::encodeType))
             "/rentals" ->
                 if (exchange.request.method() == HttpMethod.POST) rent(exchange) else list(exchange, controller, port)
             "/rentals/return" -> {
                 cloud.returnMachines(exchange.body().fields().texts("herd", CloudCodec.MAX_RETURNED).map(::MachineId))
-                Status.OK to emptyMap()
+                HttpStatus.OK to emptyMap()
             }
-            else -> Status.NOT_FOUND to emptyMap()
+            else -> HttpStatus.NOT_FOUND to emptyMap()
         }
     }
 
@@ -57,24 +57,24 @@
             fields.text("hire"), TypeName(fields.text("breed")), Zone(fields.text("paddock")), fields.flag("stray"),
             fields.count("count", 1, CloudCodec.MAX_RENTED.toLong()).toInt(),
         )
-        if (cloud.types.none { it.name == request.type }) return Status.BAD_REQUEST to mapOf("error" to "unknown type")
+        if (cloud.types.none { it.name == request.type }) return HttpStatus.BAD_REQUEST to mapOf("error" to "unknown type")
         return when (val outcome = cloud.rent(request)) {
-            is RentalOutcome.Rented -> Status.OK to mapOf("herd" to outcome.machines.map { it.value })
+            is RentalOutcome.Rented -> HttpStatus.OK to mapOf("herd" to outcome.machines.map { it.value })
             RentalOutcome.NoCapacity, RentalOutcome.Refused, RentalOutcome.Unanswered ->
-                Status.UNAVAILABLE to mapOf("error" to "no capacity")
+                HttpStatus.UNAVAILABLE to mapOf("error" to "no capacity")
         }
     }
 
-    private fun list(exchange: HttpExchange, controller: ControllerPlace, port: Int): Pair<Int, Map<String, Any?>> {
+    private fun list(exchange: HttpExchange, controller: ControllerIdentity, port: Int): Pair<Int, Map<String, Any?>> {
         val from = exchange.parameter("from").orEmpty()
         val limit = exchange.parameter("limit")?.toIntOrNull()?.coerceIn(1, CloudCodec.MAX_LISTED)
             ?: CloudCodec.MAX_LISTED
-        val later = cloud.list().filter { it.id.value > from }
-        val page = later.take(limit).map { machine ->
+        val remaining = cloud.list().filter { it.id.value > from }
+        val page = remaining.take(limit).map { machine ->
             val host = WorkerAddresses.host(WorkerAddresses.numberOf(machine.id.value), controller.index)
-            Wire.encodeListed(machine, "$host:$port")
+            StandInCodec.encodeListed(machine, "$host:$port")
         }
-        return Status.OK to mapOf("herd" to page, "more" to (later.size > limit))
+        return HttpStatus.OK to mapOf("herd" to page, "more" to (remaining.size > limit))
     }
 
     private companion object {
--- a/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
@@ -16,13 +16,13 @@
         folder.mkdirs()
         val policy = File(folder, "policy.lua")
         policy.writeText(policy())
-        return topology.controllers.map { place ->
-            val settings = File(folder, "${place.label}.toml")
-            settings.writeText(settings(place))
-            val log = File(folder, "${place.label}.log")
+        return topology.controllers.map { identity ->
+            val settings = File(folder, "${identity.label}.toml")
+            settings.writeText(settings(identity))
+            val log = File(folder, "${identity.label}.log")
             log.delete()
             val arguments = listOf(settings.path, "--policy", policy.path)
-            ControllerProcess(place, startCommand() + arguments, log)
+            ControllerProcess(identity, startCommand() + arguments, log)
         }
     }
 
@@ -42,35 +42,35 @@
 
     /** The deployed one; only its heap may differ. */
     private fun startCommand(): List<String> {
-        val line = options.deploy.readLines().firstOrNull { it.startsWith(RUN) }
+        val line = options.deploy.readLines().firstOrNull { it.startsWith(RUN_KEY) }
             ?: throw StartFailed("${options.deploy}: has no run command")
-        val words = ownClasses(line.substringAfter('"').substringBeforeLast('"').split(' '))
+        val words = withClassPath(line.substringAfter('"').substringBeforeLast('"').split(' '))
         val heap = options.heapMb ?: return words
         return words.map { word -> if (word.startsWith("-Xmx")) "-Xmx${heap}m" else word }
     }
 
-    private fun ownClasses(words: List<String>): List<String> {
+    private fun withClassPath(words: List<String>): List<String> {
         if (classPath == null) return words
         val jar = words.indexOf("-jar")
         val flags = words.take(jar).filterNot { it.startsWith("-XX:SharedArchiveFile") }
         return flags + listOf("-cp", classPath, "oxbowlug.cli.MainKt") + words.drop(jar + 2)
     }
 
-    private fun settings(place: ControllerPlace): String = buildString {
-        appendLine("label = \"${place.label}\"")
-        appendLine("location = \"${place.zone}\"")
-        appendLine("client_listen = \"${place.clientHost}:${place.clientPort}\"")
-        appendLine("peer_listen = \"${place.peerHost}:${place.peerPort}\"")
+    private fun settings(identity: ControllerIdentity): String = buildString {
+        appendLine("label = \"${identity.label}\"")
+        appendLine("location = \"${identity.zone}\"")
+        appendLine("client_listen = \"${identity.clientHost}:${identity.clientPort}\"")
+        appendLine("peer_listen = \"${identity.peerHost}:${identity.peerPort}\"")
         for (other in topology.controllers) {
-            if (other === place) continue
+            if (other === identity) continue
             appendLine("[[others]]")
             appendLine("label = \"${other.label}\"")
             appendLine("location = \"${other.zone}\"")
-            appendLine("addr = \"${other.proxyHost(place)}:${topology.ports.peerProxy}\"")
+            appendLine("addr = \"${other.proxyHost(identity)}:${topology.ports.peerProxy}\"")
         }
         appendLine("[outside]")
-        appendLine("cloud = \"${place.cloudHost}:${topology.ports.cloud}\"")
-        appendLine("state = \"${place.stateHost}:${topology.ports.state}\"")
+        appendLine("cloud = \"${identity.cloudHost}:${topology.ports.cloud}\"")
+        appendLine("state = \"${identity.stateHost}:${topology.ports.state}\"")
         appendLine("[settings]")
         appendLine("nodes = ${topology.controllers.size}")
         appendLine("zones = [${topology.zones.joinToString { "\"$it\"" }}]")
@@ -92,7 +92,7 @@
     }
 
     private fun StringBuilder.appendObjectives() {
-        for ((name, withinS) in FleetPlan.WAITS_S) {
+        for ((name, withinS) in FleetPlan.START_TARGETS_S) {
             appendLine("[[settings.objectives]]")
             appendLine("kind = \"wait\"")
             appendLine("class = \"$name\"")
@@ -113,14 +113,14 @@
         appendLine("txn_ops = ${FleetPlan.TXN_OPS}")
         appendLine("[settings.cloud]")
         appendLine("rps = ${options.cloudRps}")
-        appendLine("list_lag_s = ${FleetPlan.LIST_LAG_MS / MS}")
+        appendLine("list_lag_s = ${FleetPlan.LIST_LAG_MS / MS_PER_S}")
         appendLine("[settings.limits]")
         appendLine("max_sockets = ${options.maxSockets}")
     }
 
     companion object {
         const val CANCEL_LEASES = 2.4
-        private const val RUN = "run = "
-        private const val MS = 1000.0
+        private const val RUN_KEY = "run = "
+        private const val MS_PER_S = 1000.0
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/ControllerMeters.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerMetrics.kt
@@ -7,7 +7,7 @@
 import io.vertx.kotlin.coroutines.coAwait
 
 /** What a controller says of itself on `/metrics`: the longest of the last minute or two, in milliseconds. */
-internal data class ControllerMeters(
+internal data class ControllerMetrics(
     val isLeading: Boolean,
     val longestPlanMs: Double,
     val longestStepMs: Double,
@@ -15,18 +15,18 @@
 )
 
 /** Reads the controllers' metrics; one that doesn't answer counts as not leading. */
-internal class MeterReader(vertx: Vertx) {
+internal class MetricsReader(vertx: Vertx) {
     private val client = vertx.createHttpClient(HttpClientOptions().setKeepAlive(false))
 
-    suspend fun read(controller: ControllerPlace): ControllerMeters {
+    suspend fun read(controller: ControllerIdentity): ControllerMetrics {
         val values = try {
             parse(fetch(controller))
         } catch (_: Exception) {
             emptyMap()
         }
 
-        fun millis(name: String) = (values["oxbowlug_${name}_max"] ?: 0.0) * MS
-        return ControllerMeters(
+        fun millis(name: String) = (values["oxbowlug_${name}_max"] ?: 0.0) * MS_PER_S
+        return ControllerMetrics(
             isLeading = values["oxbowlug_leading"] == 1.0,
             longestPlanMs = millis("plan"),
             longestStepMs = millis("step"),
@@ -34,7 +34,7 @@
         )
     }
 
-    private suspend fun fetch(controller: ControllerPlace): String {
+    private suspend fun fetch(controller: ControllerIdentity): String {
         val options = RequestOptions().setMethod(HttpMethod.GET).setURI("/metrics")
             .setHost(controller.clientHost).setPort(controller.clientPort)
             .setConnectTimeout(TIMEOUT_MS).setIdleTimeout(TIMEOUT_MS)
@@ -47,7 +47,7 @@
     }
 
     private companion object {
-        const val MS = 1000.0
+        const val MS_PER_S = 1000.0
         const val TIMEOUT_MS = 2_000L
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/ControllerProcess.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerProcess.kt
@@ -8,46 +8,46 @@
 
 /** One controller: a real process of the deployed jar, started again as often as a scenario wants. */
 internal class ControllerProcess(
-    val place: ControllerPlace,
+    val identity: ControllerIdentity,
     private val command: List<String>,
     private val log: File,
 ) {
     @Volatile
     private var process: Process? = null
-    private val earlierCpuTicks = java.util.concurrent.atomic.AtomicLong()
+    private val previousCpuTicks = java.util.concurrent.atomic.AtomicLong()
 
     @Volatile
-    private var lifeCpuTicks = 0L
+    private var currentCpuTicks = 0L
 
     /** Times that it ended without being told to. */
     @Volatile
-    var endedByItself = 0
+    var unexpectedExits = 0
         private set
-    private var isExpectedUp = false
+    private var shouldRun = false
 
     val isAlive: Boolean get() = process?.isAlive ?: false
 
     /** Processor time of all its lives, as last sampled. */
-    val cpuSeconds: Double get() = (earlierCpuTicks.get() + lifeCpuTicks) / TICKS_PER_S
+    val cpuSeconds: Double get() = (previousCpuTicks.get() + currentCpuTicks) / TICKS_PER_S
 
     @Volatile
     var latest = ProcessSample(0.0, 0.0, 0)
         private set
 
     fun start() {
-        earlierCpuTicks.addAndGet(lifeCpuTicks)
-        lifeCpuTicks = 0
+        previousCpuTicks.addAndGet(currentCpuTicks)
+        currentCpuTicks = 0
         process = ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
             .start()
-        isExpectedUp = true
+        shouldRun = true
     }
 
     /** Ends it with no chance to say goodbye, as a machine without power does. */
     fun kill() {
-        isExpectedUp = false
-        process?.destroyForcibly()?.waitFor(KILL_S, TimeUnit.SECONDS)
+        shouldRun = false
+        process?.destroyForcibly()?.waitFor(KILL_TIMEOUT_S, TimeUnit.SECONDS)
     }
 
     fun pause() = signal("STOP")
@@ -60,13 +60,13 @@
     }
 
     /** Starts it again if it ended by itself: as the platform would. */
-    fun keepUp() {
-        if (!isExpectedUp || isAlive) return
-        endedByItself++
+    fun restartIfExited() {
+        if (!shouldRun || isAlive) return
+        unexpectedExits++
         start()
     }
 
-    fun lastLines(): String = if (log.isFile) log.readLines().takeLast(LOG_LINES).joinToString("\n") else ""
+    fun lastLogLines(): String = if (log.isFile) log.readLines().takeLast(LOG_LINES).joinToString("\n") else ""
 
     /** Reads what the kernel says of it; called from a thread of its own, since thousands of sockets take long. */
     fun sample(withSockets: Boolean) {
@@ -75,7 +75,7 @@
         try {
             // The name in brackets may hold spaces; what follows it doesn't.
             val fields = File(folder, "stat").readText().substringAfterLast(") ").split(' ')
-            lifeCpuTicks = fields[USER_TICKS].toLong() + fields[SYSTEM_TICKS].toLong()
+            currentCpuTicks = fields[USER_TICKS].toLong() + fields[SYSTEM_TICKS].toLong()
             val status = File(folder, "status").readLines()
             val sockets = if (withSockets) countSockets(folder) else latest.sockets
             latest = ProcessSample(megabytes(status, "VmRSS:"), megabytes(status, "VmHWM:"), sockets)
@@ -103,7 +103,7 @@
         const val USER_TICKS = 11
         const val SYSTEM_TICKS = 12
         const val KB_PER_MB = 1024
-        const val KILL_S = 10L
+        const val KILL_TIMEOUT_S = 10L
         const val LOG_LINES = 12
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/Endpoint.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Endpoint.kt
@@ -6,8 +6,8 @@
 internal sealed interface Endpoint {
     val zone: Zone?
 
-    data class Controller(val place: ControllerPlace) : Endpoint {
-        override val zone: Zone get() = place.zone
+    data class Controller(val identity: ControllerIdentity) : Endpoint {
+        override val zone: Zone get() = identity.zone
     }
 
     data class Worker(override val zone: Zone) : Endpoint
--- a/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
+++ b/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
@@ -34,16 +34,16 @@
         TypeName("accelerated-8"), MACHINE_CORES, GPUS, MACHINE_GB, CACHE_GB, FETCH_GB_PER_S, 20.0, 8.0, BOOT_S, zones,
     )
     val types: List<MachineType> = listOf(coreType, acceleratedType)
-    private val accelerated = ceil(options.workers * ACCELERATED_SHARE).toInt()
-    private val gpus = accelerated * GPUS
+    private val acceleratedWorkers = ceil(options.workers * ACCELERATED_SHARE).toInt()
+    private val gpus = acceleratedWorkers * GPUS
     private val cores = options.workers * MACHINE_CORES
     val teams: List<TeamShare> = List(options.teams) { index ->
         TeamShare(
-            "team-%03d".format(index), cores / options.teams, cores * LIMIT_SHARES / options.teams,
-            gpus / options.teams, gpus * LIMIT_SHARES / options.teams,
+            "team-%03d".format(index), cores / options.teams, cores * LIMIT_PER_GUARANTEE / options.teams,
+            gpus / options.teams, gpus * LIMIT_PER_GUARANTEE / options.teams,
         )
     }
-    private var made = 0
+    private var jobCount = 0
 
     fun typeOf(index: Int): MachineType = if (index % ACCELERATED_EVERY == 0) acceleratedType else coreType
 
@@ -52,16 +52,16 @@
     /** Services that fill the fleet to the asked number of tasks: accelerators first, cores with the rest. */
     fun standingJobs(): List<PlannedJob> {
         val perTeam = (gpus / options.teams).toInt().coerceAtLeast(1)
-        val acceleratedTasks = minOf((gpus * GPU_FILL).toInt(), options.targetTasks)
-        val jobs = inChunks(acceleratedTasks, minOf(options.tasksPerJob, perTeam)) { tasks ->
+        val acceleratedTasks = minOf((gpus * GPU_TARGET_SHARE).toInt(), options.targetTasks)
+        val jobs = splitIntoJobs(acceleratedTasks, minOf(options.tasksPerJob, perTeam)) { tasks ->
             service("accelerated", tasks, Priority.PRODUCTION, gpus = 1.0)
         }
-        return jobs + inChunks(options.targetTasks - acceleratedTasks, options.tasksPerJob) { tasks ->
+        return jobs + splitIntoJobs(options.targetTasks - acceleratedTasks, options.tasksPerJob) { tasks ->
             service("serving", tasks, Priority.PRODUCTION)
         }
     }
 
-    private fun inChunks(tasks: Int, size: Int, make: (Int) -> PlannedJob): List<PlannedJob> =
+    private fun splitIntoJobs(tasks: Int, size: Int, make: (Int) -> PlannedJob): List<PlannedJob> =
         List((tasks + size - 1) / size) { index -> make(minOf(size, tasks - index * size)) }
 
     private fun service(className: String, tasks: Int, priority: Priority, gpus: Double = 0.0): PlannedJob =
@@ -72,7 +72,7 @@
 
     fun batchJob(tasks: Int, runS: Double): PlannedJob {
         val spec = spec("batch", JobKind.ARRAY, Priority.NORMAL, tasks, cores = 1.0, gpus = 0.0)
-        return PlannedJob(spec.copy(estimateS = runS, deadlineS = runS * DEADLINE_RUNS), (runS * MS).toLong())
+        return PlannedJob(spec.copy(estimateS = runS, deadlineS = runS * DEADLINE_RUN_FACTOR), (runS * MS_PER_S).toLong())
     }
 
     private fun spec(
@@ -83,7 +83,7 @@
         cores: Double,
         gpus: Double,
     ): JobSpec {
-        val number = made++
+        val number = jobCount++
         return JobSpec(
             id = JobId("$className-%07d".format(number)),
             className = ClassName(className),
@@ -115,7 +115,7 @@
         const val LIST_LAG_MS = 5_000L
 
         /** Seconds within which the work of a class should start; the urgent one's is the users' own figure. */
-        val WAITS_S = mapOf(URGENT to 7.4, "serving" to 40.0, "accelerated" to 40.0)
+        val START_TARGETS_S = mapOf(URGENT to 7.4, "serving" to 40.0, "accelerated" to 40.0)
 
         /** 6,700 accelerators on 6,500 machines, eight on each that has any. */
         private const val ACCELERATED_EVERY = 8
@@ -128,11 +128,11 @@
         private const val BOOT_S = 30.0
         private const val SERVICE_CORES = 4.0
         private const val TASK_GB = 8.0
-        private const val GPU_FILL = 0.9
-        private const val LIMIT_SHARES = 2.0
+        private const val GPU_TARGET_SHARE = 0.9
+        private const val LIMIT_PER_GUARANTEE = 2.0
         private const val IMAGES = 5
         private const val IMAGE_GB = 0.5
-        private const val DEADLINE_RUNS = 6.0
-        private const val MS = 1000.0
+        private const val DEADLINE_RUN_FACTOR = 6.0
+        private const val MS_PER_S = 1000.0
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
@@ -22,7 +22,7 @@
 import oxbowlug.wire.fields
 
 /** Brings the reports of hollow workers to real controllers, each worker over a connection of its own. */
-internal class ReportConnections(
+internal class HeartbeatConnections(
     vertx: Vertx,
     private val network: Network,
     private val traffic: Traffic,
@@ -33,45 +33,45 @@
             .setDecompressionSupported(false),
     )
 
-    fun targets(number: Int, zone: Zone, controllers: List<ControllerPlace>): List<HeartbeatTarget> =
+    fun targets(number: Int, zone: Zone, controllers: List<ControllerIdentity>): List<HeartbeatTarget> =
         controllers.map { Target(number, zone, it) }
 
-    private inner class Target(number: Int, zone: Zone, private val controller: ControllerPlace) :
+    private inner class Target(number: Int, zone: Zone, private val controller: ControllerIdentity) :
         HeartbeatTarget {
         override val label: String get() = controller.label
-        private val near = Endpoint.Worker(zone)
-        private val far = Endpoint.Controller(controller)
+        private val workerEnd = Endpoint.Worker(zone)
+        private val controllerEnd = Endpoint.Controller(controller)
         private val endpoint = "${WorkerAddresses.host(number, controller.index)}:$workerPort"
         private var connection: HttpClientConnection? = null
 
         override fun receive(report: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit) {
-            val bytes = Cbor.encode(Wire.encodeReport(report.copy(endpoint = endpoint)))
+            val bytes = Cbor.encode(StandInCodec.encodeHeartbeat(report.copy(endpoint = endpoint)))
             traffic.reports.count(bytes.size, Traffic.REQUEST_HEADER_BYTES)
-            network.deliver(near, far) {
-                connected()
-                    .compose { open -> post(open, bytes) }
+            network.deliver(workerEnd, controllerEnd) {
+                openConnection()
+                    .compose { open -> postHeartbeat(open, bytes) }
                     .compose { response -> response.body().map { body -> decode(response, body) } }
-                    .onSuccess { decoded -> network.deliver(far, near) { answer(decoded) } }
+                    .onSuccess { heartbeatResponse -> network.deliver(controllerEnd, workerEnd) { answer(heartbeatResponse) } }
                     .onFailure {
-                        traffic.failedReports++
+                        traffic.failedHeartbeats++
                         close()
-                        network.deliver(far, near) { answer(null) }
+                        network.deliver(controllerEnd, workerEnd) { answer(null) }
                     }
             }
         }
 
-        private fun connected(): Future<HttpClientConnection> {
+        private fun openConnection(): Future<HttpClientConnection> {
             connection?.let { return Future.succeededFuture(it) }
             val options = HttpConnectOptions().setHost(controller.clientHost).setPort(controller.clientPort)
-                .setConnectTimeout(ANSWER_MS)
+                .setConnectTimeout(RESPONSE_TIMEOUT_MS)
             return client.connect(options).onSuccess { opened ->
                 connection = opened
                 opened.closeHandler { if (connection === opened) connection = null }
             }
         }
 
-        private fun post(open: HttpClientConnection, bytes: ByteArray): Future<HttpClientResponse> {
-            val options = RequestOptions().setMethod(HttpMethod.POST).setURI("/hello").setIdleTimeout(ANSWER_MS)
+        private fun postHeartbeat(open: HttpClientConnection, bytes: ByteArray): Future<HttpClientResponse> {
+            val options = RequestOptions().setMethod(HttpMethod.POST).setURI("/hello").setIdleTimeout(RESPONSE_TIMEOUT_MS)
             return open.request(options).compose { request ->
                 request.putHeader("content-type", "application/cbor").send(Buffer.buffer(bytes))
                     .onFailure { request.reset() }
@@ -79,21 +79,21 @@
         }
 
         private fun decode(response: HttpClientResponse, body: Buffer): HeartbeatResponse? {
-            traffic.reportAnswers.count(body.length(), Traffic.RESPONSE_HEADER_BYTES)
-            val decoded = try {
-                Wire.decodeAnswer(response.statusCode(), Cbor.decode(body.bytes))
+            traffic.heartbeatResponses.count(body.length(), Traffic.RESPONSE_HEADER_BYTES)
+            val heartbeatResponse = try {
+                StandInCodec.decodeAnswer(response.statusCode(), Cbor.decode(body.bytes))
             } catch (_: MalformedBody) {
                 null
             } catch (_: InvalidField) {
                 null
             }
-            when (decoded) {
+            when (heartbeatResponse) {
                 is HeartbeatResponse.Redirect -> traffic.redirects++
                 HeartbeatResponse.Unavailable -> traffic.unavailable++
                 is HeartbeatResponse.Renewed, null -> Unit
             }
-            if (decoded !is HeartbeatResponse.Renewed) close()
-            return decoded
+            if (heartbeatResponse !is HeartbeatResponse.Renewed) close()
+            return heartbeatResponse
         }
 
         /** A worker that goes elsewhere closes its connection: kept, each would hold one to every controller. */
@@ -104,7 +104,7 @@
     }
 
     private companion object {
-        const val ANSWER_MS = 4000L
+        const val RESPONSE_TIMEOUT_MS = 4000L
     }
 }
 
@@ -129,27 +129,27 @@
         }
     }
 
-    private fun answer(exchange: HttpExchange, worker: SimWorker, controller: ControllerPlace) {
+    private fun answer(exchange: HttpExchange, worker: SimWorker, controller: ControllerIdentity) {
         traffic.directCommands.count(exchange.bodySize, Traffic.REQUEST_HEADER_BYTES)
 
-        val near = Endpoint.Worker(worker.zone)
-        val far = Endpoint.Controller(controller)
+        val workerEnd = Endpoint.Worker(worker.zone)
+        val controllerEnd = Endpoint.Controller(controller)
 
-        fun reply(status: Int, report: WorkerHeartbeat) = network.deliver(near, far) {
+        fun reply(status: Int, report: WorkerHeartbeat) = network.deliver(workerEnd, controllerEnd) {
             val endpoint = "${exchange.request.localAddress().host()}:${topology.ports.workers}"
-            val size = exchange.reply(status, Wire.encodeReport(report.copy(endpoint = endpoint)))
+            val size = exchange.reply(status, StandInCodec.encodeHeartbeat(report.copy(endpoint = endpoint)))
             traffic.directAnswers.count(size, Traffic.RESPONSE_HEADER_BYTES)
         }
         if (exchange.path == "/status") {
-            return network.deliver(far, near) { worker.status { reply(Status.OK, it) } }
+            return network.deliver(controllerEnd, workerEnd) { worker.status { reply(HttpStatus.OK, it) } }
         }
         val fields = exchange.body().fields()
         val token = FencingToken(fields.count("brand"))
         val incarnation = fields.count("shift")
-        val commands = Wire.decodeCommands(fields)
-        network.deliver(far, near) {
+        val commands = StandInCodec.decodeCommands(fields)
+        network.deliver(controllerEnd, workerEnd) {
             worker.direct(token, incarnation, commands) { report, executed ->
-                reply(if (executed) Status.OK else Status.CONFLICT, report)
+                reply(if (executed) HttpStatus.OK else HttpStatus.CONFLICT, report)
             }
         }
     }
--- a/src/scale/kotlin/oxbowlug/scale/HttpExchange.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HttpExchange.kt
@@ -27,13 +27,13 @@
     }
 
     /** A malformed request is answered 400, and [action] must not have changed anything by then. */
-    fun guarded(action: () -> Unit) {
+    fun rejectingMalformed(action: () -> Unit) {
         try {
             action()
         } catch (e: InvalidField) {
-            reply(Status.BAD_REQUEST, mapOf("error" to e.message))
+            reply(HttpStatus.BAD_REQUEST, mapOf("error" to e.message))
         } catch (e: MalformedBody) {
-            reply(Status.BAD_REQUEST, mapOf("error" to e.message))
+            reply(HttpStatus.BAD_REQUEST, mapOf("error" to e.message))
         }
     }
 }
@@ -44,7 +44,7 @@
         .requestHandler { request ->
             request.body().onSuccess { body ->
                 val exchange = HttpExchange(request, body.bytes)
-                exchange.guarded { handler(exchange) }
+                exchange.rejectingMalformed { handler(exchange) }
             }
         }
         .listen()
--- a/src/scale/kotlin/oxbowlug/scale/LoopbackRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/LoopbackRun.kt
@@ -19,7 +19,7 @@
 internal abstract class LoopbackRun(
     val options: ScaleOptions,
     /** Whether each task that starts has to be in a stored record; that costs a decoded record a start. */
-    checksStored: Boolean,
+    checksStoredRecords: Boolean,
     classPath: String? = null,
 ) : AutoCloseable {
     val vertx: Vertx = Vertx.vertx(
@@ -36,12 +36,12 @@
     protected val stateFaults = StateFaults()
     protected val plan = FleetPlan(options, topology)
     val fleet = HollowFleet(
-        options, topology, world, plan, ReportConnections(vertx, network, traffic, topology.ports.workers),
-        if (checksStored) store::names else { _ -> true },
+        options, topology, world, plan, HeartbeatConnections(vertx, network, traffic, topology.ports.workers),
+        if (checksStoredRecords) store::names else { _ -> true },
     )
     val users = Users(vertx, world, topology, network, fleet.rules)
     val controllers: List<ControllerProcess> = ControllerFiles(options, topology, plan, classPath).processes()
-    val clock = RealTime(vertx, world).also { network.beforeDelivery = it::follow }
+    val clock = WallClock(vertx, world).also { network.beforeDelivery = it::catchUp }
 
     protected suspend fun listen() {
         val state = StateServer(world, store, network, traffic, options.stateRps, stateFaults)
@@ -54,14 +54,14 @@
 
     /** Throws [StartFailed] when a controller ends, or doesn't serve in time. */
     protected suspend fun awaitHealthy() {
-        val began = world.nowMs
+        val startedMs = world.nowMs
         while (users.healthyCount < controllers.size) {
             val ended = controllers.firstOrNull { !it.isAlive }
-            if (ended != null || world.nowMs - began > START_MS) {
-                val named = ended ?: controllers[0]
-                throw StartFailed("${named.place.label} doesn't serve; its last lines:\n${named.lastLines()}")
+            if (ended != null || world.nowMs - startedMs > START_TIMEOUT_MS) {
+                val failing = ended ?: controllers[0]
+                throw StartFailed("${failing.identity.label} doesn't serve; its last lines:\n${failing.lastLogLines()}")
             }
-            delay(LOOK_MS)
+            delay(POLL_MS)
         }
     }
 
@@ -69,12 +69,12 @@
         clock.stop()
         controllers.forEach { it.kill() }
         // Not waited for, its ports were still taken when the next seed wanted them, and a soak of fifty broke off.
-        vertx.close().toCompletionStage().toCompletableFuture().get(CLOSE_S, TimeUnit.SECONDS)
+        vertx.close().toCompletionStage().toCompletableFuture().get(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)
     }
 
     private companion object {
-        const val LOOK_MS = 100L
-        const val START_MS = 60_000L
-        const val CLOSE_S = 20L
+        const val POLL_MS = 100L
+        const val START_TIMEOUT_MS = 60_000L
+        const val CLOSE_TIMEOUT_S = 20L
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/Main.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Main.kt
@@ -20,10 +20,10 @@
     }
     System.setProperty("vertx.disableDnsResolver", "true")
     Logging.configure("error")
-    exitProcess(if (playAndReport(options)) 0 else FAILED)
+    exitProcess(if (runAndReport(options)) 0 else FAILED)
 }
 
-private fun playAndReport(options: ScaleOptions): Boolean {
+private fun runAndReport(options: ScaleOptions): Boolean {
     val run = try {
         ScaleRun(options, ::println)
     } catch (e: StartFailed) {
@@ -38,7 +38,7 @@
     // Also on ctrl-C: no controller may be left behind.
     Runtime.getRuntime().addShutdownHook(thread(start = false) { closeOnce() })
     val report = try {
-        runBlocking(run.vertx.dispatcher()) { run.play() }
+        runBlocking(run.vertx.dispatcher()) { run.execute() }
     } catch (e: StartFailed) {
         run.report(e.message)
     } finally {
--- a/src/scale/kotlin/oxbowlug/scale/MalformedHeartbeat.kt
+++ b/src/scale/kotlin/oxbowlug/scale/MalformedHeartbeat.kt
@@ -8,11 +8,11 @@
 
 /** A worker's report that can't be read. */
 internal object MalformedHeartbeat {
-    val REFUSALS = 400..499
+    val CLIENT_ERRORS = 400..499
     private const val TIMEOUT_MS = 2_000L
 
     /** The status with which a controller answers it, in one request of its own. */
-    suspend fun send(vertx: Vertx, controller: ControllerPlace): Int {
+    suspend fun send(vertx: Vertx, controller: ControllerIdentity): Int {
         val client = vertx.createHttpClient()
         val options = RequestOptions().setMethod(HttpMethod.POST).setURI("/hello")
             .setHost(controller.clientHost).setPort(controller.clientPort).setIdleTimeout(TIMEOUT_MS)
--- a/src/scale/kotlin/oxbowlug/scale/PeerProxies.kt
+++ b/src/scale/kotlin/oxbowlug/scale/PeerProxies.kt
@@ -19,7 +19,7 @@
         }
     }
 
-    private fun connect(accepted: NetSocket, from: ControllerPlace, to: ControllerPlace) {
+    private fun connect(accepted: NetSocket, from: ControllerIdentity, to: ControllerIdentity) {
         accepted.pause()
         client.connect(to.peerPort, to.peerHost)
             .onSuccess { opened ->
@@ -30,7 +30,7 @@
             .onFailure { accepted.close() }
     }
 
-    private fun forward(source: NetSocket, sink: NetSocket, from: ControllerPlace, to: ControllerPlace) {
+    private fun forward(source: NetSocket, sink: NetSocket, from: ControllerIdentity, to: ControllerIdentity) {
         source.handler { bytes ->
             traffic.peerBytes.count(bytes.length(), 0)
             network.deliver(Endpoint.Controller(from), Endpoint.Controller(to)) { sink.write(bytes) }
--- a/src/scale/kotlin/oxbowlug/scale/RequestLimit.kt
+++ b/src/scale/kotlin/oxbowlug/scale/RateLimiter.kt
@@ -3,13 +3,13 @@
 import oxbowlug.standin.World
 
 /** A published limit of requests a second, with bursts of [burstS] seconds' worth. */
-internal class RequestLimit(private val world: World, private val rps: Double, private val burstS: Int) {
+internal class RateLimiter(private val world: World, private val rps: Double, private val burstS: Int) {
     private var tokens = rps * burstS
     private var tokensAt = 0L
 
     /** False when the request is one too many. */
-    fun take(): Boolean {
-        tokens = minOf(rps * burstS, tokens + (world.nowMs - tokensAt) * rps / MS)
+    fun tryAcquire(): Boolean {
+        tokens = minOf(rps * burstS, tokens + (world.nowMs - tokensAt) * rps / MS_PER_S)
         tokensAt = world.nowMs
         if (tokens < 1.0) return false
         tokens -= 1.0
@@ -17,6 +17,6 @@
     }
 
     private companion object {
-        const val MS = 1000.0
+        const val MS_PER_S = 1000.0
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/Sampler.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Sampler.kt
@@ -15,16 +15,16 @@
     }
 
     private fun loop() {
-        var round = 0
+        var tick = 0
         while (isRunning) {
-            for (controller in controllers) controller.sample(withSockets = round % SOCKETS_EVERY == 0)
-            round++
-            Thread.sleep(EVERY_MS)
+            for (controller in controllers) controller.sample(withSockets = tick % SOCKET_COUNT_TICKS == 0)
+            tick++
+            Thread.sleep(INTERVAL_MS)
         }
     }
 
     private companion object {
-        const val EVERY_MS = 1_000L
-        const val SOCKETS_EVERY = 3
+        const val INTERVAL_MS = 1_000L
+        const val SOCKET_COUNT_TICKS = 3
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
@@ -40,64 +40,64 @@
     ArgumentParser<ScaleOptions>(
         "Plays a fleet on loopback: real controllers, hollow workers, a state service and a cloud.",
     ) {
-    private val workers = whole("workers", "hollow workers", 40)
-    private val tasksPerWorker = amount("tasks-per-worker", "tasks running on each worker at ordinary load", 12.3)
-    private val tasksPerJob = whole("tasks-per-job", "replicas of a service at ordinary load", 40)
-    private val controllers = whole("controllers", "controller processes", 3)
-    private val regions = whole("regions", "regions, 25 ms apart", 2)
-    private val zones = whole("zones", "zones, shared out among the regions", 4)
-    private val teams = whole("teams", "teams, each with a limit", 8)
-    private val jobsPerDay = amount("jobs-per-day", "arrivals a day at 6,500 workers, fewer in proportion", 63_000.0)
-    private val peak = amount("peak-starts", "task starts a second at the peak and 6,500 workers", 2_900.0)
+    private val workers = intOption("workers", "hollow workers", 40)
+    private val tasksPerWorker = doubleOption("tasks-per-worker", "tasks running on each worker at ordinary load", 12.3)
+    private val tasksPerJob = intOption("tasks-per-job", "replicas of a service at ordinary load", 40)
+    private val controllers = intOption("controllers", "controller processes", 3)
+    private val regions = intOption("regions", "regions, 25 ms apart", 2)
+    private val zones = intOption("zones", "zones, shared out among the regions", 4)
+    private val teams = intOption("teams", "teams, each with a limit", 8)
+    private val jobsPerDay = doubleOption("jobs-per-day", "arrivals a day at 6,500 workers, fewer in proportion", 63_000.0)
+    private val peakStarts = doubleOption("peak-starts", "task starts a second at the peak and 6,500 workers", 2_900.0)
     private val scenarios = parser.accepts("scenarios", "what is played, of: ${Scenario.names}")
         .withRequiredArg().withValuesSeparatedBy(',').defaultsTo("ordinary", "peak", "leader-killed")
-    private val seconds = parser.accepts("scenario-seconds", "length of each scenario, instead of its own")
+    private val scenarioLength = parser.accepts("scenario-seconds", "length of each scenario, instead of its own")
         .withRequiredArg().ofType(Int::class.javaObjectType)
-    private val stateRps = amount("state-rps", "requests a second that the state service takes", 900.0)
-    private val writeRps = amount("write-rps", "changes a second that the state service takes", 70.0)
-    private val cloudRps = amount("cloud-rps", "requests a second that the cloud takes", 6.0)
-    private val heartbeatS = amount("report-s", "seconds between a worker's reports", 2.5)
-    private val leaseS = amount("lease-s", "seconds of a worker's lease", 15.0)
+    private val stateRps = doubleOption("state-rps", "requests a second that the state service takes", 900.0)
+    private val writeRps = doubleOption("write-rps", "changes a second that the state service takes", 70.0)
+    private val cloudRps = doubleOption("cloud-rps", "requests a second that the cloud takes", 6.0)
+    private val heartbeatS = doubleOption("report-s", "seconds between a worker's reports", 2.5)
+    private val leaseS = doubleOption("lease-s", "seconds of a worker's lease", 15.0)
     private val heapMb = parser.accepts("heap-mb", "heap of each controller, instead of the deployed one")
         .withRequiredArg().ofType(Int::class.javaObjectType)
-    private val maxSockets = whole("max-sockets", "sockets that a controller may hold; the run fails above", 20_000)
-    private val firstPort = whole("first-port", "first of the six ports used on loopback", 21_000)
-    private val seed = whole("seed", "seed of everything random", 1)
+    private val maxSockets = intOption("max-sockets", "sockets that a controller may hold; the run fails above", 20_000)
+    private val firstPort = intOption("first-port", "first of the six ports used on loopback", 21_000)
+    private val seed = intOption("seed", "seed of everything random", 1)
     private val output = parser.accepts("output", "folder for the reports, the settings and the controllers' logs")
         .withRequiredArg().defaultsTo("target/scale")
     private val deploy = parser.accepts("deploy", "file whose run command starts the controllers")
         .withRequiredArg().defaultsTo("deploy/service.toml")
-    private val regional = parser.accepts("regional-delegates", "tell the controllers which zones form a region")
+    private val regionalDelegatesFlag = parser.accepts("regional-delegates", "tell the controllers which zones form a region")
 
-    override fun read(given: OptionSet): ScaleOptions {
-        val count = given.valueOf(workers)
-        val share = count / FULL_SIZE
+    override fun read(parsed: OptionSet): ScaleOptions {
+        val count = parsed.valueOf(workers)
+        val share = count / FULL_FLEET_WORKERS
         return ScaleOptions(
             workers = count,
-            tasksPerWorker = given.valueOf(tasksPerWorker),
-            tasksPerJob = given.valueOf(tasksPerJob),
-            controllers = given.valueOf(controllers),
-            regions = given.valueOf(regions),
-            zones = given.valueOf(zones),
-            teams = given.valueOf(teams),
-            jobsPerDay = given.valueOf(jobsPerDay) * share,
-            peakStartsPerSecond = given.valueOf(peak) * share,
-            scenarios = given.valuesOf(scenarios).map { name ->
+            tasksPerWorker = parsed.valueOf(tasksPerWorker),
+            tasksPerJob = parsed.valueOf(tasksPerJob),
+            controllers = parsed.valueOf(controllers),
+            regions = parsed.valueOf(regions),
+            zones = parsed.valueOf(zones),
+            teams = parsed.valueOf(teams),
+            jobsPerDay = parsed.valueOf(jobsPerDay) * share,
+            peakStartsPerSecond = parsed.valueOf(peakStarts) * share,
+            scenarios = parsed.valuesOf(scenarios).map { name ->
                 Scenario.of(name) ?: throw InvalidOption("scenarios: $name is none of ${Scenario.names}")
             },
-            scenarioSeconds = given.valueOf(seconds),
-            stateRps = given.valueOf(stateRps),
-            writeRps = given.valueOf(writeRps),
-            cloudRps = given.valueOf(cloudRps),
-            heartbeatS = given.valueOf(heartbeatS),
-            leaseS = given.valueOf(leaseS),
-            heapMb = given.valueOf(heapMb),
-            maxSockets = given.valueOf(maxSockets),
-            firstPort = given.valueOf(firstPort),
-            seed = given.valueOf(seed).toLong(),
-            output = File(given.valueOf(output)),
-            deploy = File(given.valueOf(deploy)),
-            regionalDelegates = given.has(regional),
+            scenarioSeconds = parsed.valueOf(scenarioLength),
+            stateRps = parsed.valueOf(stateRps),
+            writeRps = parsed.valueOf(writeRps),
+            cloudRps = parsed.valueOf(cloudRps),
+            heartbeatS = parsed.valueOf(heartbeatS),
+            leaseS = parsed.valueOf(leaseS),
+            heapMb = parsed.valueOf(heapMb),
+            maxSockets = parsed.valueOf(maxSockets),
+            firstPort = parsed.valueOf(firstPort),
+            seed = parsed.valueOf(seed).toLong(),
+            output = File(parsed.valueOf(output)),
+            deploy = File(parsed.valueOf(deploy)),
+            regionalDelegates = parsed.has(regionalDelegatesFlag),
         )
     }
 
@@ -108,15 +108,15 @@
             require("regions", regions in 1..MAX_REGIONS, "must be 1 to $MAX_REGIONS")
             require("zones", zones in regions..MAX_ZONES, "must be $regions (one for each region) to $MAX_ZONES")
             require("teams", teams in 1..MAX_TEAMS, "must be 1 to $MAX_TEAMS")
-            require("tasks-per-worker", tasksPerWorker > 0 && tasksPerWorker <= MAX_TASKS, "must be up to $MAX_TASKS")
+            require("tasks-per-worker", tasksPerWorker > 0 && tasksPerWorker <= MAX_TASKS_PER_WORKER, "must be up to $MAX_TASKS_PER_WORKER")
             require("tasks-per-job", tasksPerJob in 1..MAX_JOB_TASKS, "must be 1 to $MAX_JOB_TASKS")
             require("scenario-seconds", scenarioSeconds == null || scenarioSeconds > 0, "must be more than 0")
-            require("report-s", heartbeatS >= SHORTEST_REPORT_S, "must be at least $SHORTEST_REPORT_S")
+            require("report-s", heartbeatS >= MIN_HEARTBEAT_S, "must be at least $MIN_HEARTBEAT_S")
             require("lease-s", leaseS > heartbeatS * 2, "must be more than two reports' time")
-            require("heap-mb", heapMb == null || heapMb >= SMALLEST_HEAP_MB, "must be at least $SMALLEST_HEAP_MB")
+            require("heap-mb", heapMb == null || heapMb >= MIN_HEAP_MB, "must be at least $MIN_HEAP_MB")
             for ((name, value) in rates()) require(name, value > 0 && value.isFinite(), "must be more than 0")
             require("deploy", deploy.isFile, "$deploy is no file; start in the root of the repository")
-            require("first-port", firstPort in FIRST_PORTS, "must be within $FIRST_PORTS")
+            require("first-port", firstPort in FIRST_PORT_RANGE, "must be within $FIRST_PORT_RANGE")
             val needed = workers / controllers
             require("max-sockets", maxSockets > needed, "$workers workers need more than $needed on a controller")
             val files = openFileLimit()
@@ -136,19 +136,19 @@
         ?.lowercase(Locale.ROOT)?.split(Regex(" {2,}"))?.get(1)?.toLongOrNull() ?: Long.MAX_VALUE
 
     private companion object {
-        const val FULL_SIZE = 6_500.0
+        const val FULL_FLEET_WORKERS = 6_500.0
         const val MAX_WORKERS = 60_000
         const val MAX_CONTROLLERS = 9
         const val MAX_REGIONS = 8
         const val MAX_ZONES = 64
         const val MAX_TEAMS = 1_000
-        const val MAX_TASKS = 16.0
+        const val MAX_TASKS_PER_WORKER = 16.0
         const val MAX_JOB_TASKS = 1_000
-        const val SHORTEST_REPORT_S = 0.5
-        const val SMALLEST_HEAP_MB = 48
+        const val MIN_HEARTBEAT_S = 0.5
+        const val MIN_HEAP_MB = 48
 
         /** Both ends of a report's connection are on this machine, though not in one process. */
         const val SOCKETS_PER_WORKER = 2
-        val FIRST_PORTS = 1_024..32_000
+        val FIRST_PORT_RANGE = 1_024..32_000
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
@@ -7,19 +7,19 @@
 import oxbowlug.standin.World
 
 /** The stand-ins' time follows the real one; how far it fell behind says whether the stand-ins kept up. */
-internal class RealTime(vertx: Vertx, private val world: World) {
+internal class WallClock(vertx: Vertx, private val world: World) {
     private val beganNs = System.nanoTime()
     private var isAdvancing = false
 
     /** The longest that the stand-ins stood still, in milliseconds. */
-    var latestMs = 0L
+    var maxLagMs = 0L
 
     @Volatile
     private var isStopped = false
 
     init {
         vertx.setPeriodic(STEP_MS) {
-            follow()
+            catchUp()
         }
     }
 
@@ -27,11 +27,11 @@
      * Runs all that is due. What comes from outside after the stand-ins stood still must not be dated before what
      * happened meanwhile: a lease that ran out would look as if it were still in force.
      */
-    fun follow() {
+    fun catchUp() {
         if (isStopped || isAdvancing) return
         isAdvancing = true
         val now = (System.nanoTime() - beganNs) / NS_PER_MS
-        latestMs = maxOf(latestMs, now - world.nowMs)
+        maxLagMs = maxOf(maxLagMs, now - world.nowMs)
         world.advanceTo(now)
         isAdvancing = false
     }
@@ -50,34 +50,34 @@
 /** Plays its scenarios one after the other on the same fleet, and measures them. */
 internal class ScaleRun(
     options: ScaleOptions,
-    private val say: (String) -> Unit,
-) : LoopbackRun(options, checksStored = false) {
+    private val printLine: (String) -> Unit,
+) : LoopbackRun(options, checksStoredRecords = false) {
     val arrivals = Arrivals(options, world, plan, fleet, users)
     private val sampler = Sampler(controllers)
-    private val meters = MeterReader(vertx)
+    private val metricsReader = MetricsReader(vertx)
     private val samples = ArrayList<Sample>()
     private val results = ArrayList<ScenarioResult>()
     private var filledInS = 0.0
     private var window: Window? = null
 
     /** Runs on the event loop, which owns all state of the stand-ins. */
-    suspend fun play(): ScaleReport {
+    suspend fun execute(): ScaleReport {
         listen()
         fleet.boot()
         startControllers()
         sampler.start()
         users.start()
-        val began = world.nowMs
+        val startedMs = world.nowMs
         awaitHealthy()
-        say("${controllers.size} controllers serve after ${(world.nowMs - began) / MS} s")
-        checkMalformedReports()
-        observe()
+        printLine("${controllers.size} controllers serve after ${(world.nowMs - startedMs) / MS_PER_S} s")
+        checkMalformedHeartbeats()
+        startMeasuring()
         fill()
-        arrivals.begin()
+        arrivals.startSubmitting()
         for (scenario in options.scenarios) {
-            say("playing ${scenario.title}")
-            results.add(play(scenario))
-            say(ScenarioTable.headings.zip(ScenarioTable.cells(results.last())).joinToString { (h, c) -> "$h: $c" })
+            printLine("playing ${scenario.title}")
+            results.add(execute(scenario))
+            printLine(ScenarioTable.headings.zip(ScenarioTable.cells(results.last())).joinToString { (h, c) -> "$h: $c" })
         }
         return report(problem())
     }
@@ -91,99 +91,99 @@
     }
 
     /** Guards against a worker that sends nonsense: it is told so at once, by each controller. */
-    private suspend fun checkMalformedReports() {
+    private suspend fun checkMalformedHeartbeats() {
         for (controller in controllers) {
-            val status = MalformedHeartbeat.send(vertx, controller.place)
-            if (status !in MalformedHeartbeat.REFUSALS) {
-                throw StartFailed("${controller.place.label} answers a malformed report with $status")
+            val status = MalformedHeartbeat.send(vertx, controller.identity)
+            if (status !in MalformedHeartbeat.CLIENT_ERRORS) {
+                throw StartFailed("${controller.identity.label} answers a malformed report with $status")
             }
         }
     }
 
-    private fun observe() {
-        world.every(LOOK_MS) { window?.look() }
-        var processor = controllers.map { it.cpuSeconds }
+    private fun startMeasuring() {
+        world.every(POLL_MS) { window?.pollLeases() }
+        var cpuSecondsBefore = controllers.map { it.cpuSeconds }
         world.every(SECOND_MS) {
             fleet.rules.check(fleet.cloud.workers)
-            controllers.forEach { it.keepUp() }
-            window?.everySecond()
+            controllers.forEach { it.restartIfExited() }
+            window?.recordSecond()
             val now = controllers.map { it.cpuSeconds }
             samples.add(
                 Sample(
-                    world.nowMs / MS, now.zip(processor) { after, before -> after - before },
+                    world.nowMs / MS_PER_S, now.zip(cpuSecondsBefore) { after, before -> after - before },
                     controllers.map { it.latest.residentMb }, controllers.map { it.latest.sockets },
                     fleet.tasksRunning(),
                 ),
             )
-            processor = now
+            cpuSecondsBefore = now
         }
     }
 
     /** Submits the standing services as fast as they are accepted, until nearly all of their tasks run. */
     private suspend fun fill() {
-        val began = world.nowMs
+        val startedMs = world.nowMs
         val jobs = ArrayDeque(plan.standingJobs())
-        var open = 0
-        while (jobs.isNotEmpty() || open > 0) {
-            while (open < FILL_AT_ONCE && jobs.isNotEmpty()) {
-                open++
-                arrivals.submit(jobs.removeFirst()) { open-- }
+        var pendingJobs = 0
+        while (jobs.isNotEmpty() || pendingJobs > 0) {
+            while (pendingJobs < MAX_PENDING_JOBS && jobs.isNotEmpty()) {
+                pendingJobs++
+                arrivals.submit(jobs.removeFirst()) { pendingJobs-- }
             }
-            if (world.nowMs - began > FILL_MS) break
-            delay(LOOK_MS)
+            if (world.nowMs - startedMs > FILL_TIMEOUT_MS) break
+            delay(POLL_MS)
         }
-        while (fleet.tasksRunning() < options.targetTasks * FILLED && world.nowMs - began < FILL_MS) delay(LOOK_MS)
-        filledInS = (world.nowMs - began) / MS
-        say("${fleet.tasksRunning()} of ${options.targetTasks} tasks run after $filledInS s")
+        while (fleet.tasksRunning() < options.targetTasks * FILLED_SHARE && world.nowMs - startedMs < FILL_TIMEOUT_MS) delay(POLL_MS)
+        filledInS = (world.nowMs - startedMs) / MS_PER_S
+        printLine("${fleet.tasksRunning()} of ${options.targetTasks} tasks run after $filledInS s")
     }
 
-    private suspend fun play(scenario: Scenario): ScenarioResult {
+    private suspend fun execute(scenario: Scenario): ScenarioResult {
         val seconds = options.scenarioSeconds ?: scenario.seconds
-        val opened = Window(this, scenario)
-        window = opened
-        bringAbout(scenario, seconds, opened)
-        val until = opened.startedAt + seconds * SECOND_MS
-        while (world.nowMs < until) delay(LOOK_MS)
-        val read = controllers.map { meters.read(it.place) }
+        val measurement = Window(this, scenario)
+        window = measurement
+        injectFault(scenario, seconds, measurement)
+        val until = measurement.startedAt + seconds * SECOND_MS
+        while (world.nowMs < until) delay(POLL_MS)
+        val metrics = controllers.map { metricsReader.read(it.identity) }
         window = null
-        return opened.result(read)
+        return measurement.result(metrics)
     }
 
     private fun leader(): ControllerProcess {
-        val view = store.entry(Keys.LEADERSHIP)?.let { LeadershipRecord.decode(it.value, it.version) }
-        return controllers.firstOrNull { it.place.label == view?.leader?.label } ?: controllers[0]
+        val leadership = store.entry(Keys.LEADERSHIP)?.let { LeadershipRecord.decode(it.value, it.version) }
+        return controllers.firstOrNull { it.identity.label == leadership?.leader?.label } ?: controllers[0]
     }
 
-    private fun bringAbout(scenario: Scenario, seconds: Int, opened: Window) {
-        val leaseMs = (options.leaseS * MS).toLong()
-        if (scenario != Scenario.ORDINARY && scenario != Scenario.PEAK) opened.failedAt = world.nowMs
+    private fun injectFault(scenario: Scenario, seconds: Int, measurement: Window) {
+        val leaseMs = (options.leaseS * MS_PER_S).toLong()
+        if (scenario != Scenario.ORDINARY && scenario != Scenario.PEAK) measurement.faultAt = world.nowMs
         when (scenario) {
             Scenario.ORDINARY -> Unit
-            Scenario.PEAK -> arrivals.peak(maxOf(1, seconds / PEAK_PART))
-            Scenario.LEADER_KILLED -> endAndRestart(listOf(leader()))
-            Scenario.CONTROLLER_PAUSED -> pause(leader(), leaseMs + leaseMs / 2)
-            Scenario.ZONE_CUT -> network.cutZone(leader().place.zone, leaseMs * 2)
-            Scenario.REGIONS_APART -> network.cutRegions(Topology.HOME_REGION, 1, APART_MS)
-            Scenario.ALL_ENDED -> endAndRestart(controllers)
+            Scenario.PEAK -> arrivals.submitPeak(maxOf(1, seconds / PEAK_DIVISOR))
+            Scenario.LEADER_KILLED -> killAndRestart(listOf(leader()))
+            Scenario.CONTROLLER_PAUSED -> pauseAndResume(leader(), leaseMs + leaseMs / 2)
+            Scenario.ZONE_CUT -> network.cutZone(leader().identity.zone, leaseMs * 2)
+            Scenario.REGIONS_APART -> network.cutRegions(Topology.HOME_REGION, 1, PARTITION_MS)
+            Scenario.ALL_ENDED -> killAndRestart(controllers)
         }
     }
 
-    private fun endAndRestart(which: List<ControllerProcess>) {
-        which.forEach { it.kill() }
-        world.after(RESTART_MS) { which.forEach { it.start() } }
+    private fun killAndRestart(processes: List<ControllerProcess>) {
+        processes.forEach { it.kill() }
+        world.after(RESTART_DELAY_MS) { processes.forEach { it.start() } }
     }
 
-    private fun pause(controller: ControllerProcess, forMs: Long) {
+    private fun pauseAndResume(controller: ControllerProcess, forMs: Long) {
         controller.pause()
         world.after(forMs) { controller.resume() }
     }
 
     private fun problem(): String? {
         val broken = fleet.rules.broken
-        val crowded = samples.flatMap { it.sockets }.maxOrNull() ?: 0
+        val mostSockets = samples.flatMap { it.sockets }.maxOrNull() ?: 0
         return when {
             broken.isNotEmpty() -> "${broken.size} times a rule was broken, first: ${broken.first()}"
-            crowded > options.maxSockets -> "a controller held $crowded sockets of ${options.maxSockets}"
+            mostSockets > options.maxSockets -> "a controller held $mostSockets sockets of ${options.maxSockets}"
             fleet.starts == 0L -> "no task was started"
             else -> null
         }
@@ -200,15 +200,15 @@
     }
 
     private companion object {
-        const val MS = 1000.0
+        const val MS_PER_S = 1000.0
         const val SECOND_MS = 1_000L
-        const val LOOK_MS = 100L
+        const val POLL_MS = 100L
         const val HEAD_START_MS = 2_000L
-        const val RESTART_MS = 5_000L
-        const val APART_MS = 60_000L
-        const val PEAK_PART = 2
-        const val FILL_AT_ONCE = 100
-        const val FILLED = 0.97
-        const val FILL_MS = 240_000L
+        const val RESTART_DELAY_MS = 5_000L
+        const val PARTITION_MS = 60_000L
+        const val PEAK_DIVISOR = 2
+        const val MAX_PENDING_JOBS = 100
+        const val FILLED_SHARE = 0.97
+        const val FILL_TIMEOUT_MS = 240_000L
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/Wire.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StandInCodec.kt
@@ -15,8 +15,8 @@
 import oxbowlug.wire.fields
 
 /** The other side of the published interfaces: what workers, the state service and the cloud encode and decode. */
-internal object Wire {
-    fun encodeReport(report: WorkerHeartbeat): Map<String, Any?> = mapOf(
+internal object StandInCodec {
+    fun encodeHeartbeat(report: WorkerHeartbeat): Map<String, Any?> = mapOf(
         "beast" to report.machine.value,
         "endpoint" to report.endpoint,
         "breed" to report.type.value,
@@ -38,11 +38,11 @@
     )
 
     fun decodeAnswer(status: Int, body: Map<String, Any?>): HeartbeatResponse = when (status) {
-        Status.OK -> {
+        HttpStatus.OK -> {
             val fields = body.fields()
             HeartbeatResponse.Renewed(FencingToken(fields.countOr("brand", 0)), decodeCommands(fields))
         }
-        Status.REDIRECT -> HeartbeatResponse.Redirect(body.fields().textOrNull("drover"))
+        HttpStatus.REDIRECT -> HeartbeatResponse.Redirect(body.fields().textOrNull("drover"))
         else -> HeartbeatResponse.Unavailable
     }
 
--- a/src/scale/kotlin/oxbowlug/scale/StateFaults.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateFaults.kt
@@ -6,11 +6,11 @@
     val refusedControllers = HashSet<Int>()
 
     /** Controllers whose reads of changes that wait for one get no answer. */
-    val heldWatches = HashSet<Int>()
+    val unansweredWatches = HashSet<Int>()
     var refusedWrites = 0.0
-    var slowAnswers = 0.0
-    var lostAnswers = 0.0
+    var slowWriteAnswers = 0.0
+    var lostWriteAnswers = 0.0
 
     /** Carried out later, after newer ones, and not answered. */
-    var lateWrites = 0.0
+    var delayedWrites = 0.0
 }
--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -22,37 +22,37 @@
     rps: Double,
     private val faults: StateFaults = StateFaults(),
 ) {
-    private val requests = RequestLimit(world, rps, burstS = 1)
+    private val rateLimiter = RateLimiter(world, rps, burstS = 1)
 
     fun start(vertx: Vertx, topology: Topology): List<Future<*>> = topology.controllers.map { controller ->
         vertx.serveCbor(controller.stateHost, topology.ports.state) { exchange ->
             network.deliver(Endpoint.Controller(controller), Endpoint.StateService) {
-                exchange.guarded { answer(Call(exchange, controller)) }
+                exchange.rejectingMalformed { respond(Call(exchange, controller)) }
             }
         }
     }
 
-    private inner class Call(val exchange: HttpExchange, val controller: ControllerPlace) {
+    private inner class Call(val exchange: HttpExchange, val controller: ControllerIdentity) {
         /** Usually within a few milliseconds, and a few times in a thousand within some hundred. */
         fun reply(status: Int, body: Map<String, Any?>) {
-            replyAfter(if (world.chance(SLOW_SHARE)) world.between(SLOW_MS) else world.between(USUAL_MS), status, body)
+            replyAfter(if (world.chance(SLOW_RESPONSE_PROBABILITY)) world.between(SLOW_RESPONSE_MS) else world.between(USUAL_RESPONSE_MS), status, body)
         }
 
-        fun replyAfter(pauseMs: Long, status: Int, body: Map<String, Any?>) = world.after(pauseMs) {
+        fun replyAfter(delayMs: Long, status: Int, body: Map<String, Any?>) = world.after(delayMs) {
             network.deliver(Endpoint.StateService, Endpoint.Controller(controller)) { exchange.reply(status, body) }
         }
 
-        fun replyNow(body: Map<String, Any?>) = replyAfter(0, Status.OK, body)
+        fun replyNow(body: Map<String, Any?>) = replyAfter(0, HttpStatus.OK, body)
     }
 
-    private fun answer(call: Call) {
+    private fun respond(call: Call) {
         val exchange = call.exchange
-        if (!requests.take()) {
+        if (!rateLimiter.tryAcquire()) {
             traffic.stateRefused++
-            return call.reply(Status.TOO_MANY, mapOf("error" to "rate"))
+            return call.reply(HttpStatus.TOO_MANY_REQUESTS, mapOf("error" to "rate"))
         }
         if (store.down || call.controller.index in faults.refusedControllers) {
-            return call.reply(Status.UNAVAILABLE, mapOf("error" to "trouble"))
+            return call.reply(HttpStatus.UNAVAILABLE, mapOf("error" to "trouble"))
         }
         val path = exchange.path
         val method = exchange.request.method()
@@ -62,22 +62,22 @@
             path == "/changes" -> changes(call)
             path == "/holds" -> {
                 traffic.stateLeaseCalls++
-                call.reply(Status.OK, mapOf("tether" to store.grant(exchange.body().fields().count("life_ms"))))
+                call.reply(HttpStatus.OK, mapOf("tether" to store.grant(exchange.body().fields().count("life_ms"))))
             }
-            path.startsWith(HOLDS) && path.endsWith(TOUCH) -> touch(call, path)
-            path.startsWith(HOLDS) && method == HttpMethod.DELETE -> {
+            path.startsWith(LEASES_PATH) && path.endsWith(KEEP_ALIVE_SUFFIX) -> touch(call, path)
+            path.startsWith(LEASES_PATH) && method == HttpMethod.DELETE -> {
                 traffic.stateLeaseCalls++
-                path.substring(HOLDS.length).toLongOrNull()?.let(store::release)
-                call.reply(Status.OK, emptyMap())
+                path.substring(LEASES_PATH.length).toLongOrNull()?.let(store::release)
+                call.reply(HttpStatus.OK, emptyMap())
             }
-            else -> call.reply(Status.NOT_FOUND, mapOf("ledger" to store.revision))
+            else -> call.reply(HttpStatus.NOT_FOUND, mapOf("ledger" to store.revision))
         }
     }
 
     private fun readPage(call: Call) {
         traffic.stateReads++
         val exchange = call.exchange
-        val limit = exchange.parameter("limit")?.toIntOrNull()?.coerceIn(1, MAX_PAGE) ?: MAX_PAGE
+        val limit = exchange.parameter("limit")?.toIntOrNull()?.coerceIn(1, MAX_PAGE_ENTRIES) ?: MAX_PAGE_ENTRIES
         val page = store.read(exchange.parameter("prefix").orEmpty(), exchange.parameter("from"), limit)
         val entries = ArrayList<Map<String, Any?>>()
         var bytes = 0
@@ -87,36 +87,36 @@
             entries.add(encode(entry))
         }
         val more = page.more || entries.size < page.entries.size
-        call.reply(Status.OK, mapOf("entries" to entries, "more" to more, "ledger" to page.revision))
+        call.reply(HttpStatus.OK, mapOf("entries" to entries, "more" to more, "ledger" to page.revision))
     }
 
     private fun commit(call: Call) {
         traffic.stateCommits++
-        val transaction = Wire.decodeTransaction(call.exchange.body())
+        val transaction = StandInCodec.decodeTransaction(call.exchange.body())
         when {
-            happens(faults.refusedWrites) -> call.reply(Status.TOO_MANY, mapOf("error" to "rate"))
-            happens(faults.lateWrites) -> world.after(world.between(LATE_WRITE_MS)) {
+            occurs(faults.refusedWrites) -> call.reply(HttpStatus.TOO_MANY_REQUESTS, mapOf("error" to "rate"))
+            occurs(faults.delayedWrites) -> world.after(world.between(WRITE_DELAY_MS)) {
                 if (!store.down) store.commit(transaction)
             }
-            happens(faults.lostAnswers) -> store.commit(transaction)
-            happens(faults.slowAnswers) -> answer(store.commit(transaction)) { status, body ->
-                call.replyAfter(world.between(SLOW_ANSWER_MS), status, body)
+            occurs(faults.lostWriteAnswers) -> store.commit(transaction)
+            occurs(faults.slowWriteAnswers) -> respond(store.commit(transaction)) { status, body ->
+                call.replyAfter(world.between(SLOW_WRITE_ANSWER_MS), status, body)
             }
-            else -> answer(store.commit(transaction), call::reply)
+            else -> respond(store.commit(transaction), call::reply)
         }
     }
 
-    private fun happens(share: Double): Boolean = share > 0.0 && world.chance(share)
+    private fun occurs(share: Double): Boolean = share > 0.0 && world.chance(share)
 
-    private fun answer(outcome: CommitOutcome, reply: (Int, Map<String, Any?>) -> Unit) = when (outcome) {
-        is CommitOutcome.Applied -> reply(Status.OK, mapOf("ledger" to outcome.revision))
+    private fun respond(outcome: CommitOutcome, reply: (Int, Map<String, Any?>) -> Unit) = when (outcome) {
+        is CommitOutcome.Applied -> reply(HttpStatus.OK, mapOf("ledger" to outcome.revision))
         is CommitOutcome.Conflict ->
-            reply(Status.CONFLICT, mapOf("failed" to outcome.failed, "ledger" to store.revision))
-        CommitOutcome.LeaseOver -> reply(Status.BAD_REQUEST, mapOf("error" to "no such lease"))
-        CommitOutcome.Invalid -> reply(Status.BAD_REQUEST, mapOf("error" to "larger than the limits"))
+            reply(HttpStatus.CONFLICT, mapOf("failed" to outcome.failed, "ledger" to store.revision))
+        CommitOutcome.LeaseOver -> reply(HttpStatus.BAD_REQUEST, mapOf("error" to "no such lease"))
+        CommitOutcome.Invalid -> reply(HttpStatus.BAD_REQUEST, mapOf("error" to "larger than the limits"))
         CommitOutcome.Refused, CommitOutcome.Unanswered -> {
             traffic.stateRefused++
-            reply(Status.TOO_MANY, mapOf("error" to "rate"))
+            reply(HttpStatus.TOO_MANY_REQUESTS, mapOf("error" to "rate"))
         }
     }
 
@@ -128,12 +128,12 @@
         if (waitMs == 0L) {
             traffic.stateReads++
             val body = encode(store.changes(prefix, from))
-            if (body == null) call.reply(Status.GONE, emptyMap()) else call.reply(Status.OK, body)
+            if (body == null) call.reply(HttpStatus.GONE, emptyMap()) else call.reply(HttpStatus.OK, body)
         } else {
             traffic.stateWatches++
             store.watch(prefix, from, minOf(waitMs, MAX_WAIT_MS)) { outcome ->
-                if (call.controller.index !in faults.heldWatches) {
-                    encode(outcome)?.let(call::replyNow) ?: call.reply(Status.GONE, emptyMap())
+                if (call.controller.index !in faults.unansweredWatches) {
+                    encode(outcome)?.let(call::replyNow) ?: call.reply(HttpStatus.GONE, emptyMap())
                 }
             }
         }
@@ -146,9 +146,9 @@
 
     private fun touch(call: Call, path: String) {
         traffic.stateLeaseCalls++
-        val id = path.removeSuffix(TOUCH).substring(HOLDS.length).toLongOrNull()
+        val id = path.removeSuffix(KEEP_ALIVE_SUFFIX).substring(LEASES_PATH.length).toLongOrNull()
         val isRenewed = id != null && store.touch(id) == TouchOutcome.RENEWED
-        if (isRenewed) call.reply(Status.OK, mapOf("tether" to id)) else call.reply(Status.NOT_FOUND, emptyMap())
+        if (isRenewed) call.reply(HttpStatus.OK, mapOf("tether" to id)) else call.reply(HttpStatus.NOT_FOUND, emptyMap())
     }
 
     private fun encode(entry: Entry): Map<String, Any?> =
@@ -160,15 +160,15 @@
     }
 
     private companion object {
-        const val HOLDS = "/holds/"
-        const val TOUCH = "/touch"
-        const val MAX_PAGE = 1000
+        const val LEASES_PATH = "/holds/"
+        const val KEEP_ALIVE_SUFFIX = "/touch"
+        const val MAX_PAGE_ENTRIES = 1000
         const val MAX_PAGE_BYTES = 512 * 1024
         const val MAX_WAIT_MS = 60_000L
-        const val SLOW_SHARE = 0.003
-        val SLOW_MS = 100L..400L
-        val USUAL_MS = 1L..6L
-        val LATE_WRITE_MS = 1_000L..8_000L
-        val SLOW_ANSWER_MS = 50L..900L
+        const val SLOW_RESPONSE_PROBABILITY = 0.003
+        val SLOW_RESPONSE_MS = 100L..400L
+        val USUAL_RESPONSE_MS = 1L..6L
+        val WRITE_DELAY_MS = 1_000L..8_000L
+        val SLOW_WRITE_ANSWER_MS = 50L..900L
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/Topology.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Topology.kt
@@ -3,7 +3,7 @@
 import oxbowlug.wire.Zone
 
 /** One controller's place and addresses; every one of them is in 127.0.0.0/8. */
-internal class ControllerPlace(val index: Int, val zone: Zone, private val firstPort: Int) {
+internal class ControllerIdentity(val index: Int, val zone: Zone, private val firstPort: Int) {
     val label = "controller-$index"
     val clientHost = "127.10.$index.1"
     val clientPort = firstPort
@@ -15,7 +15,7 @@
     val cloudHost = "127.10.$index.4"
 
     /** Where [from] reaches this controller's peer port, through a proxy that delays and holds. */
-    fun proxyHost(from: ControllerPlace) = "127.11.${from.index}.$index"
+    fun proxyHost(from: ControllerIdentity) = "127.11.${from.index}.$index"
 }
 
 /** Which zones there are, in which regions, and where the controllers stand. */
@@ -27,8 +27,8 @@
     }
 
     /** Shared out over the regions, and within each over its zones. */
-    val controllers: List<ControllerPlace> = List(options.controllers) { index ->
-        ControllerPlace(index, zones[index % zones.size], options.firstPort)
+    val controllers: List<ControllerIdentity> = List(options.controllers) { index ->
+        ControllerIdentity(index, zones[index % zones.size], options.firstPort)
     }
 
     /** State service, cloud, load balancer and users belong to no zone; they are in the first region. */
--- a/src/scale/kotlin/oxbowlug/scale/Traffic.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Traffic.kt
@@ -3,7 +3,7 @@
 import org.HdrHistogram.Histogram
 
 /** Messages and bytes of one kind, since the run's start. */
-internal class Flow {
+internal class MessageCounter {
     var messages = 0L
         private set
     var bytes = 0L
@@ -20,14 +20,14 @@
  * here; TCP's own are not counted.
  */
 internal class Traffic {
-    val reports = Flow()
-    val reportAnswers = Flow()
-    val directCommands = Flow()
-    val directAnswers = Flow()
-    val peerBytes = Flow()
+    val reports = MessageCounter()
+    val heartbeatResponses = MessageCounter()
+    val directCommands = MessageCounter()
+    val directAnswers = MessageCounter()
+    val peerBytes = MessageCounter()
     var redirects = 0L
     var unavailable = 0L
-    var failedReports = 0L
+    var failedHeartbeats = 0L
     var stateReads = 0L
     var stateWatches = 0L
     var stateCommits = 0L
@@ -47,10 +47,10 @@
 
 /** Durations in milliseconds, to two digits. */
 internal class Durations {
-    private val histogram = Histogram(LONGEST_MS, 2)
+    private val histogram = Histogram(MAX_DURATION_MS, 2)
     val count: Long get() = histogram.totalCount
 
-    fun record(millis: Long) = histogram.recordValue(millis.coerceIn(0, LONGEST_MS))
+    fun record(millis: Long) = histogram.recordValue(millis.coerceIn(0, MAX_DURATION_MS))
 
     fun summary() = DurationSummary(
         histogram.totalCount,
@@ -60,7 +60,7 @@
     )
 
     private companion object {
-        const val LONGEST_MS = 3_600_000L
+        const val MAX_DURATION_MS = 3_600_000L
         const val MEDIAN = 50.0
         const val NINETY_NINE = 99.0
     }
--- a/src/scale/kotlin/oxbowlug/scale/Users.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Users.kt
@@ -32,99 +32,99 @@
 ) {
     private val client = vertx.createHttpClient(
         HttpClientOptions().setKeepAlive(true).setDecompressionSupported(false),
-        PoolOptions().setHttp1MaxSize(CONNECTIONS).setMaxWaitQueueSize(-1),
+        PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS).setMaxWaitQueueSize(-1),
     )
     private val isHealthy = BooleanArray(topology.controllers.size)
-    private val failures = IntArray(topology.controllers.size)
+    private val probeFailures = IntArray(topology.controllers.size)
 
     /** From the first attempt to submit until it was accepted. */
     var acceptance = Durations()
 
     /** Answers to users by status; 0 stands for none. */
     val answers = java.util.TreeMap<Int, Long>()
-    var givenUp = 0
+    var abandonedSubmissions = 0
         private set
     val healthyCount: Int get() = isHealthy.count { it }
 
     fun start() = world.every(PROBE_MS) { topology.controllers.forEach(::probe) }
 
-    private fun probe(controller: ControllerPlace) {
+    private fun probe(controller: ControllerIdentity) {
         call(controller, HttpMethod.GET, "/healthz", null, PROBE_TIMEOUT_MS) { answer ->
             val index = controller.index
-            failures[index] = if (answer?.status == Status.OK) 0 else failures[index] + 1
-            if (failures[index] == 0) isHealthy[index] = true
-            if (failures[index] >= FAILURES_TO_LEAVE) isHealthy[index] = false
+            probeFailures[index] = if (answer?.status == HttpStatus.OK) 0 else probeFailures[index] + 1
+            if (probeFailures[index] == 0) isHealthy[index] = true
+            if (probeFailures[index] >= UNHEALTHY_AFTER_FAILURES) isHealthy[index] = false
         }
     }
 
     fun submit(job: PlannedJob, onAccepted: () -> Unit = {}) {
         rules.jobs[job.spec.id.value] = Rules.Known(job.spec)
-        attempt(job, world.nowMs, onAccepted)
+        attemptSubmit(job, world.nowMs, onAccepted)
     }
 
-    private fun attempt(job: PlannedJob, firstAt: Long, onAccepted: () -> Unit) {
+    private fun attemptSubmit(job: PlannedJob, firstAttemptAt: Long, onAccepted: () -> Unit) {
         val id = job.spec.id.value
-        val askedAt = world.nowMs
-        ask(HttpMethod.POST, "/work", JobSpecCodec.encode(job.spec)) { answer ->
-            val told = answer?.let { read(it, isSubmission = true) }
-            if (told != null) rules.told(id, told, askedAt)
+        val sentAt = world.nowMs
+        sendToHealthy(HttpMethod.POST, "/work", JobSpecCodec.encode(job.spec)) { answer ->
+            val told = answer?.let { parseResponse(it, isSubmission = true) }
+            if (told != null) rules.told(id, told, sentAt)
             when {
                 told is UserResponse.Accepted || told is UserResponse.Known -> {
-                    acceptance.record(world.nowMs - firstAt)
+                    acceptance.record(world.nowMs - firstAttemptAt)
                     onAccepted()
-                    pollLater(id)
+                    schedulePoll(id)
                 }
-                world.nowMs - firstAt > GIVE_UP_MS || told is UserResponse.Malformed || told is UserResponse.Rejected ->
-                    givenUp++
-                else -> world.after(pauseMs(answer)) { attempt(job, firstAt, onAccepted) }
+                world.nowMs - firstAttemptAt > SUBMIT_TIMEOUT_MS || told is UserResponse.Malformed || told is UserResponse.Rejected ->
+                    abandonedSubmissions++
+                else -> world.after(retryDelayMs(answer)) { attemptSubmit(job, firstAttemptAt, onAccepted) }
             }
         }
     }
 
-    private fun pauseMs(answer: Answer?): Long = maxOf(RETRY_MS, (answer?.retryAfterS ?: 0) * MS)
+    private fun retryDelayMs(answer: Answer?): Long = maxOf(RETRY_DELAY_MS, (answer?.retryAfterS ?: 0) * MS_PER_S)
 
     fun cancel(id: JobId) {
         val job = rules.jobs[id.value] ?: return
         job.askedToCancel = true
-        val askedAt = world.nowMs
-        ask(HttpMethod.POST, "/work/$id/cancel", emptyMap()) { answer ->
-            val told = answer?.let { read(it, isSubmission = false) }
-            if (told != null) rules.told(id.value, told, askedAt)
-            if (told !is UserResponse.Known) world.after(pauseMs(answer)) { cancel(id) }
+        val sentAt = world.nowMs
+        sendToHealthy(HttpMethod.POST, "/work/$id/cancel", emptyMap()) { answer ->
+            val told = answer?.let { parseResponse(it, isSubmission = false) }
+            if (told != null) rules.told(id.value, told, sentAt)
+            if (told !is UserResponse.Known) world.after(retryDelayMs(answer)) { cancel(id) }
         }
     }
 
-    private fun pollLater(id: String) {
-        world.after(world.between(POLL_MS)) {
+    private fun schedulePoll(id: String) {
+        world.after(world.between(POLL_INTERVAL_MS)) {
             val job = rules.jobs.getValue(id)
             if (job.finalSince == null) poll(id)
         }
     }
 
     private fun poll(id: String) {
-        val askedAt = world.nowMs
-        ask(HttpMethod.GET, "/work/$id", null, POLL_TIMEOUT_MS) { answer ->
-            val told = answer?.let { read(it, isSubmission = false) }
-            if (told is UserResponse.Known || told is UserResponse.NotFound) rules.told(id, told, askedAt)
-            pollLater(id)
+        val sentAt = world.nowMs
+        sendToHealthy(HttpMethod.GET, "/work/$id", null, POLL_TIMEOUT_MS) { answer ->
+            val told = answer?.let { parseResponse(it, isSubmission = false) }
+            if (told is UserResponse.Known || told is UserResponse.NotFound) rules.told(id, told, sentAt)
+            schedulePoll(id)
         }
     }
 
-    private fun read(answer: Answer, isSubmission: Boolean): UserResponse? = try {
+    private fun parseResponse(answer: Answer, isSubmission: Boolean): UserResponse? = try {
         when (answer.status) {
-            Status.CREATED -> UserResponse.Accepted(view(answer.body))
-            Status.OK -> UserResponse.Known(view(answer.body))
-            Status.BAD_REQUEST -> UserResponse.Malformed(answer.body["error"].toString())
-            Status.UNPROCESSABLE -> UserResponse.Rejected(answer.body["error"].toString())
-            Status.NOT_FOUND -> UserResponse.NotFound.takeIf { !isSubmission }
-            Status.TOO_MANY -> UserResponse.Overloaded(answer.retryAfterS)
+            HttpStatus.CREATED -> UserResponse.Accepted(parseStatus(answer.body))
+            HttpStatus.OK -> UserResponse.Known(parseStatus(answer.body))
+            HttpStatus.BAD_REQUEST -> UserResponse.Malformed(answer.body["error"].toString())
+            HttpStatus.UNPROCESSABLE -> UserResponse.Rejected(answer.body["error"].toString())
+            HttpStatus.NOT_FOUND -> UserResponse.NotFound.takeIf { !isSubmission }
+            HttpStatus.TOO_MANY_REQUESTS -> UserResponse.Overloaded(answer.retryAfterS)
             else -> UserResponse.Unavailable(answer.retryAfterS, "")
         }
     } catch (_: InvalidField) {
         null
     }
 
-    private fun view(body: Map<String, Any?>): JobStatus {
+    private fun parseStatus(body: Map<String, Any?>): JobStatus {
         val fields = body.fields()
         val state = fields.text("stance")
         return JobStatus(
@@ -134,39 +134,39 @@
     }
 
     /** To one of the healthy controllers, or to any when none is. */
-    private fun ask(
+    private fun sendToHealthy(
         method: HttpMethod,
         path: String,
         body: Map<String, Any?>?,
-        timeoutMs: Long = ANSWER_MS,
-        done: (Answer?) -> Unit,
+        timeoutMs: Long = RESPONSE_TIMEOUT_MS,
+        onComplete: (Answer?) -> Unit,
     ) {
         val healthy = topology.controllers.filter { isHealthy[it.index] }.ifEmpty { topology.controllers }
         val chosen = healthy[world.between(0, healthy.size - 1L).toInt()]
         call(chosen, method, path, body, timeoutMs) { answer ->
             answers.merge(answer?.status ?: 0, 1L, Long::plus)
-            done(answer)
+            onComplete(answer)
         }
     }
 
     private fun call(
-        controller: ControllerPlace,
+        controller: ControllerIdentity,
         method: HttpMethod,
         path: String,
         body: Map<String, Any?>?,
         timeoutMs: Long,
-        done: (Answer?) -> Unit,
+        onComplete: (Answer?) -> Unit,
     ) {
-        var isOverQuota = false
+        var isCompleted = false
 
-        fun end(answer: Answer?) {
-            if (isOverQuota) return
-            isOverQuota = true
-            done(answer)
+        fun complete(answer: Answer?) {
+            if (isCompleted) return
+            isCompleted = true
+            onComplete(answer)
         }
-        world.after(timeoutMs) { end(null) }
-        val far = Endpoint.Controller(controller)
-        network.deliver(Endpoint.UserSide, far) {
+        world.after(timeoutMs) { complete(null) }
+        val controllerEnd = Endpoint.Controller(controller)
+        network.deliver(Endpoint.UserSide, controllerEnd) {
             val options = RequestOptions().setHost(controller.clientHost).setPort(controller.clientPort)
                 .setMethod(method).setURI(path).setConnectTimeout(timeoutMs).setIdleTimeout(timeoutMs)
             client.request(options)
@@ -175,8 +175,8 @@
                     request.send(bytes).onFailure { request.reset() }
                 }
                 .compose { response -> response.body().map { bytes -> decode(response, bytes) } }
-                .onSuccess { answer -> network.deliver(far, Endpoint.UserSide) { end(answer) } }
-                .onFailure { network.deliver(far, Endpoint.UserSide) { end(null) } }
+                .onSuccess { answer -> network.deliver(controllerEnd, Endpoint.UserSide) { complete(answer) } }
+                .onFailure { network.deliver(controllerEnd, Endpoint.UserSide) { complete(null) } }
         }
     }
 
@@ -190,15 +190,15 @@
     }
 
     private companion object {
-        const val CONNECTIONS = 256
+        const val MAX_CONNECTIONS = 256
         const val PROBE_MS = 1_000L
         const val PROBE_TIMEOUT_MS = 1_000L
-        const val FAILURES_TO_LEAVE = 2
-        const val ANSWER_MS = 5_000L
+        const val UNHEALTHY_AFTER_FAILURES = 2
+        const val RESPONSE_TIMEOUT_MS = 5_000L
         const val POLL_TIMEOUT_MS = 2_000L
-        const val RETRY_MS = 1_000L
-        const val GIVE_UP_MS = 60_000L
-        const val MS = 1000L
-        val POLL_MS = 4_500L..5_500L
+        const val RETRY_DELAY_MS = 1_000L
+        const val SUBMIT_TIMEOUT_MS = 60_000L
+        const val MS_PER_S = 1000L
+        val POLL_INTERVAL_MS = 4_500L..5_500L
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/Window.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Window.kt
@@ -9,11 +9,11 @@
     private val traffic = run.traffic
     val reports = traffic.reports.messages
     val reportBytes = traffic.reports.bytes + traffic.directAnswers.bytes
-    val answerBytes = traffic.reportAnswers.bytes + traffic.directCommands.bytes
+    val answerBytes = traffic.heartbeatResponses.bytes + traffic.directCommands.bytes
     val directCommands = traffic.directCommands.messages
     val redirects = traffic.redirects
     val unavailable = traffic.unavailable
-    val failed = traffic.failedReports
+    val failed = traffic.failedHeartbeats
     val stateRequests = traffic.stateRequests
     val stateReads = traffic.stateReads
     val stateWatches = traffic.stateWatches
@@ -22,19 +22,19 @@
     val cloudCalls = traffic.cloudCalls
     val peerBytes = traffic.peerBytes.bytes
     val starts = run.fleet.starts
-    val askedStarts = run.arrivals.askedStarts
-    val lost = run.fleet.tasksLostWithLeases()
-    val ended = run.controllers.sumOf { it.endedByItself }
-    val broken = run.fleet.rules.broken.size
-    val processor = run.controllers.map { it.cpuSeconds }
-    val ownProcessor = ownProcessorSeconds()
+    val requestedStarts = run.arrivals.requestedStarts
+    val lostTasks = run.fleet.tasksLostWithLeases()
+    val unexpectedExitCount = run.controllers.sumOf { it.unexpectedExits }
+    val brokenRules = run.fleet.rules.broken.size
+    val controllerCpuSeconds = run.controllers.map { it.cpuSeconds }
+    val standInCpuSeconds = currentProcessCpuSeconds()
     val userAnswers = HashMap(run.users.answers)
 
-    private fun ownProcessorSeconds(): Double = ProcessHandle.current().info().totalCpuDuration()
-        .map { it.toMillis() / MS }.orElse(0.0)
+    private fun currentProcessCpuSeconds(): Double = ProcessHandle.current().info().totalCpuDuration()
+        .map { it.toMillis() / MS_PER_S }.orElse(0.0)
 
     private companion object {
-        const val MS = 1000.0
+        const val MS_PER_S = 1000.0
     }
 }
 
@@ -44,82 +44,82 @@
     val startedAt: Long get() = before.atMs
     private var longestUnrenewedMs = 0L
     private var renewedAfterMs: Long? = null
-    private var lastSecondStarts = before.starts
-    private var mostStarts = 0L
+    private var startsAtLastSecond = before.starts
+    private var maxStartsPerSecond = 0L
 
     /** The moment of the failure, if the scenario has one. */
-    var failedAt: Long? = null
+    var faultAt: Long? = null
 
     init {
         run.users.acceptance = Durations()
         run.fleet.urgentStart = Durations()
-        run.clock.latestMs = 0
+        run.clock.maxLagMs = 0
     }
 
     /** Called a few times a second. */
-    fun look() {
+    fun pollLeases() {
         longestUnrenewedMs = maxOf(longestUnrenewedMs, run.fleet.longestWithoutRenewal())
-        val since = failedAt ?: return
+        val since = faultAt ?: return
         if (renewedAfterMs == null && run.fleet.allRenewedSince(since)) renewedAfterMs = run.world.nowMs - since
     }
 
-    fun everySecond() {
-        mostStarts = maxOf(mostStarts, run.fleet.starts - lastSecondStarts)
-        lastSecondStarts = run.fleet.starts
+    fun recordSecond() {
+        maxStartsPerSecond = maxOf(maxStartsPerSecond, run.fleet.starts - startsAtLastSecond)
+        startsAtLastSecond = run.fleet.starts
     }
 
-    fun result(meters: List<ControllerMeters>): ScenarioResult {
+    fun result(metrics: List<ControllerMetrics>): ScenarioResult {
         val after = Counters(run)
-        val seconds = (after.atMs - before.atMs) / MS
+        val seconds = (after.atMs - before.atMs) / MS_PER_S
         val perSecond = Rates(seconds)
         return ScenarioResult(
             scenario = scenario.wire,
             title = scenario.title,
             seconds = seconds,
             controllers = run.controllers.mapIndexed { index, controller ->
-                use(controller, meters[index], (after.processor[index] - before.processor[index]) / seconds)
+                controllerUse(controller, metrics[index], (after.controllerCpuSeconds[index] - before.controllerCpuSeconds[index]) / seconds)
             },
             reports = reportTraffic(after, perSecond),
             state = stateTraffic(after, perSecond),
-            cloudCallsPerS = perSecond.of(after.cloudCalls - before.cloudCalls),
-            peerBytesPerS = perSecond.of(after.peerBytes - before.peerBytes),
+            cloudCallsPerS = perSecond.rate(after.cloudCalls - before.cloudCalls),
+            peerBytesPerS = perSecond.rate(after.peerBytes - before.peerBytes),
             tasksRunning = run.fleet.tasksRunning(),
-            startsAsked = after.askedStarts - before.askedStarts,
-            startsPerS = perSecond.of(after.starts - before.starts),
-            mostStartsInASecond = mostStarts,
+            startsAsked = after.requestedStarts - before.requestedStarts,
+            startsPerS = perSecond.rate(after.starts - before.starts),
+            mostStartsInASecond = maxStartsPerSecond,
             urgentStart = run.fleet.urgentStart.summary(),
             acceptance = run.users.acceptance.summary(),
             userAnswers = after.userAnswers.mapValues { (status, count) -> count - (before.userAnswers[status] ?: 0L) },
             allLeasesRenewedAfterMs = renewedAfterMs,
             longestWithoutRenewalMs = longestUnrenewedMs,
-            tasksLost = after.lost - before.lost,
-            endedByThemselves = after.ended - before.ended,
-            standInsProcessorShare = (after.ownProcessor - before.ownProcessor) / seconds,
-            standInsLatestMs = run.clock.latestMs,
-            rulesBroken = run.fleet.rules.broken.drop(before.broken),
+            tasksLost = after.lostTasks - before.lostTasks,
+            endedByThemselves = after.unexpectedExitCount - before.unexpectedExitCount,
+            standInsProcessorShare = (after.standInCpuSeconds - before.standInCpuSeconds) / seconds,
+            standInsLatestMs = run.clock.maxLagMs,
+            rulesBroken = run.fleet.rules.broken.drop(before.brokenRules),
         )
     }
 
-    private fun use(controller: ControllerProcess, meters: ControllerMeters, share: Double) = ControllerUse(
-        label = controller.place.label,
-        zone = controller.place.zone.value,
-        leads = meters.isLeading,
+    private fun controllerUse(controller: ControllerProcess, metrics: ControllerMetrics, share: Double) = ControllerUse(
+        label = controller.identity.label,
+        zone = controller.identity.zone.value,
+        leads = metrics.isLeading,
         processorShare = share,
         residentMb = controller.latest.residentMb,
         peakMb = controller.latest.peakMb,
         sockets = controller.latest.sockets,
-        longestPlanMs = meters.longestPlanMs,
-        longestStepMs = meters.longestStepMs,
-        latestTickMs = meters.latestTickMs,
+        longestPlanMs = metrics.longestPlanMs,
+        longestStepMs = metrics.longestStepMs,
+        latestTickMs = metrics.latestTickMs,
     )
 
     private fun reportTraffic(after: Counters, perSecond: Rates): ReportTraffic {
         val workers = run.options.workers
         return ReportTraffic(
-            reportsPerS = perSecond.of(after.reports - before.reports),
-            upBytesPerWorkerS = perSecond.of(after.reportBytes - before.reportBytes) / workers,
-            downBytesPerWorkerS = perSecond.of(after.answerBytes - before.answerBytes) / workers,
-            directCommandsPerS = perSecond.of(after.directCommands - before.directCommands),
+            reportsPerS = perSecond.rate(after.reports - before.reports),
+            upBytesPerWorkerS = perSecond.rate(after.reportBytes - before.reportBytes) / workers,
+            downBytesPerWorkerS = perSecond.rate(after.answerBytes - before.answerBytes) / workers,
+            directCommandsPerS = perSecond.rate(after.directCommands - before.directCommands),
             redirects = after.redirects - before.redirects,
             unavailable = after.unavailable - before.unavailable,
             failed = after.failed - before.failed,
@@ -127,15 +127,15 @@
     }
 
     private fun stateTraffic(after: Counters, perSecond: Rates): StateTraffic {
-        val (entries, largest) = contents(run.store)
+        val (entries, largestValue) = contents(run.store)
         return StateTraffic(
-            requestsPerS = perSecond.of(after.stateRequests - before.stateRequests),
-            changesPerS = perSecond.of(after.changes - before.changes),
-            readsPerS = perSecond.of(after.stateReads - before.stateReads),
-            watchesPerS = perSecond.of(after.stateWatches - before.stateWatches),
+            requestsPerS = perSecond.rate(after.stateRequests - before.stateRequests),
+            changesPerS = perSecond.rate(after.changes - before.changes),
+            readsPerS = perSecond.rate(after.stateReads - before.stateReads),
+            watchesPerS = perSecond.rate(after.stateWatches - before.stateWatches),
             refused = after.stateRefused - before.stateRefused,
             entries = entries,
-            largestValueBytes = largest,
+            largestValueBytes = largestValue,
         )
     }
 
@@ -145,10 +145,10 @@
     }
 
     private class Rates(private val seconds: Double) {
-        fun of(count: Long): Double = if (seconds > 0) count / seconds else 0.0
+        fun rate(count: Long): Double = if (seconds > 0) count / seconds else 0.0
     }
 
     private companion object {
-        const val MS = 1000.0
+        const val MS_PER_S = 1000.0
     }
 }
--- a/src/scale/kotlin/oxbowlug/soak/Fault.kt
+++ b/src/scale/kotlin/oxbowlug/soak/Fault.kt
@@ -1,6 +1,10 @@
 package oxbowlug.soak
 
-/** What can be made to go wrong. Each kind is played alike on virtual time and on real processes. */
+/**
+ * The kinds of injected faults. The simulation injects them on virtual time, the soak on real controller processes.
+ *
+ * A cut controller, zone or pair of them is a network partition between the named ends.
+ */
 internal enum class FaultKind {
     KILL_CONTROLLER,
     KILL_LEADER,
@@ -21,35 +25,49 @@
     STATE_OUTAGE,
     CLOUD_OUTAGE,
 
-    /** The leader's open reads of changes get no answer, while all its other calls are served. */
-    HOLD_LEADER_WATCH,
+    /** The state service doesn't answer the leader's open watches, but serves all its other calls. */
+    DROP_LEADER_WATCH_ANSWERS,
     REFUSE_WRITES,
     SLOW_WRITE_ANSWERS,
     LOSE_WRITE_ANSWERS,
     DELAY_WRITES,
-    FORGET_CHANGES,
+
+    /** The state service drops its change history, so each reader of older changes has to read everything again. */
+    DISCARD_CHANGE_HISTORY,
     LOSE_MESSAGES,
     DELAY_MESSAGES,
-    REPEAT_REPORTS,
-    REPEAT_REPORTS_TO_NEXT_LEADER,
-    HOLD_PEER_FRAMES,
-    DEAF_WORKERS,
-    MUTE_WORKERS,
+
+    /** Some of the workers' heartbeats are delivered a second time, late. */
+    DUPLICATE_HEARTBEATS,
+
+    /** Heartbeats sent during the fault are delivered again when another controller becomes leader. */
+    REPLAY_OLD_HEARTBEATS,
+
+    /** Frames between controllers are held and delivered late. */
+    STALL_PEER_LINKS,
+
+    /** Some workers receive neither direct commands nor answers to their heartbeats. */
+    UNRESPONSIVE_WORKERS,
+
+    /** Some workers' heartbeats are lost. */
+    LOSE_HEARTBEATS,
+
+    /** Some workers' machines stand still. */
     HANG_WORKERS,
 
-    /** No answers reach them until their leases are over, and then their reports get nowhere. */
-    UNANSWERED_THEN_MUTE_WORKERS,
+    /** Some workers get no answers to their heartbeats until their leases expire; then their heartbeats are lost. */
+    LOSE_ANSWERS_THEN_HEARTBEATS,
 
-    /** Users call off jobs that run. */
+    /** Users cancel running jobs. */
     CANCEL_RUNNING,
 
-    /** The same, and the machines that hold them hang. */
+    /** Users cancel running jobs, and the machines that run their tasks hang. */
     CANCEL_RUNNING_AND_HANG,
 }
 
 /**
- * One trouble of a schedule. All times are in milliseconds since the schedule began; [target] chooses among whatever
- * there is to choose from, by its remainder.
+ * One fault of a schedule: it begins [atMs] milliseconds after the schedule's start and lasts [forMs] milliseconds.
+ * [target], modulo the number of candidates, selects the affected controller, zone, variant or number of workers.
  */
 internal data class Fault(val kind: FaultKind, val atMs: Long, val forMs: Long, val target: Int) {
     val untilMs: Long get() = atMs + forMs
--- a/src/scale/kotlin/oxbowlug/soak/LostAnswers.kt
+++ b/src/scale/kotlin/oxbowlug/soak/LostAnswers.kt
@@ -4,21 +4,21 @@
 import oxbowlug.standin.World
 
 /**
- * A worker that gets no answers to its reports for about a lease, and whose reports are then lost, while direct
- * commands reach it throughout. Its incarnation ends as its leader goes on hearing it, and the next one begins unheard
- * (docs/incidents/broke-at-size-2.md).
+ * A worker that gets no answers to its heartbeats for about a lease, and whose heartbeats are lost afterwards. Direct
+ * commands reach it throughout. Its lease expires and its incarnation ends while the leader still receives its
+ * heartbeats, and the leader receives none from the next incarnation (docs/incidents/broke-at-size-2.md).
  */
 internal class LostAnswers(private val world: World, private val leaseMs: Long) {
     fun begin(worker: SimWorker) {
-        val overAt = worker.leaseFrom + leaseMs
-        worker.unansweredUntil = overAt
-        world.after(overAt - world.between(0, leaseMs / PART) - world.nowMs) {
-            worker.muteUntil = overAt + leaseMs - world.between(0, leaseMs / PART)
+        val leaseEndMs = worker.leaseFrom + leaseMs
+        worker.unansweredUntil = leaseEndMs
+        world.after(leaseEndMs - world.between(0, leaseMs / JITTER_DIVISOR) - world.nowMs) {
+            worker.muteUntil = leaseEndMs + leaseMs - world.between(0, leaseMs / JITTER_DIVISOR)
         }
     }
 
     private companion object {
-        /** The moments differ by up to this part of a lease: a report, or a few. */
-        const val PART = 5
+        /** Both times vary by up to a fifth of a lease, which is one heartbeat or a few. */
+        const val JITTER_DIVISOR = 5
     }
 }
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
-/** Brings faults about on real controller processes and on the stand-ins around them. */
+/** Injects faults into real controller processes and into the stand-ins around them. */
 internal class RealFaults(
     private val world: World,
     private val zones: List<Zone>,
@@ -26,18 +26,18 @@
     private val controllers: List<ControllerProcess>,
     private val leaseMs: Long,
 ) {
-    private var repeatedReports = 0.0
-    private val keptForNext = ArrayList<Pair<WorkerHeartbeat, List<HeartbeatTarget>>>()
-    private var keepsForNext = false
+    private var duplicateProbability = 0.0
+    private val recordedHeartbeats = ArrayList<Pair<WorkerHeartbeat, List<HeartbeatTarget>>>()
+    private var isRecording = false
     private var lastLeader: String? = null
 
     init {
-        fleet.onReportSent = ::repeatReport
-        world.every(LOOK_MS) { bringKept() }
+        fleet.onHeartbeatSent = ::duplicateHeartbeat
+        world.every(LEADER_POLL_MS) { replayOnLeaderChange() }
     }
 
-    fun play(schedule: FaultSchedule) {
-        for (fault in schedule.faults) world.after(fault.atMs) { begin(fault) }
+    fun injectAll(schedule: FaultSchedule) {
+        for (fault in schedule.faults) world.after(fault.atMs) { inject(fault) }
     }
 
     private fun leaderLabel(): String? {
@@ -46,122 +46,137 @@
     }
 
     private fun leader(): ControllerProcess =
-        leaderLabel().let { label -> controllers.firstOrNull { it.place.label == label } ?: controllers[0] }
+        leaderLabel().let { label -> controllers.firstOrNull { it.identity.label == label } ?: controllers[0] }
 
-    private fun begin(fault: Fault) {
+    private fun inject(fault: Fault) {
         val controller = controllers[fault.target % controllers.size]
         when (fault.kind) {
-            FaultKind.KILL_CONTROLLER -> kill(listOf(controller), fault)
-            FaultKind.KILL_LEADER -> kill(listOf(leader()), fault)
-            FaultKind.KILL_ALL_CONTROLLERS -> kill(controllers, fault)
-            FaultKind.PAUSE_CONTROLLER -> pause(controller, fault)
-            FaultKind.PAUSE_LEADER -> pause(leader(), fault)
-            FaultKind.CUT_CONTROLLER_FROM_STATE -> refuse(controller, fault)
-            FaultKind.CUT_LEADER_FROM_STATE -> refuse(leader(), fault)
-            FaultKind.CUT_LEADER_FROM_STATE_AND_PEERS -> isolate(leader(), fault)
-            FaultKind.CUT_CONTROLLER_FROM_STATE_AND_PEERS -> isolate(controller, fault)
-            FaultKind.CUT_CONTROLLER_FROM_PEERS -> cut(controller, fault) { it is Endpoint.Controller }
-            FaultKind.CUT_LEADER_FROM_PEERS -> cut(leader(), fault) { it is Endpoint.Controller }
-            FaultKind.CUT_CONTROLLER_FROM_WORKERS -> cut(controller, fault) { it is Endpoint.Worker }
-            FaultKind.CUT_LEADER_FROM_WORKERS -> cut(leader(), fault) { it is Endpoint.Worker }
-            FaultKind.CUT_CONTROLLER_FROM_USERS -> cut(controller, fault) { it == Endpoint.UserSide }
-            FaultKind.CUT_LEADER_FROM_CLOUD -> cut(leader(), fault) { it == Endpoint.CloudProvider }
+            FaultKind.KILL_CONTROLLER -> killAndRestart(listOf(controller), fault)
+            FaultKind.KILL_LEADER -> killAndRestart(listOf(leader()), fault)
+            FaultKind.KILL_ALL_CONTROLLERS -> killAndRestart(controllers, fault)
+            FaultKind.PAUSE_CONTROLLER -> pauseAndResume(controller, fault)
+            FaultKind.PAUSE_LEADER -> pauseAndResume(leader(), fault)
+            FaultKind.CUT_CONTROLLER_FROM_STATE -> cutFromState(controller, fault)
+            FaultKind.CUT_LEADER_FROM_STATE -> cutFromState(leader(), fault)
+            FaultKind.CUT_LEADER_FROM_STATE_AND_PEERS -> cutFromStateAndPeers(leader(), fault)
+            FaultKind.CUT_CONTROLLER_FROM_STATE_AND_PEERS -> cutFromStateAndPeers(controller, fault)
+            FaultKind.CUT_CONTROLLER_FROM_PEERS -> cutFromEndpoints(controller, fault) { it is Endpoint.Controller }
+            FaultKind.CUT_LEADER_FROM_PEERS -> cutFromEndpoints(leader(), fault) { it is Endpoint.Controller }
+            FaultKind.CUT_CONTROLLER_FROM_WORKERS -> cutFromEndpoints(controller, fault) { it is Endpoint.Worker }
+            FaultKind.CUT_LEADER_FROM_WORKERS -> cutFromEndpoints(leader(), fault) { it is Endpoint.Worker }
+            FaultKind.CUT_CONTROLLER_FROM_USERS -> cutFromEndpoints(controller, fault) { it == Endpoint.UserSide }
+            FaultKind.CUT_LEADER_FROM_CLOUD -> cutFromEndpoints(leader(), fault) { it == Endpoint.CloudProvider }
             FaultKind.CUT_ZONE -> network.cutZone(zones[fault.target % zones.size], fault.forMs)
-            FaultKind.STATE_OUTAGE -> hold(fault) { store.down = it }
-            FaultKind.CLOUD_OUTAGE -> hold(fault) { fleet.cloud.down = it }
-            FaultKind.HOLD_LEADER_WATCH -> holdIndex(stateFaults.heldWatches, leader(), fault)
-            FaultKind.REFUSE_WRITES -> hold(fault) { stateFaults.refusedWrites = if (it) OFTEN else 0.0 }
-            FaultKind.SLOW_WRITE_ANSWERS -> hold(fault) { stateFaults.slowAnswers = if (it) OFTEN else 0.0 }
-            FaultKind.LOSE_WRITE_ANSWERS -> hold(fault) { stateFaults.lostAnswers = if (it) OFTEN else 0.0 }
-            FaultKind.DELAY_WRITES -> hold(fault) { stateFaults.lateWrites = if (it) OFTEN else 0.0 }
-            FaultKind.FORGET_CHANGES -> store.forgetChanges()
-            FaultKind.LOSE_MESSAGES -> hold(fault) { network.lostToWorkers = if (it) SELDOM else 0.0 }
-            FaultKind.DELAY_MESSAGES -> hold(fault) { network.lateToWorkers = if (it) SELDOM else 0.0 }
-            FaultKind.REPEAT_REPORTS -> hold(fault) { repeatedReports = if (it) SELDOM else 0.0 }
-            FaultKind.REPEAT_REPORTS_TO_NEXT_LEADER -> hold(fault) { keepsForNext = it }
-            FaultKind.HOLD_PEER_FRAMES ->
+            FaultKind.STATE_OUTAGE -> during(fault) { store.down = it }
+            FaultKind.CLOUD_OUTAGE -> during(fault) { fleet.cloud.down = it }
+            FaultKind.DROP_LEADER_WATCH_ANSWERS -> addDuring(stateFaults.unansweredWatches, leader(), fault)
+            FaultKind.REFUSE_WRITES -> during(fault) { stateFaults.refusedWrites = if (it) FREQUENT else 0.0 }
+            FaultKind.SLOW_WRITE_ANSWERS -> during(fault) { stateFaults.slowWriteAnswers = if (it) FREQUENT else 0.0 }
+            FaultKind.LOSE_WRITE_ANSWERS -> during(fault) { stateFaults.lostWriteAnswers = if (it) FREQUENT else 0.0 }
+            FaultKind.DELAY_WRITES -> during(fault) { stateFaults.delayedWrites = if (it) FREQUENT else 0.0 }
+            FaultKind.DISCARD_CHANGE_HISTORY -> store.forgetChanges()
+            FaultKind.LOSE_MESSAGES -> during(fault) { network.workerLossProbability = if (it) OCCASIONAL else 0.0 }
+            FaultKind.DELAY_MESSAGES -> during(fault) { network.workerDelayProbability = if (it) OCCASIONAL else 0.0 }
+            FaultKind.DUPLICATE_HEARTBEATS -> during(fault) { duplicateProbability = if (it) OCCASIONAL else 0.0 }
+            FaultKind.REPLAY_OLD_HEARTBEATS -> during(fault) { isRecording = it }
+            FaultKind.STALL_PEER_LINKS ->
                 network.cutLinks(fault.forMs) { from, to -> from is Endpoint.Controller && to is Endpoint.Controller }
-            FaultKind.DEAF_WORKERS -> some(fault).forEach { it.unresponsiveUntil = world.nowMs + fault.forMs }
-            FaultKind.MUTE_WORKERS -> some(fault).forEach { it.muteUntil = world.nowMs + fault.forMs }
-            FaultKind.HANG_WORKERS -> some(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
-            FaultKind.UNANSWERED_THEN_MUTE_WORKERS -> some(fault).forEach { LostAnswers(world, leaseMs).begin(it) }
-            FaultKind.CANCEL_RUNNING -> load.cancelRunning(1 + fault.target % MOST_JOBS)
+            FaultKind.UNRESPONSIVE_WORKERS ->
+                selectWorkers(fault).forEach { it.unresponsiveUntil = world.nowMs + fault.forMs }
+            FaultKind.LOSE_HEARTBEATS -> selectWorkers(fault).forEach { it.muteUntil = world.nowMs + fault.forMs }
+            FaultKind.HANG_WORKERS -> selectWorkers(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
+            FaultKind.LOSE_ANSWERS_THEN_HEARTBEATS ->
+                selectWorkers(fault).forEach { LostAnswers(world, leaseMs).begin(it) }
+            FaultKind.CANCEL_RUNNING -> load.cancelRunning(1 + fault.target % MAX_JOBS)
             FaultKind.CANCEL_RUNNING_AND_HANG ->
-                load.cancelRunning(1 + fault.target % MOST_JOBS).forEach { it.hungUntil = world.nowMs + fault.forMs }
+                load.cancelRunning(1 + fault.target % MAX_JOBS).forEach { it.hungUntil = world.nowMs + fault.forMs }
         }
     }
 
-    private fun hold(fault: Fault, set: (Boolean) -> Unit) {
+    private fun during(fault: Fault, set: (Boolean) -> Unit) {
         set(true)
         world.after(fault.forMs) { set(false) }
     }
 
-    private fun holdIndex(indexes: MutableSet<Int>, controller: ControllerProcess, fault: Fault) = hold(fault) {
-        if (it) indexes.add(controller.place.index) else indexes.remove(controller.place.index)
+    private fun addDuring(indexes: MutableSet<Int>, controller: ControllerProcess, fault: Fault) = during(fault) {
+        if (it) indexes.add(controller.identity.index) else indexes.remove(controller.identity.index)
     }
 
-    /** Every other time the state service refuses it at once; else what it sends there is held, and comes late. */
-    private fun refuse(controller: ControllerProcess, fault: Fault) {
+    /**
+     * Cuts the controller from the state service: for an even target the service refuses the controller's calls at
+     * once, for an odd one the network holds the messages between them and delivers them late.
+     */
+    private fun cutFromState(controller: ControllerProcess, fault: Fault) {
         if (fault.target % 2 == 0) {
-            holdIndex(stateFaults.refusedControllers, controller, fault)
+            addDuring(stateFaults.refusedControllers, controller, fault)
         } else {
-            cut(controller, fault) { it == Endpoint.StateService }
+            cutFromEndpoints(controller, fault) { it == Endpoint.StateService }
         }
     }
 
-    private fun isolate(controller: ControllerProcess, fault: Fault) {
-        refuse(controller, fault)
-        cut(controller, fault) { it is Endpoint.Controller }
+    private fun cutFromStateAndPeers(controller: ControllerProcess, fault: Fault) {
+        cutFromState(controller, fault)
+        cutFromEndpoints(controller, fault) { it is Endpoint.Controller }
     }
 
-    /** One time in three only what it sends is held, and one in three only what it is sent. */
-    private fun cut(controller: ControllerProcess, fault: Fault, isOther: (Endpoint) -> Boolean) {
-        val self = Endpoint.Controller(controller.place)
-        val direction = fault.target / 2 % DIRECTIONS
+    /**
+     * Cuts the controller from all endpoints for which [isRemote] holds. The fault's target selects, a third each,
+     * whether the cut holds messages in both directions, only the outbound ones, or only the inbound ones.
+     */
+    private fun cutFromEndpoints(controller: ControllerProcess, fault: Fault, isRemote: (Endpoint) -> Boolean) {
+        val self = Endpoint.Controller(controller.identity)
+        val direction = fault.target / 2 % DIRECTION_COUNT
         network.cutLinks(fault.forMs) { from, to ->
-            direction != ONLY_IN && from == self && isOther(to) || direction != ONLY_OUT && to == self && isOther(from)
+            direction != INBOUND_ONLY && from == self && isRemote(to) ||
+                direction != OUTBOUND_ONLY && to == self && isRemote(from)
         }
     }
 
-    private fun kill(which: List<ControllerProcess>, fault: Fault) {
-        which.forEach { it.kill() }
-        world.after(fault.forMs) { which.filterNot { it.isAlive }.forEach { it.start() } }
+    private fun killAndRestart(processes: List<ControllerProcess>, fault: Fault) {
+        processes.forEach { it.kill() }
+        world.after(fault.forMs) { processes.filterNot { it.isAlive }.forEach { it.start() } }
     }
 
-    private fun pause(controller: ControllerProcess, fault: Fault) {
+    private fun pauseAndResume(controller: ControllerProcess, fault: Fault) {
         controller.pause()
         world.after(fault.forMs) { controller.resume() }
     }
 
-    private fun some(fault: Fault): List<SimWorker> =
-        fleet.cloud.workers.shuffled(world.random).take(1 + fault.target % MOST_WORKERS)
+    private fun selectWorkers(fault: Fault): List<SimWorker> =
+        fleet.cloud.workers.shuffled(world.random).take(1 + fault.target % MAX_WORKERS)
 
-    private fun repeatReport(report: WorkerHeartbeat, targets: List<HeartbeatTarget>) {
-        if (keepsForNext) keptForNext.add(report to targets)
-        if (repeatedReports == 0.0 || !world.chance(repeatedReports)) return
+    private fun duplicateHeartbeat(heartbeat: WorkerHeartbeat, targets: List<HeartbeatTarget>) {
+        if (isRecording) recordedHeartbeats.add(heartbeat to targets)
+        if (duplicateProbability == 0.0 || !world.chance(duplicateProbability)) return
         val target = targets[world.random.nextInt(targets.size)]
-        world.after(world.between(LATE_REPORT_MS)) { target.receive(report) { } }
+        world.after(world.between(DUPLICATE_DELAY_MS)) { target.receive(heartbeat) { } }
     }
 
-    /** Old reports reach every controller just as another one begins to lead. */
-    private fun bringKept() {
+    /** Delivers the recorded heartbeats again, to every controller, as soon as another controller is the leader. */
+    private fun replayOnLeaderChange() {
         val label = leaderLabel()
         if (label == lastLeader) return
         lastLeader = label
-        for ((report, targets) in keptForNext.takeLast(MOST_KEPT)) targets.forEach { it.receive(report) { } }
-        keptForNext.clear()
+        for ((heartbeat, targets) in recordedHeartbeats.takeLast(MAX_REPLAYED)) {
+            targets.forEach { it.receive(heartbeat) { } }
+        }
+        recordedHeartbeats.clear()
     }
 
     private companion object {
-        const val LOOK_MS = 50L
-        const val OFTEN = 0.4
-        const val SELDOM = 0.1
-        const val MOST_WORKERS = 4
-        const val MOST_JOBS = 6
-        const val MOST_KEPT = 40
-        const val DIRECTIONS = 3
-        const val ONLY_OUT = 1
-        const val ONLY_IN = 2
-        val LATE_REPORT_MS = 500L..(SoakOptions.LEASE_S * 2_000).toLong()
+        const val LEADER_POLL_MS = 50L
+
+        /** Probability that a fault affects one write. */
+        const val FREQUENT = 0.4
+
+        /** Probability that a fault affects one message. */
+        const val OCCASIONAL = 0.1
+        const val MAX_WORKERS = 4
+        const val MAX_JOBS = 6
+        const val MAX_REPLAYED = 40
+        const val DIRECTION_COUNT = 3
+        const val OUTBOUND_ONLY = 1
+        const val INBOUND_ONLY = 2
+        val DUPLICATE_DELAY_MS = 500L..(SoakOptions.LEASE_S * 2_000).toLong()
     }
 }
