--- a/src/scale/kotlin/oxbowlug/scale/ArgumentParser.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ArgumentParser.kt
@@ -5,10 +5,10 @@
 import joptsimple.OptionSet
 import joptsimple.OptionSpec
 
-/** An argument that can't work; the message begins with its name. */
+/** An invalid argument; the message begins with the option's name. */
 internal class InvalidOption(message: String) : Exception(message)
 
-/** Reads and checks the arguments of a run; [introduction] stands before the list of options. */
+/** Parses and validates the arguments of a run. The help prints [introduction] above the list of options. */
 internal abstract class ArgumentParser<T>(private val introduction: String) {
     protected val parser = OptionParser()
     private val help = parser.accepts("help", "show this help and end").forHelp()
@@ -19,7 +19,7 @@
     protected fun doubleOption(name: String, description: String, default: Double): OptionSpec<Double> =
         parser.accepts(name, description).withRequiredArg().ofType(Double::class.javaObjectType).defaultsTo(default)
 
-    /** Null when only the help was asked for, which is then printed. Throws [InvalidOption]. */
+    /** Returns null if `--help` is given, after printing the help. Throws [InvalidOption]. */
     fun parse(arguments: List<String>): T? {
         val parsed = rethrowingAsInvalidOption { parser.parse(*arguments.toTypedArray()) }
         if (parsed.has(help)) {
@@ -28,7 +28,7 @@
             return null
         }
         parsed.nonOptionArguments().firstOrNull()?.let { throw InvalidOption("$it: is not an option") }
-        // Values are converted only when they are asked for.
+        // jopt-simple converts a value only when it is read, so reading can fail too.
         return rethrowingAsInvalidOption { read(parsed) }.also(::check)
     }
 
--- a/src/scale/kotlin/oxbowlug/scale/Arrivals.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Arrivals.kt
@@ -4,7 +4,7 @@
 import kotlin.math.ceil
 import kotlin.math.roundToInt
 
-/** Submits the jobs of a day at its rate, and those of the peak. */
+/** Submits the ordinary jobs at their daily rate, and the jobs of the peak scenario. */
 internal class Arrivals(
     private val options: ScaleOptions,
     private val world: World,
@@ -14,11 +14,11 @@
 ) {
     private var isStarted = false
 
-    /** A small fleet gets one job every other second at least, or nothing would be measured. */
+    /** At least one job every two seconds, so that a small fleet also has something to measure. */
     private val jobsPerSecond = maxOf(options.jobsPerDay / SECONDS_PER_DAY, MIN_JOBS_PER_S)
     private var submittedCount = 0
 
-    /** Tasks asked for by the peak so far. */
+    /** Task starts that the peak has requested so far. */
     var requestedStarts = 0L
         private set
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Urgent replicas and short arrays in turn; the replicas are wanted for a while only. */
+    /** Alternates between short arrays and urgent services; a service is cancelled after [URGENT_LIFETIME_MS]. */
     private fun submitOne() {
         if (submittedCount++ % 2 == 0) {
             submit(plan.batchJob(world.between(BATCH_TASKS).toInt(), BATCH_RUN_S))
@@ -51,7 +51,7 @@
         users.submit(job, onAccepted)
     }
 
-    /** Arrays of short tasks that together ask for the peak's starts in each of [seconds]. */
+    /** Submits arrays of short tasks for [seconds] seconds, at the peak's rate of task starts. */
     fun submitPeak(seconds: Int) {
         val totalStarts = options.peakStartsPerSecond * seconds
         val tasks = minOf(PEAK_JOB_TASKS, ceil(totalStarts / seconds).toInt()).coerceAtLeast(1)
--- a/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
@@ -13,7 +13,10 @@
 import oxbowlug.wire.Zone
 import oxbowlug.wire.fields
 
-/** The cloud over HTTP: one address for each controller, which is told the worker addresses that are its own. */
+/**
+ * Serves the cloud's stand-in over HTTP, on one address for each controller. The machine list that a controller gets
+ * has the worker addresses reserved for that controller.
+ */
 internal class CloudServer(
     world: World,
     private val cloud: SimCloud,
@@ -35,7 +38,11 @@
         }
     }
 
-    private fun handle(exchange: HttpExchange, controller: ControllerIdentity, port: Int): Pair<Int, Map<String, Any?>> {
+    private fun handle(
+        exchange: HttpExchange,
+        controller: ControllerIdentity,
+        port: Int,
+    ): Pair<Int, Map<String, Any?>> {
         traffic.cloudCalls++
         if (cloud.down) return HttpStatus.UNAVAILABLE to mapOf("error" to "trouble")
         if (!rateLimiter.tryAcquire()) return HttpStatus.TOO_MANY_REQUESTS to mapOf("error" to "rate")
@@ -57,7 +64,9 @@
             fields.text("hire"), TypeName(fields.text("breed")), Zone(fields.text("paddock")), fields.flag("stray"),
             fields.count("count", 1, CloudCodec.MAX_RENTED.toLong()).toInt(),
         )
-        if (cloud.types.none { it.name == request.type }) return HttpStatus.BAD_REQUEST to mapOf("error" to "unknown type")
+        if (cloud.types.none { it.name == request.type }) return HttpStatus.BAD_REQUEST to mapOf(
+            "error" to "unknown type",
+        )
         return when (val outcome = cloud.rent(request)) {
             is RentalOutcome.Rented -> HttpStatus.OK to mapOf("herd" to outcome.machines.map { it.value })
             RentalOutcome.NoCapacity, RentalOutcome.Refused, RentalOutcome.Unanswered ->
--- a/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerFiles.kt
@@ -2,12 +2,12 @@
 
 import java.io.File
 
-/** The settings, policy and start command of each controller, as the platform would hand them over. */
+/** Writes the settings, the policy and the start command of each controller, as the platform provides them. */
 internal class ControllerFiles(
     private val options: ScaleOptions,
     private val topology: Topology,
     private val fleet: FleetPlan,
-    /** Starts the controllers from these classes instead of the deployed jar, which tests don't have yet. */
+    /** Class path from which controllers run instead of the deployed jar, which isn't built yet when tests run. */
     private val classPath: String? = null,
 ) {
     private val folder = options.output
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Nobody's rent is saved here: a machine that idles for a moment is to stay. */
+    /** A policy that doesn't release idle machines: saving rent isn't measured, and the fleet has to keep its size. */
     private fun policy(): String = buildString {
         appendLine("return {")
         appendLine("    idle_boots = 1000,")
@@ -40,10 +40,10 @@
         appendLine("}")
     }
 
-    /** The deployed one; only its heap may differ. */
+    /** The start command of the deploy file, with the heap size replaced if the options set one. */
     private fun startCommand(): List<String> {
         val line = options.deploy.readLines().firstOrNull { it.startsWith(RUN_KEY) }
-            ?: throw StartFailed("${options.deploy}: has no run command")
+            ?: throw StartFailed("${options.deploy}: no run command found")
         val words = withClassPath(line.substringAfter('"').substringBeforeLast('"').split(' '))
         val heap = options.heapMb ?: return words
         return words.map { word -> if (word.startsWith("-Xmx")) "-Xmx${heap}m" else word }
@@ -119,7 +119,9 @@
     }
 
     companion object {
+        /** Time limit for stopping cancelled work, in worker leases. */
         const val CANCEL_LEASES = 2.4
+
         private const val RUN_KEY = "run = "
         private const val MS_PER_S = 1000.0
     }
--- a/src/scale/kotlin/oxbowlug/scale/ControllerMetrics.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerMetrics.kt
@@ -6,7 +6,7 @@
 import io.vertx.core.http.RequestOptions
 import io.vertx.kotlin.coroutines.coAwait
 
-/** What a controller says of itself on `/metrics`: the longest of the last minute or two, in milliseconds. */
+/** A controller's own figures from `/metrics`: the maxima of the last minute or two, in milliseconds. */
 internal data class ControllerMetrics(
     val isLeading: Boolean,
     val longestPlanMs: Double,
@@ -14,7 +14,7 @@
     val latestTickMs: Double,
 )
 
-/** Reads the controllers' metrics; one that doesn't answer counts as not leading. */
+/** Reads the controllers' metrics. A controller that doesn't answer counts as not leading, with figures of 0. */
 internal class MetricsReader(vertx: Vertx) {
     private val client = vertx.createHttpClient(HttpClientOptions().setKeepAlive(false))
 
@@ -41,7 +41,7 @@
         return client.request(options).coAwait().send().coAwait().body().coAwait().toString()
     }
 
-    /** Lines such as `oxbowlug_plan_max{statistic="value"} 0.012`. */
+    /** Parses lines such as `oxbowlug_plan_max{statistic="value"} 0.012`. */
     private fun parse(text: String): Map<String, Double> = text.lines().filter { '{' in it }.associate { line ->
         line.substringBefore('{') to (line.substringAfterLast(' ').toDoubleOrNull() ?: 0.0)
     }
--- a/src/scale/kotlin/oxbowlug/scale/ControllerProcess.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ControllerProcess.kt
@@ -3,10 +3,10 @@
 import java.io.File
 import java.util.concurrent.TimeUnit
 
-/** A controller process that could not be started, with what it logged last. */
+/** The run could not start, for example since a controller exited; the message then has its last log lines. */
 internal class StartFailed(message: String) : Exception(message)
 
-/** One controller: a real process of the deployed jar, started again as often as a scenario wants. */
+/** One controller as a real process of the deployed jar. Scenarios can kill, pause and restart it. */
 internal class ControllerProcess(
     val identity: ControllerIdentity,
     private val command: List<String>,
@@ -19,7 +19,7 @@
     @Volatile
     private var currentCpuTicks = 0L
 
-    /** Times that it ended without being told to. */
+    /** Number of exits that no scenario caused. */
     @Volatile
     var unexpectedExits = 0
         private set
@@ -27,7 +27,7 @@
 
     val isAlive: Boolean get() = process?.isAlive ?: false
 
-    /** Processor time of all its lives, as last sampled. */
+    /** Processor time of all processes that this controller has had, as last sampled. */
     val cpuSeconds: Double get() = (previousCpuTicks.get() + currentCpuTicks) / TICKS_PER_S
 
     @Volatile
@@ -44,7 +44,7 @@
         shouldRun = true
     }
 
-    /** Ends it with no chance to say goodbye, as a machine without power does. */
+    /** Kills the process without a shutdown, like a power failure of its machine. */
     fun kill() {
         shouldRun = false
         process?.destroyForcibly()?.waitFor(KILL_TIMEOUT_S, TimeUnit.SECONDS)
@@ -59,7 +59,7 @@
         ProcessBuilder("kill", "-$name", id.toString()).start().waitFor()
     }
 
-    /** Starts it again if it ended by itself: as the platform would. */
+    /** Restarts the process after an unexpected exit, as the platform does. */
     fun restartIfExited() {
         if (!shouldRun || isAlive) return
         unexpectedExits++
@@ -68,19 +68,19 @@
 
     fun lastLogLines(): String = if (log.isFile) log.readLines().takeLast(LOG_LINES).joinToString("\n") else ""
 
-    /** Reads what the kernel says of it; called from a thread of its own, since thousands of sockets take long. */
+    /** Reads figures from `/proc`. Called on the thread of [Sampler], since counting thousands of sockets is slow. */
     fun sample(withSockets: Boolean) {
         val id = process?.takeIf { it.isAlive }?.pid() ?: return
         val folder = File("/proc/$id")
         try {
-            // The name in brackets may hold spaces; what follows it doesn't.
+            // The command name in parentheses may contain spaces; the fields after it don't.
             val fields = File(folder, "stat").readText().substringAfterLast(") ").split(' ')
             currentCpuTicks = fields[USER_TICKS].toLong() + fields[SYSTEM_TICKS].toLong()
             val status = File(folder, "status").readLines()
             val sockets = if (withSockets) countSockets(folder) else latest.sockets
             latest = ProcessSample(megabytes(status, "VmRSS:"), megabytes(status, "VmHWM:"), sockets)
         } catch (_: java.io.IOException) {
-            // It ended meanwhile.
+            // The process exited in the meantime.
         }
     }
 
@@ -108,5 +108,5 @@
     }
 }
 
-/** Resident memory now and at most, and open sockets. */
+/** Current and peak resident memory, and the number of open sockets. */
 internal data class ProcessSample(val residentMb: Double, val peakMb: Double, val sockets: Int)
--- a/src/scale/kotlin/oxbowlug/scale/Endpoint.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Endpoint.kt
@@ -2,7 +2,7 @@
 
 import oxbowlug.wire.Zone
 
-/** One end of a message. Users, cloud and state service belong to no zone. */
+/** Sender or receiver of a message. Users, the cloud and the state service belong to no zone. */
 internal sealed interface Endpoint {
     val zone: Zone?
 
--- a/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
+++ b/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
@@ -12,7 +12,7 @@
 import oxbowlug.wire.Zone
 import kotlin.math.ceil
 
-/** A team's share of the fleet, in cores and accelerators. */
+/** A team's guaranteed and maximum share of the fleet, in cores and accelerators. */
 internal data class TeamShare(
     val name: String,
     val guaranteedCores: Double,
@@ -21,10 +21,10 @@
     val maxGpus: Double,
 )
 
-/** A job with the time that each of its tasks takes; services never end by themselves. */
+/** A job and the run time of each of its tasks. The tasks of a service never end by themselves. */
 internal class PlannedJob(val spec: JobSpec, val runMs: Long)
 
-/** Which machines, teams and jobs there are: proportions are those of the size that the fleet is designed for. */
+/** The machines, teams and jobs of a run, in the proportions of the fleet size that the service is designed for. */
 internal class FleetPlan(private val options: ScaleOptions, topology: Topology) {
     private val zones: List<Zone> = topology.zones
     private val coreType = MachineType(
@@ -49,7 +49,7 @@
 
     fun zoneOf(index: Int): Zone = zones[index % zones.size]
 
-    /** Services that fill the fleet to the asked number of tasks: accelerators first, cores with the rest. */
+    /** Services that fill the fleet to the target number of tasks: first on accelerators, the rest on cores. */
     fun standingJobs(): List<PlannedJob> {
         val perTeam = (gpus / options.teams).toInt().coerceAtLeast(1)
         val acceleratedTasks = minOf((gpus * GPU_TARGET_SHARE).toInt(), options.targetTasks)
@@ -67,12 +67,15 @@
     private fun service(className: String, tasks: Int, priority: Priority, gpus: Double = 0.0): PlannedJob =
         PlannedJob(spec(className, JobKind.SERVICE, priority, tasks, SERVICE_CORES, gpus), Long.MAX_VALUE)
 
-    /** Urgent replicas, a few of them. */
+    /** A service of urgent replicas. */
     fun urgentJob(tasks: Int): PlannedJob = service(URGENT, tasks, Priority.HIGH)
 
     fun batchJob(tasks: Int, runS: Double): PlannedJob {
         val spec = spec("batch", JobKind.ARRAY, Priority.NORMAL, tasks, cores = 1.0, gpus = 0.0)
-        return PlannedJob(spec.copy(estimateS = runS, deadlineS = runS * DEADLINE_RUN_FACTOR), (runS * MS_PER_S).toLong())
+        return PlannedJob(
+            spec.copy(estimateS = runS, deadlineS = runS * DEADLINE_RUN_FACTOR),
+            (runS * MS_PER_S).toLong(),
+        )
     }
 
     private fun spec(
@@ -114,10 +117,10 @@
         const val TXN_OPS = 16
         const val LIST_LAG_MS = 5_000L
 
-        /** Seconds within which the work of a class should start; the urgent one's is the users' own figure. */
+        /** Seconds within which a class's tasks should start. The users require 7.4 s for urgent work. */
         val START_TARGETS_S = mapOf(URGENT to 7.4, "serving" to 40.0, "accelerated" to 40.0)
 
-        /** 6,700 accelerators on 6,500 machines, eight on each that has any. */
+        /** At full size 6,700 accelerators on 6,500 machines, eight on each accelerated machine. */
         private const val ACCELERATED_EVERY = 8
         private const val ACCELERATED_SHARE = 1.0 / ACCELERATED_EVERY
         private const val GPUS = 8.0
--- a/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
@@ -16,14 +16,14 @@
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
-/** The hollow workers and what is known of their jobs. */
+/** The hollow workers, their jobs and the checks of the rules on them. */
 internal class HollowFleet(
     private val options: ScaleOptions,
     private val topology: Topology,
     private val world: World,
     private val plan: FleetPlan,
     private val connections: HeartbeatConnections,
-    /** Whether a stored record names the attempt. */
+    /** Returns whether a stored record names the attempt. */
     isStored: (AttemptId) -> Boolean = { true },
 ) : JobBook {
     private val cancelMs = (options.leaseS * ControllerFiles.CANCEL_LEASES * MS_PER_S).toLong()
@@ -32,20 +32,20 @@
     private val heartbeatMs = (options.heartbeatS * MS_PER_S).toLong()
     private val runMs = HashMap<String, Long>()
 
-    /** Told of each report, and of the controllers that it could go to: copies of it may come late. */
+    /** Called for each heartbeat sent, with the controllers that can receive it; fault injection can send it again. */
     var onHeartbeatSent: (WorkerHeartbeat, List<HeartbeatTarget>) -> Unit = { _, _ -> }
     private val submittedAt = HashMap<String, Long>()
 
-    /** From a user's first attempt to submit until a task of the job runs, for urgent work. */
+    /** For urgent jobs: from the user's first attempt to submit until the start of each first attempt of a task. */
     var urgentStart = Durations()
     var starts = 0L
         private set
 
-    /** A tenth more than there are at the start can be rented. */
+    /** The cloud can rent a tenth more machines than there are at the start. */
     private val capacity = options.workers + options.workers / SPARE_DIVISOR + 1
     val cloud = SimCloud(world, plan.types, capacity, FleetPlan.LIST_LAG_MS, ::makeWorker)
 
-    /** All machines are up at the start, and begin to report over one interval. */
+    /** Boots the initial machines, spread over one heartbeat interval. */
     fun boot() {
         for (index in 0 until options.workers) {
             val id = MachineId("host-%06d".format(index))
@@ -91,7 +91,7 @@
 
     fun tasksLostWithLeases(): Int = cloud.workers.sumOf { it.endedByLease }
 
-    /** The longest that any worker has been without an answer that renewed its lease, in milliseconds. */
+    /** The longest time for which any running worker has had no lease renewal, in milliseconds. */
     fun longestWithoutRenewal(): Long = runningWorkers().maxOfOrNull { world.nowMs - it.leaseFrom } ?: 0L
 
     fun allRenewedSince(moment: Long): Boolean = runningWorkers().all { it.leaseFrom > moment }
--- a/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
@@ -21,7 +21,7 @@
 import oxbowlug.wire.Zone
 import oxbowlug.wire.fields
 
-/** Brings the reports of hollow workers to real controllers, each worker over a connection of its own. */
+/** Sends the hollow workers' heartbeats to real controllers; each worker has its own connection. */
 internal class HeartbeatConnections(
     vertx: Vertx,
     private val network: Network,
@@ -51,7 +51,7 @@
                 openConnection()
                     .compose { open -> postHeartbeat(open, bytes) }
                     .compose { response -> response.body().map { body -> decode(response, body) } }
-                    .onSuccess { heartbeatResponse -> network.deliver(controllerEnd, workerEnd) { answer(heartbeatResponse) } }
+                    .onSuccess { decoded -> network.deliver(controllerEnd, workerEnd) { answer(decoded) } }
                     .onFailure {
                         traffic.failedHeartbeats++
                         close()
@@ -71,7 +71,8 @@
         }
 
         private fun postHeartbeat(open: HttpClientConnection, bytes: ByteArray): Future<HttpClientResponse> {
-            val options = RequestOptions().setMethod(HttpMethod.POST).setURI("/hello").setIdleTimeout(RESPONSE_TIMEOUT_MS)
+            val options =
+                RequestOptions().setMethod(HttpMethod.POST).setURI("/hello").setIdleTimeout(RESPONSE_TIMEOUT_MS)
             return open.request(options).compose { request ->
                 request.putHeader("content-type", "application/cbor").send(Buffer.buffer(bytes))
                     .onFailure { request.reset() }
@@ -80,23 +81,23 @@
 
         private fun decode(response: HttpClientResponse, body: Buffer): HeartbeatResponse? {
             traffic.heartbeatResponses.count(body.length(), Traffic.RESPONSE_HEADER_BYTES)
-            val heartbeatResponse = try {
+            val decoded = try {
                 StandInCodec.decodeAnswer(response.statusCode(), Cbor.decode(body.bytes))
             } catch (_: MalformedBody) {
                 null
             } catch (_: InvalidField) {
                 null
             }
-            when (heartbeatResponse) {
+            when (decoded) {
                 is HeartbeatResponse.Redirect -> traffic.redirects++
                 HeartbeatResponse.Unavailable -> traffic.unavailable++
                 is HeartbeatResponse.Renewed, null -> Unit
             }
-            if (heartbeatResponse !is HeartbeatResponse.Renewed) close()
-            return heartbeatResponse
+            if (decoded !is HeartbeatResponse.Renewed) close()
+            return decoded
         }
 
-        /** A worker that goes elsewhere closes its connection: kept, each would hold one to every controller. */
+        /** Called when the worker turns to another controller: else it would keep a connection open to each of them. */
         private fun close() {
             connection?.close()
             connection = null
@@ -109,8 +110,8 @@
 }
 
 /**
- * The workers' own address for `/do` and `/status`. One socket serves all of them: the address to which a connection
- * was opened tells which worker is meant, and by which controller.
+ * Serves `/do` and `/status` for all workers on one socket. The destination address of a connection identifies the
+ * worker and the controller that calls it.
  */
 internal class WorkerServer(
     private val network: Network,
--- a/src/scale/kotlin/oxbowlug/scale/HttpExchange.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HttpExchange.kt
@@ -10,12 +10,12 @@
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.MalformedBody
 
-/** A request to a stand-in, with its whole body, and its answer. */
+/** A request to a stand-in, with its complete body, and the response to it. */
 internal class HttpExchange(val request: HttpServerRequest, private val bytes: ByteArray) {
     val path: String get() = request.path().orEmpty()
     val bodySize: Int get() = bytes.size
 
-    /** Throws [MalformedBody] when it is no CBOR map; an empty body is an empty map. */
+    /** Decodes the body; an empty one is an empty map. Throws [MalformedBody] if it isn't a CBOR map. */
     fun body(): Map<String, Any?> = if (bytes.isEmpty()) emptyMap() else Cbor.decode(bytes)
 
     fun parameter(name: String): String? = request.getParam(name)
@@ -26,7 +26,7 @@
         return encoded.size
     }
 
-    /** A malformed request is answered 400, and [action] must not have changed anything by then. */
+    /** Answers 400 if [action] finds the request malformed; [action] must not have changed anything by then. */
     fun rejectingMalformed(action: () -> Unit) {
         try {
             action()
@@ -38,7 +38,7 @@
     }
 }
 
-/** Serves CBOR on one address. A malformed request is answered 400 at once and changes nothing. */
+/** Serves CBOR on one address. Answers a malformed request with 400; it changes nothing. */
 internal fun Vertx.serveCbor(host: String, port: Int, handler: (HttpExchange) -> Unit): Future<HttpServer> =
     createHttpServer(HttpServerOptions().setHost(host).setPort(port).setTcpNoDelay(true))
         .requestHandler { request ->
--- a/src/scale/kotlin/oxbowlug/scale/LoopbackRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/LoopbackRun.kt
@@ -12,13 +12,12 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * What every run on loopback stands on: the stand-ins and users on one event loop of this process, the controllers as
- * processes of their own. Everything that it starts ends with [close], which may be called from any thread but that
- * event loop.
+ * Base of all runs on loopback: the stand-ins and users run on one event loop of this process, each controller in its
+ * own process. [close] stops everything that the run started; it may be called from any thread but that event loop.
  */
 internal abstract class LoopbackRun(
     val options: ScaleOptions,
-    /** Whether each task that starts has to be in a stored record; that costs a decoded record a start. */
+    /** Whether to check that a stored record names each task that starts; each check decodes one record. */
     checksStoredRecords: Boolean,
     classPath: String? = null,
 ) : AutoCloseable {
@@ -52,14 +51,14 @@
         Future.all<Any>(servers).coAwait()
     }
 
-    /** Throws [StartFailed] when a controller ends, or doesn't serve in time. */
+    /** Throws [StartFailed] if a controller exits, or isn't healthy within [START_TIMEOUT_MS]. */
     protected suspend fun awaitHealthy() {
         val startedMs = world.nowMs
         while (users.healthyCount < controllers.size) {
             val ended = controllers.firstOrNull { !it.isAlive }
             if (ended != null || world.nowMs - startedMs > START_TIMEOUT_MS) {
                 val failing = ended ?: controllers[0]
-                throw StartFailed("${failing.identity.label} doesn't serve; its last lines:\n${failing.lastLogLines()}")
+                throw StartFailed("${failing.identity.label} isn't healthy; last lines:\n${failing.lastLogLines()}")
             }
             delay(POLL_MS)
         }
@@ -68,7 +67,7 @@
     override fun close() {
         clock.stop()
         controllers.forEach { it.kill() }
-        // Not waited for, its ports were still taken when the next seed wanted them, and a soak of fifty broke off.
+        // Without this wait the ports were still in use when the next seed needed them: a soak of 50 seeds aborted.
         vertx.close().toCompletionStage().toCompletableFuture().get(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)
     }
 
--- a/src/scale/kotlin/oxbowlug/scale/Main.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Main.kt
@@ -10,7 +10,7 @@
 private const val USAGE_ERROR = 2
 private const val FAILED = 1
 
-/** Plays a fleet on loopback and writes what it cost; ends with 1 if a rule was broken, 2 for wrong arguments. */
+/** Runs a fleet on loopback and writes the report. Exits with 1 if the run failed, and with 2 on invalid arguments. */
 fun main(arguments: Array<String>) {
     val options = try {
         ScaleOptionParser().parse(arguments.toList()) ?: return
@@ -35,7 +35,7 @@
     fun closeOnce() {
         if (isClosed.compareAndSet(false, true)) run.close()
     }
-    // Also on ctrl-C: no controller may be left behind.
+    // Stops the controller processes on Ctrl-C too.
     Runtime.getRuntime().addShutdownHook(thread(start = false) { closeOnce() })
     val report = try {
         runBlocking(run.vertx.dispatcher()) { run.execute() }
--- a/src/scale/kotlin/oxbowlug/scale/MalformedHeartbeat.kt
+++ b/src/scale/kotlin/oxbowlug/scale/MalformedHeartbeat.kt
@@ -6,12 +6,12 @@
 import io.vertx.core.http.RequestOptions
 import io.vertx.kotlin.coroutines.coAwait
 
-/** A worker's report that can't be read. */
+/** A heartbeat whose body isn't CBOR. */
 internal object MalformedHeartbeat {
     val CLIENT_ERRORS = 400..499
     private const val TIMEOUT_MS = 2_000L
 
-    /** The status with which a controller answers it, in one request of its own. */
+    /** Sends the malformed heartbeat and returns the status of the controller's response. */
     suspend fun send(vertx: Vertx, controller: ControllerIdentity): Int {
         val client = vertx.createHttpClient()
         val options = RequestOptions().setMethod(HttpMethod.POST).setURI("/hello")
--- a/src/scale/kotlin/oxbowlug/scale/Network.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Network.kt
@@ -4,26 +4,27 @@
 import oxbowlug.wire.Zone
 
 /**
- * Latencies between zones and regions, and cuts between them or between single ends. A cut holds what is sent and
- * delivers it in order when it ends, as the protocol warns: so commands, reports and transactions arrive late.
+ * Simulates latencies between zones and regions, and network partitions between them or between single endpoints. A
+ * partition holds the messages and delivers them in order when it ends, as the protocol warns: so commands, heartbeats
+ * and transactions can arrive late.
  */
 internal class Network(private val world: World, private val topology: Topology) {
     private class Partition(val untilMs: Long, val separates: (Endpoint, Endpoint) -> Boolean)
 
     private val partitions = ArrayList<Partition>()
 
-    /** Messages that a cut held. */
+    /** Number of messages that partitions have held. */
     var heldMessages = 0L
         private set
 
-    /** Called as a message is handed over: a clock that fell behind has to follow before it is dated. */
+    /** Called before a message is scheduled: a clock that lags behind has to catch up first. */
     var beforeDelivery: () -> Unit = {}
 
-    /** Shares of the messages between controllers and workers that are lost, or come [EXTRA_DELAY_MS] later. */
+    /** Probabilities that a message between controller and worker is lost, or is delayed by [EXTRA_DELAY_MS]. */
     var workerLossProbability = 0.0
     var workerDelayProbability = 0.0
 
-    /** One way, in milliseconds: real networks of this shape, rounded. */
+    /** One-way latency in milliseconds, rounded from real networks with zones and regions. */
     private fun latencyMs(from: Zone?, to: Zone?): Long = when {
         from == to -> SAME_ZONE_MS
         topology.region(from) == topology.region(to) -> SAME_REGION_MS
@@ -39,7 +40,7 @@
     private fun cutZones(forMs: Long, separates: (Zone?, Zone?) -> Boolean) =
         cutLinks(forMs) { from, to -> separates(from.zone, to.zone) }
 
-    /** Cuts all messages for which [separates] holds, in that direction alone. */
+    /** Holds all messages for which [separates] holds, in that direction only. */
     fun cutLinks(forMs: Long, separates: (Endpoint, Endpoint) -> Boolean) {
         partitions.add(Partition(world.nowMs + forMs, separates))
     }
@@ -51,7 +52,7 @@
         return partitions.filter { it.separates(from, to) }.maxOfOrNull { it.untilMs } ?: 0L
     }
 
-    /** Runs [action] at the other end, once the message has got there. */
+    /** Runs [action] when the message arrives at [to]; never, if the message is lost. */
     fun deliver(from: Endpoint, to: Endpoint, action: () -> Unit) {
         beforeDelivery()
         val until = if (partitions.isEmpty()) 0L else heldUntil(from, to)
--- a/src/scale/kotlin/oxbowlug/scale/PeerProxies.kt
+++ b/src/scale/kotlin/oxbowlug/scale/PeerProxies.kt
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx
 import io.vertx.core.net.NetSocket
 
-/** The connections between controllers, with the network's latencies and cuts in both directions. */
+/** Proxies the connections between controllers, with the network's latencies and partitions in both directions. */
 internal class PeerProxies(private val vertx: Vertx, private val network: Network, private val traffic: Traffic) {
     private val client = vertx.createNetClient()
 
--- a/src/scale/kotlin/oxbowlug/scale/RateLimiter.kt
+++ b/src/scale/kotlin/oxbowlug/scale/RateLimiter.kt
@@ -2,12 +2,12 @@
 
 import oxbowlug.standin.World
 
-/** A published limit of requests a second, with bursts of [burstS] seconds' worth. */
+/** A token bucket for a published limit of requests a second, with bursts of up to [burstS] seconds' requests. */
 internal class RateLimiter(private val world: World, private val rps: Double, private val burstS: Int) {
     private var tokens = rps * burstS
     private var tokensAt = 0L
 
-    /** False when the request is one too many. */
+    /** Returns false if the request exceeds the limit. */
     fun tryAcquire(): Boolean {
         tokens = minOf(rps * burstS, tokens + (world.nowMs - tokensAt) * rps / MS_PER_S)
         tokensAt = world.nowMs
--- a/src/scale/kotlin/oxbowlug/scale/ReportFiles.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ReportFiles.kt
@@ -22,7 +22,7 @@
 import kotlinx.html.unsafe
 import java.io.File
 
-/** A finished run as JSON, and as one HTML page that needs nothing beside it. */
+/** Writes a finished run as JSON and as a self-contained HTML page. */
 internal class ReportFiles(private val folder: File) {
     private val json = ObjectMapper()
 
@@ -113,7 +113,7 @@
     }
 }
 
-/** The columns of the page's table, and of what is printed. */
+/** The columns of the page's table and of the printed summary of a scenario. */
 internal object ScenarioTable {
     val headings = listOf(
         "scenario", "leader, of a core", "leader MB", "sockets", "others, of a core", "reports/s", "KB/s a worker",
--- a/src/scale/kotlin/oxbowlug/scale/Sampler.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Sampler.kt
@@ -2,7 +2,7 @@
 
 import kotlin.concurrent.thread
 
-/** Reads what the kernel says of the controllers once a second, on a thread of its own. */
+/** Samples the controllers' processor time, memory and sockets once a second, on its own thread. */
 internal class Sampler(private val controllers: List<ControllerProcess>) {
     @Volatile
     private var isRunning = true
--- a/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleOptions.kt
@@ -4,7 +4,7 @@
 import java.io.File
 import java.util.Locale
 
-/** What a run plays, from its arguments. Rates are those of the whole fleet. */
+/** The options of a run. Rates are those of the whole fleet. */
 internal data class ScaleOptions(
     val workers: Int,
     val tasksPerWorker: Double,
@@ -27,18 +27,18 @@
     val firstPort: Int,
     val seed: Long,
     val output: File,
-    /** Whose `run` command starts the controllers. */
+    /** The deploy file whose `run` command starts the controllers. */
     val deploy: File,
-    /** Whether the controllers' policy says which zones form a region. */
+    /** Whether the controllers' policy lists the zones of each region. */
     val regionalDelegates: Boolean,
 ) {
     val targetTasks: Int get() = (workers * tasksPerWorker).toInt()
 }
 
-/** Reads and checks the arguments of a scale run. */
+/** Parses and validates the arguments of a scale run. */
 internal class ScaleOptionParser :
     ArgumentParser<ScaleOptions>(
-        "Plays a fleet on loopback: real controllers, hollow workers, a state service and a cloud.",
+        "Runs a fleet on loopback: real controllers, hollow workers, a state service and a cloud.",
     ) {
     private val workers = intOption("workers", "hollow workers", 40)
     private val tasksPerWorker = doubleOption("tasks-per-worker", "tasks running on each worker at ordinary load", 12.3)
@@ -47,11 +47,12 @@
     private val regions = intOption("regions", "regions, 25 ms apart", 2)
     private val zones = intOption("zones", "zones, shared out among the regions", 4)
     private val teams = intOption("teams", "teams, each with a limit", 8)
-    private val jobsPerDay = doubleOption("jobs-per-day", "arrivals a day at 6,500 workers, fewer in proportion", 63_000.0)
+    private val jobsPerDay =
+        doubleOption("jobs-per-day", "arrivals a day at 6,500 workers, fewer in proportion", 63_000.0)
     private val peakStarts = doubleOption("peak-starts", "task starts a second at the peak and 6,500 workers", 2_900.0)
-    private val scenarios = parser.accepts("scenarios", "what is played, of: ${Scenario.names}")
+    private val scenarios = parser.accepts("scenarios", "scenarios to run, of: ${Scenario.names}")
         .withRequiredArg().withValuesSeparatedBy(',').defaultsTo("ordinary", "peak", "leader-killed")
-    private val scenarioLength = parser.accepts("scenario-seconds", "length of each scenario, instead of its own")
+    private val scenarioLength = parser.accepts("scenario-seconds", "seconds of each scenario instead of its own length")
         .withRequiredArg().ofType(Int::class.javaObjectType)
     private val stateRps = doubleOption("state-rps", "requests a second that the state service takes", 900.0)
     private val writeRps = doubleOption("write-rps", "changes a second that the state service takes", 70.0)
@@ -67,7 +68,8 @@
         .withRequiredArg().defaultsTo("target/scale")
     private val deploy = parser.accepts("deploy", "file whose run command starts the controllers")
         .withRequiredArg().defaultsTo("deploy/service.toml")
-    private val regionalDelegatesFlag = parser.accepts("regional-delegates", "tell the controllers which zones form a region")
+    private val regionalDelegatesFlag =
+        parser.accepts("regional-delegates", "list the zones of each region in the controllers' policy")
 
     override fun read(parsed: OptionSet): ScaleOptions {
         val count = parsed.valueOf(workers)
@@ -108,14 +110,18 @@
             require("regions", regions in 1..MAX_REGIONS, "must be 1 to $MAX_REGIONS")
             require("zones", zones in regions..MAX_ZONES, "must be $regions (one for each region) to $MAX_ZONES")
             require("teams", teams in 1..MAX_TEAMS, "must be 1 to $MAX_TEAMS")
-            require("tasks-per-worker", tasksPerWorker > 0 && tasksPerWorker <= MAX_TASKS_PER_WORKER, "must be up to $MAX_TASKS_PER_WORKER")
+            require(
+                "tasks-per-worker",
+                tasksPerWorker > 0 && tasksPerWorker <= MAX_TASKS_PER_WORKER,
+                "must be up to $MAX_TASKS_PER_WORKER",
+            )
             require("tasks-per-job", tasksPerJob in 1..MAX_JOB_TASKS, "must be 1 to $MAX_JOB_TASKS")
             require("scenario-seconds", scenarioSeconds == null || scenarioSeconds > 0, "must be more than 0")
             require("report-s", heartbeatS >= MIN_HEARTBEAT_S, "must be at least $MIN_HEARTBEAT_S")
-            require("lease-s", leaseS > heartbeatS * 2, "must be more than two reports' time")
+            require("lease-s", leaseS > heartbeatS * 2, "must be more than two heartbeat intervals")
             require("heap-mb", heapMb == null || heapMb >= MIN_HEAP_MB, "must be at least $MIN_HEAP_MB")
             for ((name, value) in rates()) require(name, value > 0 && value.isFinite(), "must be more than 0")
-            require("deploy", deploy.isFile, "$deploy is no file; start in the root of the repository")
+            require("deploy", deploy.isFile, "$deploy is not a file; run from the root of the repository")
             require("first-port", firstPort in FIRST_PORT_RANGE, "must be within $FIRST_PORT_RANGE")
             val needed = workers / controllers
             require("max-sockets", maxSockets > needed, "$workers workers need more than $needed on a controller")
@@ -130,7 +136,7 @@
         "write-rps" to writeRps, "cloud-rps" to cloudRps,
     )
 
-    /** What the kernel allows this process and those that it starts. */
+    /** The limit of open file descriptors of this process and of the processes that it starts. */
     private fun openFileLimit(): Long = File("/proc/self/limits").takeIf { it.canRead() }
         ?.readLines()?.firstOrNull { it.startsWith("Max open files") }
         ?.lowercase(Locale.ROOT)?.split(Regex(" {2,}"))?.get(1)?.toLongOrNull() ?: Long.MAX_VALUE
@@ -147,7 +153,7 @@
         const val MIN_HEARTBEAT_S = 0.5
         const val MIN_HEAP_MB = 48
 
-        /** Both ends of a report's connection are on this machine, though not in one process. */
+        /** Both ends of a heartbeat connection are on this machine, though in different processes. */
         const val SOCKETS_PER_WORKER = 2
         val FIRST_PORT_RANGE = 1_024..32_000
     }
--- a/src/scale/kotlin/oxbowlug/scale/ScaleReport.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleReport.kt
@@ -1,6 +1,6 @@
 package oxbowlug.scale
 
-/** What one controller took during one scenario. [processorShare] is of one core. */
+/** One controller's resource usage during one scenario. [processorShare] is a fraction of one core. */
 internal data class ControllerUse(
     val label: String,
     val zone: String,
@@ -14,7 +14,7 @@
     val latestTickMs: Double,
 )
 
-/** What went over the workers' connections, each worker's share, and what was refused. */
+/** Traffic of the workers' connections: rates, bytes for each worker, and responses other than a renewal. */
 internal data class ReportTraffic(
     val reportsPerS: Double,
     val upBytesPerWorkerS: Double,
@@ -25,6 +25,7 @@
     val failed: Long,
 )
 
+/** Traffic of the state service, and the size of what it stores at the end of the scenario. */
 internal data class StateTraffic(
     val requestsPerS: Double,
     val changesPerS: Double,
@@ -35,7 +36,7 @@
     val largestValueBytes: Int,
 )
 
-/** One scenario's figures. Durations without a unit in their name are milliseconds. */
+/** The results of one scenario. Durations without a unit in their name are in milliseconds. */
 internal data class ScenarioResult(
     val scenario: String,
     val title: String,
@@ -61,7 +62,7 @@
     val rulesBroken: List<String>,
 )
 
-/** A point of the plots: each list has a value for each controller. */
+/** One point of the plots. Each list has one value for each controller. */
 internal data class Sample(
     val second: Double,
     val processorShares: List<Double>,
@@ -70,6 +71,7 @@
     val tasksRunning: Int,
 )
 
+/** The results of a run, written as JSON. [problem] is null if the run passed. */
 internal data class ScaleReport(
     val workers: Int,
     val controllers: Int,
--- a/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
@@ -6,12 +6,12 @@
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.standin.World
 
-/** The stand-ins' time follows the real one; how far it fell behind says whether the stand-ins kept up. */
+/** Advances the stand-ins' clock with real time. Its lag shows whether the stand-ins kept up. */
 internal class WallClock(vertx: Vertx, private val world: World) {
     private val beganNs = System.nanoTime()
     private var isAdvancing = false
 
-    /** The longest that the stand-ins stood still, in milliseconds. */
+    /** The longest time by which the stand-ins lagged behind real time, in milliseconds. */
     var maxLagMs = 0L
 
     @Volatile
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Runs all that is due. What comes from outside after the stand-ins stood still must not be dated before what
-     * happened meanwhile: a lease that ran out would look as if it were still in force.
+     * Runs all events that are due. A message that arrives after a stall of the stand-ins must not get an earlier time
+     * than the events that were due during the stall: a lease that has expired would still look valid.
      */
     fun catchUp() {
         if (isStopped || isAdvancing) return
@@ -36,7 +36,7 @@
         isAdvancing = false
     }
 
-    /** Nothing that is due runs any more: what it would use is being closed. */
+    /** Runs no more events, since what they use is being closed. */
     fun stop() {
         isStopped = true
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/** Plays its scenarios one after the other on the same fleet, and measures them. */
+/** Runs the scenarios one after the other on the same fleet and measures them. */
 internal class ScaleRun(
     options: ScaleOptions,
     private val printLine: (String) -> Unit,
@@ -60,7 +60,7 @@
     private var filledInS = 0.0
     private var window: Window? = null
 
-    /** Runs on the event loop, which owns all state of the stand-ins. */
+    /** Has to run on the event loop, which owns all state of the stand-ins. */
     suspend fun execute(): ScaleReport {
         listen()
         fleet.boot()
@@ -69,20 +69,22 @@
         users.start()
         val startedMs = world.nowMs
         awaitHealthy()
-        printLine("${controllers.size} controllers serve after ${(world.nowMs - startedMs) / MS_PER_S} s")
+        printLine("${controllers.size} controllers healthy after ${(world.nowMs - startedMs) / MS_PER_S} s")
         checkMalformedHeartbeats()
         startMeasuring()
         fill()
         arrivals.startSubmitting()
         for (scenario in options.scenarios) {
-            printLine("playing ${scenario.title}")
+            printLine("running ${scenario.title}")
             results.add(execute(scenario))
-            printLine(ScenarioTable.headings.zip(ScenarioTable.cells(results.last())).joinToString { (h, c) -> "$h: $c" })
+            printLine(
+                ScenarioTable.headings.zip(ScenarioTable.cells(results.last())).joinToString { (h, c) -> "$h: $c" },
+            )
         }
         return report(problem())
     }
 
-    /** The first a little before the others, so that it leads at first and runs are alike. */
+    /** Starts the first controller before the others, so that it becomes the first leader in every run. */
     private suspend fun startControllers() {
         for ((index, controller) in controllers.withIndex()) {
             controller.start()
@@ -90,12 +92,12 @@
         }
     }
 
-    /** Guards against a worker that sends nonsense: it is told so at once, by each controller. */
+    /** Checks that each controller answers a malformed heartbeat with a client error at once. */
     private suspend fun checkMalformedHeartbeats() {
         for (controller in controllers) {
             val status = MalformedHeartbeat.send(vertx, controller.identity)
             if (status !in MalformedHeartbeat.CLIENT_ERRORS) {
-                throw StartFailed("${controller.identity.label} answers a malformed report with $status")
+                throw StartFailed("${controller.identity.label} answers a malformed heartbeat with $status")
             }
         }
     }
@@ -119,7 +121,7 @@
         }
     }
 
-    /** Submits the standing services as fast as they are accepted, until nearly all of their tasks run. */
+    /** Submits the standing services as fast as they are accepted, and waits until nearly all of their tasks run. */
     private suspend fun fill() {
         val startedMs = world.nowMs
         val jobs = ArrayDeque(plan.standingJobs())
@@ -132,9 +134,11 @@
             if (world.nowMs - startedMs > FILL_TIMEOUT_MS) break
             delay(POLL_MS)
         }
-        while (fleet.tasksRunning() < options.targetTasks * FILLED_SHARE && world.nowMs - startedMs < FILL_TIMEOUT_MS) delay(POLL_MS)
+        while (
+            fleet.tasksRunning() < options.targetTasks * FILLED_SHARE && world.nowMs - startedMs < FILL_TIMEOUT_MS
+        ) delay(POLL_MS)
         filledInS = (world.nowMs - startedMs) / MS_PER_S
-        printLine("${fleet.tasksRunning()} of ${options.targetTasks} tasks run after $filledInS s")
+        printLine("${fleet.tasksRunning()} of ${options.targetTasks} tasks running after $filledInS s")
     }
 
     private suspend fun execute(scenario: Scenario): ScenarioResult {
@@ -182,7 +186,7 @@
         val broken = fleet.rules.broken
         val mostSockets = samples.flatMap { it.sockets }.maxOrNull() ?: 0
         return when {
-            broken.isNotEmpty() -> "${broken.size} times a rule was broken, first: ${broken.first()}"
+            broken.isNotEmpty() -> "rules broken ${broken.size} times, first: ${broken.first()}"
             mostSockets > options.maxSockets -> "a controller held $mostSockets sockets of ${options.maxSockets}"
             fleet.starts == 0L -> "no task was started"
             else -> null
--- a/src/scale/kotlin/oxbowlug/scale/Scenario.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Scenario.kt
@@ -1,6 +1,6 @@
 package oxbowlug.scale
 
-/** What a run plays, one after the other on the same fleet. [seconds] is how long, with the time to recover. */
+/** The scenarios of a run, in turn on the same fleet. [seconds] is the length, including the time to recover. */
 internal enum class Scenario(val wire: String, val seconds: Int, val title: String) {
     ORDINARY("ordinary", 20, "ordinary load"),
     PEAK("peak", 20, "the peak of starts"),
--- a/src/scale/kotlin/oxbowlug/scale/StandInCodec.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StandInCodec.kt
@@ -14,7 +14,7 @@
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.fields
 
-/** The other side of the published interfaces: what workers, the state service and the cloud encode and decode. */
+/** The messages of the published interfaces as workers, the state service and the cloud encode and decode them. */
 internal object StandInCodec {
     fun encodeHeartbeat(report: WorkerHeartbeat): Map<String, Any?> = mapOf(
         "beast" to report.machine.value,
--- a/src/scale/kotlin/oxbowlug/scale/StateFaults.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateFaults.kt
@@ -1,16 +1,22 @@
 package oxbowlug.scale
 
-/** What goes wrong at the state service's stand-in for now; shares are those of its transactions. */
+/** The faults that the state service's stand-in injects at present. Probabilities apply to each transaction. */
 internal class StateFaults {
-    /** Controllers that it refuses, by index, while it serves the others. */
+    /** Indexes of the controllers whose calls it refuses. */
     val refusedControllers = HashSet<Int>()
 
-    /** Controllers whose reads of changes that wait for one get no answer. */
+    /** Indexes of the controllers whose watches it doesn't answer. */
     val unansweredWatches = HashSet<Int>()
+
+    /** Probability that a transaction is refused. */
     var refusedWrites = 0.0
+
+    /** Probability that a transaction is applied at once and answered late. */
     var slowWriteAnswers = 0.0
+
+    /** Probability that a transaction is applied and not answered. */
     var lostWriteAnswers = 0.0
 
-    /** Carried out later, after newer ones, and not answered. */
+    /** Probability that a transaction is applied late, after newer ones, and not answered. */
     var delayedWrites = 0.0
 }
--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -13,7 +13,7 @@
 import oxbowlug.wire.fields
 import oxbowlug.wire.sizeAsJson
 
-/** The state service over HTTP: one address for each controller, one store behind them. */
+/** Serves the state service's stand-in over HTTP: one address for each controller, one store behind all of them. */
 internal class StateServer(
     private val world: World,
     private val store: SimStore,
@@ -33,9 +33,13 @@
     }
 
     private inner class Call(val exchange: HttpExchange, val controller: ControllerIdentity) {
-        /** Usually within a few milliseconds, and a few times in a thousand within some hundred. */
+        /** Replies after 1 to 6 ms, and in 0.3 % of the cases after 100 to 400 ms. */
         fun reply(status: Int, body: Map<String, Any?>) {
-            replyAfter(if (world.chance(SLOW_RESPONSE_PROBABILITY)) world.between(SLOW_RESPONSE_MS) else world.between(USUAL_RESPONSE_MS), status, body)
+            replyAfter(
+                if (world.chance(SLOW_PROBABILITY)) world.between(SLOW_RESPONSE_MS) else world.between(RESPONSE_MS),
+                status,
+                body,
+            )
         }
 
         fun replyAfter(delayMs: Long, status: Int, body: Map<String, Any?>) = world.after(delayMs) {
@@ -147,8 +151,8 @@
     private fun touch(call: Call, path: String) {
         traffic.stateLeaseCalls++
         val id = path.removeSuffix(KEEP_ALIVE_SUFFIX).substring(LEASES_PATH.length).toLongOrNull()
-        val isRenewed = id != null && store.touch(id) == TouchOutcome.RENEWED
-        if (isRenewed) call.reply(HttpStatus.OK, mapOf("tether" to id)) else call.reply(HttpStatus.NOT_FOUND, emptyMap())
+        val renewed = id != null && store.touch(id) == TouchOutcome.RENEWED
+        if (renewed) call.reply(HttpStatus.OK, mapOf("tether" to id)) else call.reply(HttpStatus.NOT_FOUND, emptyMap())
     }
 
     private fun encode(entry: Entry): Map<String, Any?> =
@@ -165,9 +169,9 @@
         const val MAX_PAGE_ENTRIES = 1000
         const val MAX_PAGE_BYTES = 512 * 1024
         const val MAX_WAIT_MS = 60_000L
-        const val SLOW_RESPONSE_PROBABILITY = 0.003
+        const val SLOW_PROBABILITY = 0.003
         val SLOW_RESPONSE_MS = 100L..400L
-        val USUAL_RESPONSE_MS = 1L..6L
+        val RESPONSE_MS = 1L..6L
         val WRITE_DELAY_MS = 1_000L..8_000L
         val SLOW_WRITE_ANSWER_MS = 50L..900L
     }
--- a/src/scale/kotlin/oxbowlug/scale/Topology.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Topology.kt
@@ -2,7 +2,7 @@
 
 import oxbowlug.wire.Zone
 
-/** One controller's place and addresses; every one of them is in 127.0.0.0/8. */
+/** One controller's index, zone and addresses. All addresses are in 127.0.0.0/8. */
 internal class ControllerIdentity(val index: Int, val zone: Zone, private val firstPort: Int) {
     val label = "controller-$index"
     val clientHost = "127.10.$index.1"
@@ -10,15 +10,15 @@
     val peerHost = "127.10.$index.2"
     val peerPort = firstPort + 1
 
-    /** Each controller has its own address of each service, so that the stand-ins know who asks. */
+    /** Each controller has its own address of each service, by which the stand-ins identify the caller. */
     val stateHost = "127.10.$index.3"
     val cloudHost = "127.10.$index.4"
 
-    /** Where [from] reaches this controller's peer port, through a proxy that delays and holds. */
+    /** The address of the proxy through which [from] connects to this controller's peer port; see [PeerProxies]. */
     fun proxyHost(from: ControllerIdentity) = "127.11.${from.index}.$index"
 }
 
-/** Which zones there are, in which regions, and where the controllers stand. */
+/** The zones, their regions, and the placement of the controllers. */
 internal class Topology(options: ScaleOptions) {
     val ports = Ports(options.firstPort)
     val zones: List<Zone> = List(options.zones) { Zone("zone-$it") }
@@ -26,12 +26,12 @@
         zone to index % options.regions
     }
 
-    /** Shared out over the regions, and within each over its zones. */
+    /** Spread over the regions, and within each region over its zones. */
     val controllers: List<ControllerIdentity> = List(options.controllers) { index ->
         ControllerIdentity(index, zones[index % zones.size], options.firstPort)
     }
 
-    /** State service, cloud, load balancer and users belong to no zone; they are in the first region. */
+    /** The state service, cloud, load balancer and users belong to no zone; they are in the first region. */
     fun region(zone: Zone?): Int = if (zone == null) HOME_REGION else regionOf.getValue(zone)
 
     class Ports(first: Int) {
@@ -46,7 +46,7 @@
     }
 }
 
-/** A worker's addresses: one for each controller, so that a worker's stand-in knows who commands it. */
+/** A worker's addresses: one for each controller, by which the worker's stand-in identifies the caller. */
 internal object WorkerAddresses {
     private const val FIRST_OCTET = 64
     private const val BYTE = 256
@@ -56,14 +56,14 @@
 
     fun numberOf(machine: String): Int = machine.substringAfterLast('-').toInt()
 
-    /** The controller to which an address was given; null if it is none of ours. */
+    /** Index of the controller for which [host] is reserved; null if it isn't a worker's address. */
     fun controllerOf(host: String): Int? {
         val octets = host.split('.')
         val second = octets.getOrNull(1)?.toIntOrNull() ?: return null
         return (second - FIRST_OCTET).takeIf { octets[0] == "127" && it >= 0 }
     }
 
-    /** The same worker's address as the cloud's stand-in keeps it. */
+    /** The worker's endpoint as the cloud's stand-in stores it: the one reserved for the first controller. */
     fun canonical(host: String, port: Int): String {
         val octets = host.split('.')
         return "127.$FIRST_OCTET.${octets[2]}.${octets[3]}:$port"
--- a/src/scale/kotlin/oxbowlug/scale/Traffic.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Traffic.kt
@@ -2,7 +2,7 @@
 
 import org.HdrHistogram.Histogram
 
-/** Messages and bytes of one kind, since the run's start. */
+/** Counts the messages of one kind and their bytes since the run's start. */
 internal class MessageCounter {
     var messages = 0L
         private set
@@ -16,8 +16,8 @@
 }
 
 /**
- * What went over the stand-ins' connections. Bodies are counted as they are sent, headers by the length that they have
- * here; TCP's own are not counted.
+ * Counts the messages and bytes on the stand-ins' connections. Bodies are counted at their real size and HTTP headers
+ * at a fixed size; TCP and IP headers are not counted.
  */
 internal class Traffic {
     val reports = MessageCounter()
@@ -45,7 +45,7 @@
     }
 }
 
-/** Durations in milliseconds, to two digits. */
+/** A histogram of durations in milliseconds, with a precision of two significant digits. */
 internal class Durations {
     private val histogram = Histogram(MAX_DURATION_MS, 2)
     val count: Long get() = histogram.totalCount
--- a/src/scale/kotlin/oxbowlug/scale/Users.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Users.kt
@@ -19,10 +19,10 @@
 import oxbowlug.wire.MalformedBody
 import oxbowlug.wire.fields
 
-/** An answer to a user, or none within the time that users wait. */
+/** A controller's response to a user. */
 private class Answer(val status: Int, val body: Map<String, Any?>, val retryAfterS: Int)
 
-/** Users behind a load balancer: they submit, repeat what wasn't taken, poll, and cancel. */
+/** Users behind a load balancer: they submit jobs, retry failed requests, poll, and cancel. */
 internal class Users(
     vertx: Vertx,
     private val world: World,
@@ -37,10 +37,10 @@
     private val isHealthy = BooleanArray(topology.controllers.size)
     private val probeFailures = IntArray(topology.controllers.size)
 
-    /** From the first attempt to submit until it was accepted. */
+    /** From the first attempt to submit a job until a controller accepts it. */
     var acceptance = Durations()
 
-    /** Answers to users by status; 0 stands for none. */
+    /** Number of responses by HTTP status; 0 stands for requests without a response. */
     val answers = java.util.TreeMap<Int, Long>()
     var abandonedSubmissions = 0
         private set
@@ -66,15 +66,16 @@
         val id = job.spec.id.value
         val sentAt = world.nowMs
         sendToHealthy(HttpMethod.POST, "/work", JobSpecCodec.encode(job.spec)) { answer ->
-            val told = answer?.let { parseResponse(it, isSubmission = true) }
-            if (told != null) rules.told(id, told, sentAt)
+            val response = answer?.let { parseResponse(it, isSubmission = true) }
+            if (response != null) rules.told(id, response, sentAt)
             when {
-                told is UserResponse.Accepted || told is UserResponse.Known -> {
+                response is UserResponse.Accepted || response is UserResponse.Known -> {
                     acceptance.record(world.nowMs - firstAttemptAt)
                     onAccepted()
                     schedulePoll(id)
                 }
-                world.nowMs - firstAttemptAt > SUBMIT_TIMEOUT_MS || told is UserResponse.Malformed || told is UserResponse.Rejected ->
+                world.nowMs - firstAttemptAt > SUBMIT_TIMEOUT_MS ||
+                    response is UserResponse.Malformed || response is UserResponse.Rejected ->
                     abandonedSubmissions++
                 else -> world.after(retryDelayMs(answer)) { attemptSubmit(job, firstAttemptAt, onAccepted) }
             }
@@ -88,9 +89,9 @@
         job.askedToCancel = true
         val sentAt = world.nowMs
         sendToHealthy(HttpMethod.POST, "/work/$id/cancel", emptyMap()) { answer ->
-            val told = answer?.let { parseResponse(it, isSubmission = false) }
-            if (told != null) rules.told(id.value, told, sentAt)
-            if (told !is UserResponse.Known) world.after(retryDelayMs(answer)) { cancel(id) }
+            val response = answer?.let { parseResponse(it, isSubmission = false) }
+            if (response != null) rules.told(id.value, response, sentAt)
+            if (response !is UserResponse.Known) world.after(retryDelayMs(answer)) { cancel(id) }
         }
     }
 
@@ -104,8 +105,8 @@
     private fun poll(id: String) {
         val sentAt = world.nowMs
         sendToHealthy(HttpMethod.GET, "/work/$id", null, POLL_TIMEOUT_MS) { answer ->
-            val told = answer?.let { parseResponse(it, isSubmission = false) }
-            if (told is UserResponse.Known || told is UserResponse.NotFound) rules.told(id, told, sentAt)
+            val response = answer?.let { parseResponse(it, isSubmission = false) }
+            if (response is UserResponse.Known || response is UserResponse.NotFound) rules.told(id, response, sentAt)
             schedulePoll(id)
         }
     }
@@ -133,7 +134,7 @@
         )
     }
 
-    /** To one of the healthy controllers, or to any when none is. */
+    /** Sends the request to a random healthy controller, or to any controller if none is healthy. */
     private fun sendToHealthy(
         method: HttpMethod,
         path: String,
@@ -180,13 +181,13 @@
         }
     }
 
-    private fun decode(response: HttpClientResponse, bytes: Buffer): Answer {
+    private fun decode(httpResponse: HttpClientResponse, bytes: Buffer): Answer {
         val body = try {
             Cbor.decode(bytes.bytes)
         } catch (_: MalformedBody) {
             emptyMap()
         }
-        return Answer(response.statusCode(), body, response.getHeader("retry-after")?.toIntOrNull() ?: 0)
+        return Answer(httpResponse.statusCode(), body, httpResponse.getHeader("retry-after")?.toIntOrNull() ?: 0)
     }
 
     private companion object {
--- a/src/scale/kotlin/oxbowlug/scale/Window.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Window.kt
@@ -3,7 +3,7 @@
 import oxbowlug.standin.SimStore
 import oxbowlug.wire.sizeAsJson
 
-/** Counters at one moment, so that a scenario's figures are differences of two. */
+/** All counters at one time; a scenario's figures are the differences between two such snapshots. */
 internal class Counters(private val run: ScaleRun) {
     val atMs = run.world.nowMs
     private val traffic = run.traffic
@@ -38,7 +38,7 @@
     }
 }
 
-/** What happened between two moments of a run. */
+/** Measures one scenario, from construction until [result]. */
 internal class Window(private val run: ScaleRun, private val scenario: Scenario) {
     private val before = Counters(run)
     val startedAt: Long get() = before.atMs
@@ -47,7 +47,7 @@
     private var startsAtLastSecond = before.starts
     private var maxStartsPerSecond = 0L
 
-    /** The moment of the failure, if the scenario has one. */
+    /** When the scenario's fault was injected; null if it injects none. */
     var faultAt: Long? = null
 
     init {
@@ -56,7 +56,7 @@
         run.clock.maxLagMs = 0
     }
 
-    /** Called a few times a second. */
+    /** Samples the lease renewals; called ten times a second. */
     fun pollLeases() {
         longestUnrenewedMs = maxOf(longestUnrenewedMs, run.fleet.longestWithoutRenewal())
         val since = faultAt ?: return
@@ -77,7 +77,10 @@
             title = scenario.title,
             seconds = seconds,
             controllers = run.controllers.mapIndexed { index, controller ->
-                controllerUse(controller, metrics[index], (after.controllerCpuSeconds[index] - before.controllerCpuSeconds[index]) / seconds)
+                controllerUse(
+                    controller, metrics[index],
+                    (after.controllerCpuSeconds[index] - before.controllerCpuSeconds[index]) / seconds,
+                )
             },
             reports = reportTraffic(after, perSecond),
             state = stateTraffic(after, perSecond),
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -157,8 +157,8 @@
         val label = leaderLabel()
         if (label == lastLeader) return
         lastLeader = label
-        for ((heartbeat, targets) in recordedHeartbeats.takeLast(MAX_REPLAYED)) {
-            targets.forEach { it.receive(heartbeat) { } }
+        for ((heartbeat, targets) in recordedHeartbeats.takeLast(MAX_REPLAYED)) targets.forEach {
+            it.receive(heartbeat) { }
         }
         recordedHeartbeats.clear()
     }
--- a/src/scale/kotlin/oxbowlug/soak/RunningJobs.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RunningJobs.kt
@@ -5,11 +5,9 @@
 
 /** Draws up to [count] jobs with tasks on [workers]; maps each job's id to the machines that run its tasks. */
 internal fun drawRunningJobs(workers: List<SimWorker>, count: Int, random: Random): Map<String, Set<SimWorker>> {
-    val machinesByJob = LinkedHashMap<String, LinkedHashSet<SimWorker>>()
+    val jobWorkers = LinkedHashMap<String, LinkedHashSet<SimWorker>>()
     for (worker in workers) {
-        for (task in worker.onMachine()) {
-            machinesByJob.getOrPut(task.attempt.task.job.value, ::LinkedHashSet).add(worker)
-        }
+        for (task in worker.onMachine()) jobWorkers.getOrPut(task.attempt.task.job.value, ::LinkedHashSet).add(worker)
     }
-    return machinesByJob.keys.shuffled(random).take(count).associateWith(machinesByJob::getValue)
+    return jobWorkers.keys.shuffled(random).take(count).associateWith(jobWorkers::getValue)
 }
--- a/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
+++ b/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
@@ -51,8 +51,8 @@
         fleet.registerJob(job)
         users.submit(job) {
             onAccepted()
-            if (world.chance(CANCEL_PROBABILITY)) {
-                world.after(world.between(CANCEL_AFTER_MS)) { users.cancel(job.spec.id) }
+            if (world.chance(CANCEL_PROBABILITY)) world.after(world.between(CANCEL_AFTER_MS)) {
+                users.cancel(job.spec.id)
             }
         }
     }
