--- a/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
@@ -44,8 +44,8 @@
         private val endpoint = "${WorkerAddresses.host(number, controller.index)}:$workerPort"
         private var connection: HttpClientConnection? = null
 
-        override fun receive(report: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit) {
-            val bytes = Cbor.encode(StandInCodec.encodeHeartbeat(report.copy(endpoint = endpoint)))
+        override fun receive(workerHeartbeat: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit) {
+            val bytes = Cbor.encode(StandInCodec.encodeHeartbeat(workerHeartbeat.copy(endpoint = endpoint)))
             traffic.reports.count(bytes.size, Traffic.REQUEST_HEADER_BYTES)
             network.deliver(workerEnd, controllerEnd) {
                 openConnection()
@@ -136,9 +136,9 @@
         val workerEnd = Endpoint.Worker(worker.zone)
         val controllerEnd = Endpoint.Controller(controller)
 
-        fun reply(status: Int, report: WorkerHeartbeat) = network.deliver(workerEnd, controllerEnd) {
+        fun reply(status: Int, workerHeartbeat: WorkerHeartbeat) = network.deliver(workerEnd, controllerEnd) {
             val endpoint = "${exchange.request.localAddress().host()}:${topology.ports.workers}"
-            val size = exchange.reply(status, StandInCodec.encodeHeartbeat(report.copy(endpoint = endpoint)))
+            val size = exchange.reply(status, StandInCodec.encodeHeartbeat(workerHeartbeat.copy(endpoint = endpoint)))
             traffic.directResponses.count(size, Traffic.RESPONSE_HEADER_BYTES)
         }
         if (exchange.path == "/status") {
@@ -149,8 +149,8 @@
         val incarnation = fields.count("shift")
         val commands = StandInCodec.decodeCommands(fields)
         network.deliver(controllerEnd, workerEnd) {
-            worker.direct(token, incarnation, commands) { report, executed ->
-                reply(if (executed) HttpStatus.OK else HttpStatus.CONFLICT, report)
+            worker.direct(token, incarnation, commands) { workerHeartbeat, executed ->
+                reply(if (executed) HttpStatus.OK else HttpStatus.CONFLICT, workerHeartbeat)
             }
         }
     }
--- a/src/scale/kotlin/oxbowlug/scale/Network.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Network.kt
@@ -1,6 +1,6 @@
 package oxbowlug.scale
 
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.Zone
 
 /**
@@ -8,7 +8,7 @@
  * partition holds the messages and delivers them in order when it ends, as the protocol warns: so commands, heartbeats
  * and transactions can arrive late.
  */
-internal class Network(private val world: World, private val topology: Topology) {
+internal class Network(private val time: VirtualTime, private val topology: Topology) {
     private class Partition(val untilMs: Long, val separates: (Endpoint, Endpoint) -> Boolean)
 
     private val partitions = ArrayList<Partition>()
@@ -42,13 +42,13 @@
 
     /** Holds all messages for which [separates] holds, in that direction only. */
     fun cutLinks(forMs: Long, separates: (Endpoint, Endpoint) -> Boolean) {
-        partitions.add(Partition(world.nowMs + forMs, separates))
+        partitions.add(Partition(time.nowMs + forMs, separates))
     }
 
-    fun isCut(from: Endpoint, to: Endpoint): Boolean = heldUntil(from, to) > world.nowMs
+    fun isCut(from: Endpoint, to: Endpoint): Boolean = heldUntil(from, to) > time.nowMs
 
     private fun heldUntil(from: Endpoint, to: Endpoint): Long {
-        partitions.removeIf { it.untilMs <= world.nowMs }
+        partitions.removeIf { it.untilMs <= time.nowMs }
         return partitions.filter { it.separates(from, to) }.maxOfOrNull { it.untilMs } ?: 0L
     }
 
@@ -56,14 +56,14 @@
     fun deliver(from: Endpoint, to: Endpoint, action: () -> Unit) {
         beforeDelivery()
         val until = if (partitions.isEmpty()) 0L else heldUntil(from, to)
-        if (until > world.nowMs) heldMessages++
+        if (until > time.nowMs) heldMessages++
         val isWorkerMessage = from is Endpoint.Worker || to is Endpoint.Worker
         if (isWorkerMessage && occurs(workerLossProbability)) return
-        val extraDelayMs = if (isWorkerMessage && occurs(workerDelayProbability)) world.between(EXTRA_DELAY_MS) else 0L
-        world.after(maxOf(until - world.nowMs, 0L) + latencyMs(from.zone, to.zone) + extraDelayMs, action)
+        val extraDelayMs = if (isWorkerMessage && occurs(workerDelayProbability)) time.between(EXTRA_DELAY_MS) else 0L
+        time.after(maxOf(until - time.nowMs, 0L) + latencyMs(from.zone, to.zone) + extraDelayMs, action)
     }
 
-    private fun occurs(probability: Double): Boolean = probability > 0.0 && world.chance(probability)
+    private fun occurs(probability: Double): Boolean = probability > 0.0 && time.chance(probability)
 
     private companion object {
         const val SAME_ZONE_MS = 0L
--- a/src/scale/kotlin/oxbowlug/scale/RateLimiter.kt
+++ b/src/scale/kotlin/oxbowlug/scale/RateLimiter.kt
@@ -1,16 +1,16 @@
 package oxbowlug.scale
 
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 
 /** A token bucket for a published limit of requests a second, with bursts of up to [burstS] seconds' requests. */
-internal class RateLimiter(private val world: World, private val rps: Double, private val burstS: Int) {
+internal class RateLimiter(private val time: VirtualTime, private val rps: Double, private val burstS: Int) {
     private var tokens = rps * burstS
     private var tokensAt = 0L
 
     /** Returns false if the request exceeds the limit. */
     fun tryAcquire(): Boolean {
-        tokens = minOf(rps * burstS, tokens + (world.nowMs - tokensAt) * rps / MS_PER_S)
-        tokensAt = world.nowMs
+        tokens = minOf(rps * burstS, tokens + (time.nowMs - tokensAt) * rps / MS_PER_S)
+        tokensAt = time.nowMs
         if (tokens < 1.0) return false
         tokens -= 1.0
         return true
--- a/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
@@ -4,10 +4,10 @@
 import kotlinx.coroutines.delay
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 
 /** Advances the stand-ins' clock with real time. Its lag shows whether the stand-ins kept up. */
-internal class WallClock(vertx: Vertx, private val world: World) {
+internal class WallClock(vertx: Vertx, private val time: VirtualTime) {
     private val startNs = System.nanoTime()
     private var isAdvancing = false
 
@@ -31,8 +31,8 @@
         if (isStopped || isAdvancing) return
         isAdvancing = true
         val now = (System.nanoTime() - startNs) / NS_PER_MS
-        maxLagMs = maxOf(maxLagMs, now - world.nowMs)
-        world.advanceTo(now)
+        maxLagMs = maxOf(maxLagMs, now - time.nowMs)
+        time.advanceTo(now)
         isAdvancing = false
     }
 
@@ -52,7 +52,7 @@
     options: ScaleOptions,
     private val printLine: (String) -> Unit,
 ) : LoopbackRun(options, checksStoredRecords = false) {
-    val arrivals = Arrivals(options, world, plan, fleet, users)
+    val arrivals = Arrivals(options, time, plan, fleet, users)
     private val sampler = Sampler(controllers)
     private val metricsReader = MetricsReader(vertx)
     private val samples = ArrayList<Sample>()
@@ -67,9 +67,9 @@
         startControllers()
         sampler.start()
         users.start()
-        val startedMs = world.nowMs
+        val startedMs = time.nowMs
         awaitHealthy()
-        printLine("${controllers.size} controllers healthy after ${(world.nowMs - startedMs) / MS_PER_S} s")
+        printLine("${controllers.size} controllers healthy after ${(time.nowMs - startedMs) / MS_PER_S} s")
         checkMalformedHeartbeats()
         startMeasuring()
         fill()
@@ -103,16 +103,16 @@
     }
 
     private fun startMeasuring() {
-        world.every(POLL_MS) { window?.pollLeases() }
+        time.every(POLL_MS) { window?.pollLeases() }
         var cpuSecondsBefore = controllers.map { it.cpuSeconds }
-        world.every(SECOND_MS) {
-            fleet.rules.check(fleet.cloud.workers)
+        time.every(SECOND_MS) {
+            fleet.checker.check(fleet.cloud.workers)
             controllers.forEach { it.restartIfExited() }
             window?.recordSecond()
             val cpuSecondsNow = controllers.map { it.cpuSeconds }
             samples.add(
                 Sample(
-                    world.nowMs / MS_PER_S, cpuSecondsNow.zip(cpuSecondsBefore) { after, before -> after - before },
+                    time.nowMs / MS_PER_S, cpuSecondsNow.zip(cpuSecondsBefore) { after, before -> after - before },
                     controllers.map { it.latestSample.residentMb }, controllers.map { it.latestSample.sockets },
                     fleet.tasksRunning(),
                 ),
@@ -123,7 +123,7 @@
 
     /** Submits the standing services as fast as they are accepted, and waits until nearly all of their tasks run. */
     private suspend fun fill() {
-        val startedMs = world.nowMs
+        val startedMs = time.nowMs
         val jobs = ArrayDeque(plan.standingJobs())
         var pendingJobs = 0
         while (jobs.isNotEmpty() || pendingJobs > 0) {
@@ -131,13 +131,13 @@
                 pendingJobs++
                 arrivals.submit(jobs.removeFirst()) { pendingJobs-- }
             }
-            if (world.nowMs - startedMs > FILL_TIMEOUT_MS) break
+            if (time.nowMs - startedMs > FILL_TIMEOUT_MS) break
             delay(POLL_MS)
         }
         while (
-            fleet.tasksRunning() < options.targetTasks * FILLED_SHARE && world.nowMs - startedMs < FILL_TIMEOUT_MS
+            fleet.tasksRunning() < options.targetTasks * FILLED_SHARE && time.nowMs - startedMs < FILL_TIMEOUT_MS
         ) delay(POLL_MS)
-        filledInS = (world.nowMs - startedMs) / MS_PER_S
+        filledInS = (time.nowMs - startedMs) / MS_PER_S
         printLine("${fleet.tasksRunning()} of ${options.targetTasks} tasks running after $filledInS s")
     }
 
@@ -147,7 +147,7 @@
         window = measurement
         beginScenario(scenario, seconds, measurement)
         val until = measurement.startedAt + seconds * SECOND_MS
-        while (world.nowMs < until) delay(POLL_MS)
+        while (time.nowMs < until) delay(POLL_MS)
         val metrics = controllers.map { metricsReader.read(it.identity) }
         window = null
         return measurement.result(metrics)
@@ -160,7 +160,7 @@
 
     private fun beginScenario(scenario: Scenario, seconds: Int, measurement: Window) {
         val leaseMs = (options.leaseS * MS_PER_S).toLong()
-        if (scenario != Scenario.ORDINARY && scenario != Scenario.PEAK) measurement.faultAt = world.nowMs
+        if (scenario != Scenario.ORDINARY && scenario != Scenario.PEAK) measurement.faultAt = time.nowMs
         when (scenario) {
             Scenario.ORDINARY -> Unit
             Scenario.PEAK -> arrivals.submitPeak(maxOf(1, seconds / PEAK_DIVISOR))
@@ -174,19 +174,19 @@
 
     private fun killAndRestart(processes: List<ControllerProcess>) {
         processes.forEach { it.kill() }
-        world.after(RESTART_DELAY_MS) { processes.forEach { it.start() } }
+        time.after(RESTART_DELAY_MS) { processes.forEach { it.start() } }
     }
 
     private fun pauseAndResume(controller: ControllerProcess, forMs: Long) {
         controller.pause()
-        world.after(forMs) { controller.resume() }
+        time.after(forMs) { controller.resume() }
     }
 
     private fun problem(): String? {
-        val broken = fleet.rules.broken
+        val ruleViolations = fleet.checker.ruleViolations
         val mostSockets = samples.flatMap { it.sockets }.maxOrNull() ?: 0
         return when {
-            broken.isNotEmpty() -> "rules broken ${broken.size} times, first: ${broken.first()}"
+            ruleViolations.isNotEmpty() -> "rules broken ${ruleViolations.size} times, first: ${ruleViolations.first()}"
             mostSockets > options.maxSockets -> "a controller held $mostSockets sockets of ${options.maxSockets}"
             fleet.starts == 0L -> "no task was started"
             else -> null
--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -7,7 +7,7 @@
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.Entry
 import oxbowlug.wire.Event
 import oxbowlug.wire.fields
@@ -15,14 +15,14 @@
 
 /** Serves the state service's stand-in over HTTP: one address for each controller, one store behind all of them. */
 internal class StateServer(
-    private val world: World,
+    private val time: VirtualTime,
     private val store: SimStore,
     private val network: Network,
     private val traffic: Traffic,
     rps: Double,
     private val faults: StateFaults = StateFaults(),
 ) {
-    private val rateLimiter = RateLimiter(world, rps, burstS = 1)
+    private val rateLimiter = RateLimiter(time, rps, burstS = 1)
 
     fun start(vertx: Vertx, topology: Topology): List<Future<*>> = topology.controllers.map { controller ->
         vertx.serveCbor(controller.stateHost, topology.ports.state) { exchange ->
@@ -36,13 +36,13 @@
         /** Replies after 1 to 6 ms, and in 0.3 % of the cases after 100 to 400 ms. */
         fun reply(status: Int, body: Map<String, Any?>) {
             replyAfter(
-                if (world.chance(SLOW_PROBABILITY)) world.between(SLOW_RESPONSE_MS) else world.between(RESPONSE_MS),
+                if (time.chance(SLOW_PROBABILITY)) time.between(SLOW_RESPONSE_MS) else time.between(RESPONSE_MS),
                 status,
                 body,
             )
         }
 
-        fun replyAfter(delayMs: Long, status: Int, body: Map<String, Any?>) = world.after(delayMs) {
+        fun replyAfter(delayMs: Long, status: Int, body: Map<String, Any?>) = time.after(delayMs) {
             network.deliver(Endpoint.StateService, Endpoint.Controller(controller)) { exchange.reply(status, body) }
         }
 
@@ -101,18 +101,18 @@
         val transaction = StandInCodec.decodeTransaction(call.exchange.body())
         when {
             occurs(faults.refusedWrites) -> call.reply(HttpStatus.TOO_MANY_REQUESTS, mapOf("error" to "rate"))
-            occurs(faults.delayedWrites) -> world.after(world.between(WRITE_DELAY_MS)) {
+            occurs(faults.delayedWrites) -> time.after(time.between(WRITE_DELAY_MS)) {
                 if (!store.down) store.commit(transaction)
             }
             occurs(faults.lostWriteAnswers) -> store.commit(transaction)
             occurs(faults.slowWriteAnswers) -> respond(store.commit(transaction)) { status, body ->
-                call.replyAfter(world.between(SLOW_WRITE_ANSWER_MS), status, body)
+                call.replyAfter(time.between(SLOW_WRITE_ANSWER_MS), status, body)
             }
             else -> respond(store.commit(transaction), call::reply)
         }
     }
 
-    private fun occurs(probability: Double): Boolean = probability > 0.0 && world.chance(probability)
+    private fun occurs(probability: Double): Boolean = probability > 0.0 && time.chance(probability)
 
     private fun respond(outcome: CommitOutcome, reply: (Int, Map<String, Any?>) -> Unit) = when (outcome) {
         is CommitOutcome.Applied -> reply(HttpStatus.OK, mapOf("ledger" to outcome.revision))
--- a/src/scale/kotlin/oxbowlug/scale/Users.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Users.kt
@@ -8,8 +8,8 @@
 import io.vertx.core.http.PoolOptions
 import io.vertx.core.http.RequestOptions
 import oxbowlug.request.UserResponse
-import oxbowlug.standin.Rules
-import oxbowlug.standin.World
+import oxbowlug.standin.InvariantChecker
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobId
@@ -25,10 +25,10 @@
 /** Users behind a load balancer: they submit jobs, retry failed requests, poll, and cancel. */
 internal class Users(
     vertx: Vertx,
-    private val world: World,
+    private val time: VirtualTime,
     private val topology: Topology,
     private val network: Network,
-    private val rules: Rules,
+    private val checker: InvariantChecker,
 ) {
     private val client = vertx.createHttpClient(
         HttpClientOptions().setKeepAlive(true).setDecompressionSupported(false),
@@ -46,7 +46,7 @@
         private set
     val healthyCount: Int get() = isHealthy.count { it }
 
-    fun start() = world.every(PROBE_MS) { topology.controllers.forEach(::probe) }
+    fun start() = time.every(PROBE_MS) { topology.controllers.forEach(::probe) }
 
     private fun probe(controller: ControllerIdentity) {
         call(controller, HttpMethod.GET, "/healthz", null, PROBE_TIMEOUT_MS) { answer ->
@@ -58,26 +58,26 @@
     }
 
     fun submit(job: PlannedJob, onAccepted: () -> Unit = {}) {
-        rules.jobs[job.spec.id.value] = Rules.Known(job.spec)
-        attemptSubmit(job, world.nowMs, onAccepted)
+        checker.jobs[job.spec.id.value] = InvariantChecker.Known(job.spec)
+        attemptSubmit(job, time.nowMs, onAccepted)
     }
 
     private fun attemptSubmit(job: PlannedJob, firstAttemptAt: Long, onAccepted: () -> Unit) {
         val id = job.spec.id.value
-        val sentAt = world.nowMs
+        val sentAt = time.nowMs
         sendToHealthy(HttpMethod.POST, "/work", JobSpecCodec.encode(job.spec)) { answer ->
             val response = answer?.let { parseResponse(it, isSubmission = true) }
-            if (response != null) rules.told(id, response, sentAt)
+            if (response != null) checker.observed(id, response, sentAt)
             when {
                 response is UserResponse.Accepted || response is UserResponse.Known -> {
-                    acceptance.record(world.nowMs - firstAttemptAt)
+                    acceptance.record(time.nowMs - firstAttemptAt)
                     onAccepted()
                     schedulePoll(id)
                 }
-                world.nowMs - firstAttemptAt > SUBMIT_TIMEOUT_MS ||
+                time.nowMs - firstAttemptAt > SUBMIT_TIMEOUT_MS ||
                     response is UserResponse.Malformed || response is UserResponse.Rejected ->
                     abandonedSubmissions++
-                else -> world.after(retryDelayMs(answer)) { attemptSubmit(job, firstAttemptAt, onAccepted) }
+                else -> time.after(retryDelayMs(answer)) { attemptSubmit(job, firstAttemptAt, onAccepted) }
             }
         }
     }
@@ -85,28 +85,30 @@
     private fun retryDelayMs(answer: Answer?): Long = maxOf(RETRY_DELAY_MS, (answer?.retryAfterS ?: 0) * MS_PER_S)
 
     fun cancel(id: JobId) {
-        val job = rules.jobs[id.value] ?: return
-        job.askedToCancel = true
-        val sentAt = world.nowMs
+        val job = checker.jobs[id.value] ?: return
+        job.cancelRequested = true
+        val sentAt = time.nowMs
         sendToHealthy(HttpMethod.POST, "/work/$id/cancel", emptyMap()) { answer ->
             val response = answer?.let { parseResponse(it, isSubmission = false) }
-            if (response != null) rules.told(id.value, response, sentAt)
-            if (response !is UserResponse.Known) world.after(retryDelayMs(answer)) { cancel(id) }
+            if (response != null) checker.observed(id.value, response, sentAt)
+            if (response !is UserResponse.Known) time.after(retryDelayMs(answer)) { cancel(id) }
         }
     }
 
     private fun schedulePoll(id: String) {
-        world.after(world.between(POLL_INTERVAL_MS)) {
-            val job = rules.jobs.getValue(id)
+        time.after(time.between(POLL_INTERVAL_MS)) {
+            val job = checker.jobs.getValue(id)
             if (job.finalSince == null) poll(id)
         }
     }
 
     private fun poll(id: String) {
-        val sentAt = world.nowMs
+        val sentAt = time.nowMs
         sendToHealthy(HttpMethod.GET, "/work/$id", null, POLL_TIMEOUT_MS) { answer ->
             val response = answer?.let { parseResponse(it, isSubmission = false) }
-            if (response is UserResponse.Known || response is UserResponse.NotFound) rules.told(id, response, sentAt)
+            if (response is UserResponse.Known || response is UserResponse.NotFound) {
+                checker.observed(id, response, sentAt)
+            }
             schedulePoll(id)
         }
     }
@@ -143,7 +145,7 @@
         onComplete: (Answer?) -> Unit,
     ) {
         val healthy = topology.controllers.filter { isHealthy[it.index] }.ifEmpty { topology.controllers }
-        val chosen = healthy[world.between(0, healthy.size - 1L).toInt()]
+        val chosen = healthy[time.between(0, healthy.size - 1L).toInt()]
         call(chosen, method, path, body, timeoutMs) { answer ->
             answers.merge(answer?.status ?: 0, 1L, Long::plus)
             onComplete(answer)
@@ -165,7 +167,7 @@
             isCompleted = true
             onComplete(answer)
         }
-        world.after(timeoutMs) { complete(null) }
+        time.after(timeoutMs) { complete(null) }
         val controllerEnd = Endpoint.Controller(controller)
         network.deliver(Endpoint.UserSide, controllerEnd) {
             val options = RequestOptions().setHost(controller.clientHost).setPort(controller.clientPort)
--- a/src/scale/kotlin/oxbowlug/scale/Window.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Window.kt
@@ -5,7 +5,7 @@
 
 /** All counters at one time; a scenario's figures are the differences between two such snapshots. */
 internal class Counters(private val run: ScaleRun) {
-    val atMs = run.world.nowMs
+    val atMs = run.time.nowMs
     private val traffic = run.traffic
     val reports = traffic.reports.messages
     val reportBytes = traffic.reports.bytes + traffic.directResponses.bytes
@@ -25,7 +25,7 @@
     val requestedStarts = run.arrivals.requestedStarts
     val lostTasks = run.fleet.tasksLostWithLeases()
     val unexpectedExitCount = run.controllers.sumOf { it.unexpectedExits }
-    val brokenRules = run.fleet.rules.broken.size
+    val brokenRules = run.fleet.checker.ruleViolations.size
     val controllerCpuSeconds = run.controllers.map { it.cpuSeconds }
     val standInCpuSeconds = currentProcessCpuSeconds()
     val userAnswers = HashMap(run.users.answers)
@@ -60,7 +60,7 @@
     fun pollLeases() {
         longestUnrenewedMs = maxOf(longestUnrenewedMs, run.fleet.longestWithoutRenewal())
         val since = faultAt ?: return
-        if (renewedAfterMs == null && run.fleet.allRenewedSince(since)) renewedAfterMs = run.world.nowMs - since
+        if (renewedAfterMs == null && run.fleet.allRenewedSince(since)) renewedAfterMs = run.time.nowMs - since
     }
 
     fun recordSecond() {
@@ -99,7 +99,7 @@
             endedByThemselves = after.unexpectedExitCount - before.unexpectedExitCount,
             standInsProcessorShare = (after.standInCpuSeconds - before.standInCpuSeconds) / seconds,
             standInsLatestMs = run.clock.maxLagMs,
-            rulesBroken = run.fleet.rules.broken.drop(before.brokenRules),
+            rulesBroken = run.fleet.checker.ruleViolations.drop(before.brokenRules),
         )
     }
 
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -10,13 +10,13 @@
 import oxbowlug.standin.HeartbeatTarget
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
 /** Injects faults into real controller processes and into the stand-ins around them. */
 internal class RealFaults(
-    private val world: World,
+    private val time: VirtualTime,
     private val zones: List<Zone>,
     private val network: Network,
     private val store: SimStore,
@@ -33,11 +33,11 @@
 
     init {
         fleet.onHeartbeatSent = ::duplicateHeartbeat
-        world.every(LEADER_POLL_MS) { replayOnLeaderChange() }
+        time.every(LEADER_POLL_MS) { replayOnLeaderChange() }
     }
 
     fun injectAll(schedule: FaultSchedule) {
-        for (fault in schedule.faults) world.after(fault.atMs) { inject(fault) }
+        for (fault in schedule.faults) time.after(fault.atMs) { inject(fault) }
     }
 
     private fun leaderLabel(): String? {
@@ -74,7 +74,7 @@
             FaultKind.SLOW_WRITE_ANSWERS -> during(fault) { stateFaults.slowWriteAnswers = if (it) FREQUENT else 0.0 }
             FaultKind.LOSE_WRITE_ANSWERS -> during(fault) { stateFaults.lostWriteAnswers = if (it) FREQUENT else 0.0 }
             FaultKind.DELAY_WRITES -> during(fault) { stateFaults.delayedWrites = if (it) FREQUENT else 0.0 }
-            FaultKind.DISCARD_CHANGE_HISTORY -> store.forgetChanges()
+            FaultKind.DISCARD_CHANGE_HISTORY -> store.discardChangeHistory()
             FaultKind.LOSE_MESSAGES -> during(fault) { network.workerLossProbability = if (it) OCCASIONAL else 0.0 }
             FaultKind.DELAY_MESSAGES -> during(fault) { network.workerDelayProbability = if (it) OCCASIONAL else 0.0 }
             FaultKind.DUPLICATE_HEARTBEATS -> during(fault) { duplicateProbability = if (it) OCCASIONAL else 0.0 }
@@ -82,20 +82,21 @@
             FaultKind.STALL_PEER_LINKS ->
                 network.cutLinks(fault.forMs) { from, to -> from is Endpoint.Controller && to is Endpoint.Controller }
             FaultKind.UNRESPONSIVE_WORKERS ->
-                selectWorkers(fault).forEach { it.unresponsiveUntil = world.nowMs + fault.forMs }
-            FaultKind.LOSE_HEARTBEATS -> selectWorkers(fault).forEach { it.muteUntil = world.nowMs + fault.forMs }
-            FaultKind.HANG_WORKERS -> selectWorkers(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
+                selectWorkers(fault).forEach { it.unresponsiveUntil = time.nowMs + fault.forMs }
+            FaultKind.LOSE_HEARTBEATS ->
+                selectWorkers(fault).forEach { it.heartbeatsLostUntil = time.nowMs + fault.forMs }
+            FaultKind.HANG_WORKERS -> selectWorkers(fault).forEach { it.hungUntil = time.nowMs + fault.forMs }
             FaultKind.LOSE_ANSWERS_THEN_HEARTBEATS ->
-                selectWorkers(fault).forEach { LostAnswers(world, leaseMs).begin(it) }
+                selectWorkers(fault).forEach { LostAnswers(time, leaseMs).begin(it) }
             FaultKind.CANCEL_RUNNING -> load.cancelRunning(1 + fault.target % MAX_JOBS)
             FaultKind.CANCEL_RUNNING_AND_HANG ->
-                load.cancelRunning(1 + fault.target % MAX_JOBS).forEach { it.hungUntil = world.nowMs + fault.forMs }
+                load.cancelRunning(1 + fault.target % MAX_JOBS).forEach { it.hungUntil = time.nowMs + fault.forMs }
         }
     }
 
     private fun during(fault: Fault, set: (Boolean) -> Unit) {
         set(true)
-        world.after(fault.forMs) { set(false) }
+        time.after(fault.forMs) { set(false) }
     }
 
     private fun addDuring(indexes: MutableSet<Int>, controller: ControllerProcess, fault: Fault) = during(fault) {
@@ -134,22 +135,22 @@
 
     private fun killAndRestart(processes: List<ControllerProcess>, fault: Fault) {
         processes.forEach { it.kill() }
-        world.after(fault.forMs) { processes.filterNot { it.isAlive }.forEach { it.start() } }
+        time.after(fault.forMs) { processes.filterNot { it.isAlive }.forEach { it.start() } }
     }
 
     private fun pauseAndResume(controller: ControllerProcess, fault: Fault) {
         controller.pause()
-        world.after(fault.forMs) { controller.resume() }
+        time.after(fault.forMs) { controller.resume() }
     }
 
     private fun selectWorkers(fault: Fault): List<SimWorker> =
-        fleet.cloud.workers.shuffled(world.random).take(1 + fault.target % MAX_WORKERS)
+        fleet.cloud.workers.shuffled(time.random).take(1 + fault.target % MAX_WORKERS)
 
     private fun duplicateHeartbeat(heartbeat: WorkerHeartbeat, targets: List<HeartbeatTarget>) {
         if (isRecording) recordedHeartbeats.add(heartbeat to targets)
-        if (duplicateProbability == 0.0 || !world.chance(duplicateProbability)) return
-        val target = targets[world.random.nextInt(targets.size)]
-        world.after(world.between(DUPLICATE_DELAY_MS)) { target.receive(heartbeat) { } }
+        if (duplicateProbability == 0.0 || !time.chance(duplicateProbability)) return
+        val target = targets[time.random.nextInt(targets.size)]
+        time.after(time.between(DUPLICATE_DELAY_MS)) { target.receive(heartbeat) { } }
     }
 
     /** Delivers the recorded heartbeats again, to every controller, as soon as another controller is the leader. */
--- a/src/scale/kotlin/oxbowlug/soak/RunningJobs.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RunningJobs.kt
@@ -7,7 +7,9 @@
 internal fun drawRunningJobs(workers: List<SimWorker>, count: Int, random: Random): Map<String, Set<SimWorker>> {
     val jobWorkers = LinkedHashMap<String, LinkedHashSet<SimWorker>>()
     for (worker in workers) {
-        for (task in worker.onMachine()) jobWorkers.getOrPut(task.attempt.task.job.value, ::LinkedHashSet).add(worker)
+        for (task in worker.runningTasks()) {
+            jobWorkers.getOrPut(task.attempt.task.job.value, ::LinkedHashSet).add(worker)
+        }
     }
     return jobWorkers.keys.shuffled(random).take(count).associateWith(jobWorkers::getValue)
 }
--- a/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
+++ b/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
@@ -5,12 +5,12 @@
 import oxbowlug.scale.PlannedJob
 import oxbowlug.scale.Users
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.JobId
 
 /** The workload: users submit, poll and cancel jobs throughout all faults. Some jobs depend on an earlier one. */
 internal class SoakLoad(
-    private val world: World,
+    private val time: VirtualTime,
     private val plan: FleetPlan,
     private val fleet: HollowFleet,
     private val users: Users,
@@ -21,8 +21,8 @@
     }
 
     private fun scheduleNext(untilMs: Long) {
-        world.after(world.between(SUBMIT_INTERVAL_MS)) {
-            if (world.nowMs < untilMs) {
+        time.after(time.between(SUBMIT_INTERVAL_MS)) {
+            if (time.nowMs < untilMs) {
                 submitOne()
                 scheduleNext(untilMs)
             }
@@ -30,17 +30,17 @@
     }
 
     private fun submitOne() {
-        when (world.random.nextInt(JOB_CHOICES)) {
-            0 -> submit(plan.urgentJob(world.between(TASKS_PER_JOB).toInt()))
-            1 -> submit(plan.batchJob(world.between(TASKS_PER_JOB).toInt(), runS = LONG_RUN_S))
+        when (time.random.nextInt(JOB_CHOICES)) {
+            0 -> submit(plan.urgentJob(time.between(TASKS_PER_JOB).toInt()))
+            1 -> submit(plan.batchJob(time.between(TASKS_PER_JOB).toInt(), runS = LONG_RUN_S))
             2 -> submitTwoStages()
-            else -> submit(plan.batchJob(world.between(TASKS_PER_JOB).toInt(), runS = SHORT_RUN_S))
+            else -> submit(plan.batchJob(time.between(TASKS_PER_JOB).toInt(), runS = SHORT_RUN_S))
         }
     }
 
     private fun submitTwoStages() {
-        val first = plan.batchJob(world.between(TASKS_PER_JOB).toInt(), SHORT_RUN_S)
-        val second = plan.batchJob(world.between(TASKS_PER_JOB).toInt(), SHORT_RUN_S)
+        val first = plan.batchJob(time.between(TASKS_PER_JOB).toInt(), SHORT_RUN_S)
+        val second = plan.batchJob(time.between(TASKS_PER_JOB).toInt(), SHORT_RUN_S)
         val dependent = PlannedJob(second.spec.copy(dependsOn = listOf(first.spec.id)), second.runMs)
         submit(first) { submit(dependent) }
     }
@@ -51,7 +51,7 @@
         fleet.registerJob(job)
         users.submit(job) {
             onAccepted()
-            if (world.chance(CANCEL_PROBABILITY)) world.after(world.between(CANCEL_AFTER_MS)) {
+            if (time.chance(CANCEL_PROBABILITY)) time.after(time.between(CANCEL_AFTER_MS)) {
                 users.cancel(job.spec.id)
             }
         }
@@ -59,8 +59,8 @@
 
     /** Cancels up to [count] running jobs and returns the machines that run their tasks. */
     fun cancelRunning(count: Int): Set<SimWorker> {
-        val cancelledJobs = drawRunningJobs(fleet.cloud.workers, count, world.random)
-        for (id in cancelledJobs.keys) world.after(world.between(0, CANCEL_SPREAD_MS)) { users.cancel(JobId(id)) }
+        val cancelledJobs = drawRunningJobs(fleet.cloud.workers, count, time.random)
+        for (id in cancelledJobs.keys) time.after(time.between(0, CANCEL_SPREAD_MS)) { users.cancel(JobId(id)) }
         return cancelledJobs.values.flatten().toSet()
     }
 
