--- a/src/main/kotlin/oxbowlug/api/ClientServer.kt
+++ b/src/main/kotlin/oxbowlug/api/ApiServer.kt
@@ -13,7 +13,7 @@
 import oxbowlug.controller.ControllerEvent
 import oxbowlug.lease.HeartbeatResponse
 import oxbowlug.request.UserResponse
-import oxbowlug.wire.AnswerCodec
+import oxbowlug.wire.ResponseCodec
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobId
@@ -22,7 +22,7 @@
 import oxbowlug.wire.WorkerCodec
 
 /** Users, workers and health checks, all on one port. Decodes, hands to the core, and encodes its answer. */
-internal class ClientServer(
+internal class ApiServer(
     private val vertx: Vertx,
     private val settings: Settings,
     private val controller: Controller,
@@ -49,7 +49,7 @@
             path == "/healthz" -> reply(request, if (controller.isHealthy()) 200 else 503, emptyMap())
             path == "/metrics" -> request.response().putHeader("content-type", "text/plain").end(metrics())
             path != null && path.startsWith(WORK) -> job(request, path.substring(WORK.length))
-            else -> reply(request, 404, AnswerCodec.problem("no such page"))
+            else -> reply(request, 404, ResponseCodec.problem("no such page"))
         }
     }
 
@@ -61,7 +61,7 @@
         val cancelling = id.length < rest.length
         when {
             request.method() != if (cancelling) HttpMethod.POST else HttpMethod.GET -> wrongMethod(request)
-            !JobId.isValid(id) -> reply(request, 404, AnswerCodec.problem("no such job"))
+            !JobId.isValid(id) -> reply(request, 404, ResponseCodec.problem("no such job"))
             cancelling -> offer(request, ControllerEvent.Cancel(JobId(id)) { answerCancel(request, it) })
             else -> offer(request, ControllerEvent.Poll(JobId(id)) { answer(request, it) })
         }
@@ -92,8 +92,8 @@
             ControllerEvent.Heartbeat(heartbeat) { answer ->
                 when (answer) {
                     is HeartbeatResponse.Renewed ->
-                        reply(request, 200, WorkerCodec.encodeAnswer(answer.token, answer.commands))
-                    is HeartbeatResponse.Redirect -> reply(request, 421, AnswerCodec.redirect(answer.label))
+                        reply(request, 200, WorkerCodec.encodeResponse(answer.token, answer.commands))
+                    is HeartbeatResponse.Redirect -> reply(request, 421, ResponseCodec.redirect(answer.label))
                     HeartbeatResponse.Unavailable -> reply(request, 503, emptyMap())
                 }
             },
@@ -105,11 +105,11 @@
         answer: UserResponse,
     ) {
         when (answer) {
-            is UserResponse.Accepted -> reply(request, 201, AnswerCodec.accepted(answer.status))
-            is UserResponse.Known -> reply(request, 200, AnswerCodec.polled(answer.status))
-            is UserResponse.Malformed -> reply(request, 400, AnswerCodec.problem(answer.problem))
-            is UserResponse.Rejected -> reply(request, 422, AnswerCodec.problem(answer.problem))
-            UserResponse.NotFound -> reply(request, 404, AnswerCodec.problem("no such job"))
+            is UserResponse.Accepted -> reply(request, 201, ResponseCodec.accepted(answer.status))
+            is UserResponse.Known -> reply(request, 200, ResponseCodec.polled(answer.status))
+            is UserResponse.Malformed -> reply(request, 400, ResponseCodec.problem(answer.problem))
+            is UserResponse.Rejected -> reply(request, 422, ResponseCodec.problem(answer.problem))
+            UserResponse.NotFound -> reply(request, 404, ResponseCodec.problem("no such job"))
             is UserResponse.Unavailable -> later(request, 503, answer.retryAfterS, answer.reason)
             is UserResponse.Overloaded -> later(request, 429, answer.retryAfterS, "more is asked than can be done")
         }
@@ -120,7 +120,7 @@
         answer: UserResponse,
     ) {
         if (answer !is UserResponse.Known) return answer(request, answer)
-        reply(request, 200, AnswerCodec.accepted(answer.status))
+        reply(request, 200, ResponseCodec.accepted(answer.status))
     }
 
     private fun later(
@@ -130,7 +130,7 @@
         why: String,
     ) {
         request.response().putHeader("Retry-After", afterS.toString())
-        reply(request, status, AnswerCodec.problem(why))
+        reply(request, status, ResponseCodec.problem(why))
     }
 
     private fun offer(
@@ -140,7 +140,7 @@
         if (!controller.offer(command)) later(request, 503, 1, "too busy")
     }
 
-    private fun wrongMethod(request: HttpServerRequest) = reply(request, 405, AnswerCodec.problem("wrong method"))
+    private fun wrongMethod(request: HttpServerRequest) = reply(request, 405, ResponseCodec.problem("wrong method"))
 
     private fun withBody(
         request: HttpServerRequest,
@@ -184,13 +184,13 @@
         why: String,
     ) {
         log.info("refused {}: {}", request.path(), why)
-        reply(request, 400, AnswerCodec.problem(why))
+        reply(request, 400, ResponseCodec.problem(why))
     }
 
     /** The rest of an oversized body isn't waited for. */
     private fun tooLarge(request: HttpServerRequest) {
         request.response().putHeader("Connection", "close")
-        reply(request, 400, AnswerCodec.problem("the body has more than $MAX_BODY bytes"))
+        reply(request, 400, ResponseCodec.problem("the body has more than $MAX_BODY bytes"))
     }
 
     private fun reply(
--- a/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
+++ b/src/main/kotlin/oxbowlug/api/ServiceMetrics.kt
@@ -35,7 +35,7 @@
         var count = 0L
     }
 
-    override fun planned(
+    override fun recordPlan(
         nanos: Long,
         priced: Int,
     ) {
@@ -43,22 +43,22 @@
         pricedMachines += priced
     }
 
-    override fun stepped(nanos: Long) = steps.record(nanos)
+    override fun recordStep(nanos: Long) = steps.record(nanos)
 
-    override fun waited(millis: Long) = delays.record(TimeUnit.MILLISECONDS.toNanos(millis))
+    override fun recordQueueDelay(millis: Long) = delays.record(TimeUnit.MILLISECONDS.toNanos(millis))
 
-    override fun committed(millis: Long) = commits.record(TimeUnit.MILLISECONDS.toNanos(millis))
+    override fun recordCommit(millis: Long) = commits.record(TimeUnit.MILLISECONDS.toNanos(millis))
 
-    override fun refused(reason: String) {
+    override fun recordRefusal(reason: String) {
         val counted = refusals.getOrPut(reason) { Refusals().also { added -> registry?.publish(reason, added) } }
         counted.count++
     }
 
-    override fun violated(invariant: Invariant) {
+    override fun recordViolation(invariant: Invariant) {
         violations.merge(invariant, 1L, Long::plus)
     }
 
-    fun watch(status: ControllerStatus) {
+    fun registerGauges(status: ControllerStatus) {
         gauges["queue.depth"] = { status.queueDepth }
         gauges["submissions.in.progress"] = { status.submissionsInProgress }
         gauges["submissions.limit"] = { status.submissionLimit }
--- a/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
+++ b/src/main/kotlin/oxbowlug/cache/CachedEntries.kt
@@ -42,7 +42,7 @@
     var writableFormat = WritableFormat.SINGLE_VALUE
         private set
 
-    fun formatOf(label: String): Long? = formats[label]
+    fun supportedFormatOf(label: String): Long? = formats[label]
 
     fun hasMember(key: String): Boolean = key in memberKeys
 
@@ -92,7 +92,7 @@
     }
 
     /** Applies a leadership record that is surely in the state service, read there or just written. */
-    fun adopt(next: LeadershipRecord) {
+    fun applyLeadershipRecord(next: LeadershipRecord) {
         val present = leadership
         if (present == null || next.epoch > present.epoch) {
             if (present != null && present.leader != next.leader) formerLeader = present.leader
@@ -106,10 +106,10 @@
             when {
                 event.key == Keys.LEADERSHIP -> applyLeadership(event)
                 event.key == Keys.DELEGATES -> applyDelegates(event)
-                event.key == Keys.FORMAT -> applyFormatMarker(event)
+                event.key == Keys.FORMAT_MARKER -> applyFormatMarker(event)
                 event.key.startsWith(Keys.JOBS) -> jobs.applyHead(event)
                 event.key.startsWith(Keys.PARTS) -> jobs.applyPart(event)
-                event.key.startsWith(Keys.FORMATS) -> applyFormat(event)
+                event.key.startsWith(Keys.SUPPORTED_FORMATS) -> applyFormat(event)
                 event.key.startsWith(Keys.MEMBERS) -> applyMember(event)
             }
         } catch (e: InvalidField) {
@@ -119,7 +119,7 @@
 
     private fun applyLeadership(event: Event) {
         val value = event.value ?: return
-        adopt(LeadershipRecord.decode(value, event.version))
+        applyLeadershipRecord(LeadershipRecord.decode(value, event.version))
     }
 
     private fun applyDelegates(event: Event) {
@@ -129,7 +129,7 @@
 
     private fun applyFormat(event: Event) {
         val value = event.value ?: return
-        formats[event.key.substring(Keys.FORMATS.length)] = DataFormat.decode(value)
+        formats[event.key.substring(Keys.SUPPORTED_FORMATS.length)] = DataFormat.decode(value)
     }
 
     private fun applyMember(event: Event) {
--- a/src/main/kotlin/oxbowlug/cache/CancelledWork.kt
+++ b/src/main/kotlin/oxbowlug/cache/CancelledWork.kt
@@ -6,7 +6,7 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /** Stop commands for the running tasks of cancelled jobs in [heartbeat]; they hold whoever leads. */
-internal fun StateCache.cancelledWork(heartbeat: WorkerHeartbeat): List<WorkerCommand.Stop> =
+internal fun StateCache.stopsForCancelledTasks(heartbeat: WorkerHeartbeat): List<WorkerCommand.Stop> =
     heartbeat.tasks
         .filter { it.state != TaskState.EXITED && job(it.attempt.task.job)?.phase == Phase.CANCELLED }
         .map { WorkerCommand.Stop(it.attempt, 0.0) }
--- a/src/main/kotlin/oxbowlug/cache/FullResync.kt
+++ b/src/main/kotlin/oxbowlug/cache/FullResync.kt
@@ -20,7 +20,7 @@
     /** What becomes of the pages that were read. */
     interface Target {
         /** A request that was sent at [sentAt] by the steady clock was answered. */
-        fun contacted(sentAt: Long)
+        fun recordContact(sentAt: Long)
 
         /** Leader and members, which are read before all the rest. */
         fun onMembershipRead(entries: List<Entry>)
@@ -95,7 +95,7 @@
                 // With many pages this may go on for long. In an outage the first one fails again and again.
                 if (after != null) log.info("full resync page failed: after={} entries={}", after, entries.size)
             } else {
-                target.contacted(sentAt)
+                target.recordContact(sentAt)
                 // Pages are of different moments: changes since the first one are replayed over them.
                 val from = if (firstRevision == NO_REVISION) page.revision else firstRevision
                 entries.addAll(page.entries)
--- a/src/main/kotlin/oxbowlug/cache/StateCache.kt
+++ b/src/main/kotlin/oxbowlug/cache/StateCache.kt
@@ -71,7 +71,7 @@
     fun dependencyState(predecessors: List<JobId>): DependencyState = entries.jobs.dependencyState(predecessors)
 
     /** The newest layout that the controller with this label is known to read. */
-    fun formatOf(label: String): Long? = entries.formatOf(label)
+    fun supportedFormatOf(label: String): Long? = entries.supportedFormatOf(label)
 
     fun hasMember(key: String): Boolean = entries.hasMember(key)
 
@@ -80,7 +80,7 @@
     fun members(): List<Member> = entries.members()
 
     /** Any other answered request, sent at [sentAt], shows just as well that the service is there. */
-    fun contacted(sentAt: Long) {
+    fun recordContact(sentAt: Long) {
         lastContactMs = maxOf(lastContactMs, sentAt)
     }
 
@@ -92,7 +92,7 @@
     ) = entries.jobs.applyIfNewer(id, version) { value }
 
     /** Applies a leadership record that is surely in the state service, read there or just written. */
-    fun adopt(next: LeadershipRecord) = entries.adopt(next)
+    fun applyLeadershipRecord(next: LeadershipRecord) = entries.applyLeadershipRecord(next)
 
     fun tick() {
         val now = clock.steadyMs()
@@ -105,7 +105,7 @@
     }
 
     private inner class ResyncTarget : FullResync.Target {
-        override fun contacted(sentAt: Long) = this@StateCache.contacted(sentAt)
+        override fun recordContact(sentAt: Long) = this@StateCache.recordContact(sentAt)
 
         override fun onMembershipRead(entries: List<Entry>) = this@StateCache.entries.replaceMembership(entries)
 
@@ -132,7 +132,7 @@
                     applyChanges(outcome, sentAt)
                     true
                 }
-                ChangesOutcome.TooOld -> {
+                ChangesOutcome.Compacted -> {
                     requireResync(from)
                     false
                 }
@@ -144,7 +144,7 @@
         outcome: ChangesOutcome.Read,
         sentAt: Long,
     ) {
-        contacted(sentAt)
+        recordContact(sentAt)
         freshAsOfMs = maxOf(freshAsOfMs, sentAt)
         val before = revision
         if (outcome.changes.revision > before) {
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationEnforcer.kt
@@ -7,7 +7,7 @@
 import oxbowlug.membership.PeerHealth
 import oxbowlug.port.Clock
 import oxbowlug.port.CloudPort
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.record.Member
 import oxbowlug.timing.Timing
@@ -77,7 +77,7 @@
                 .flatMapTo(LinkedHashSet()) { pending ->
                     pending.attempts.filter { (machine, attempts) -> !areProvenAbsent(machine, attempts, now) }.keys
                 }
-        if (toRelease.isNotEmpty()) releaseMachines(toRelease.take(CloudCodec.MAX_RETURNED), now)
+        if (toRelease.isNotEmpty()) releaseMachines(toRelease.take(CloudCodec.MAX_RELEASED), now)
     }
 
     private fun isDue(
@@ -152,7 +152,7 @@
         workers.command(endpoint, heartbeat.token, heartbeat.incarnation, commands) { outcome ->
             probe.isInFlight = false
             probe.nextProbeAt = clock.steadyMs()
-            if (outcome is DirectOutcome.Answered && presentAttempts(outcome.heartbeat, attempts).isEmpty()) {
+            if (outcome is CommandOutcome.Answered && presentAttempts(outcome.heartbeat, attempts).isEmpty()) {
                 probe.recordAbsence(attempts, clock.steadyMs())
                 probe.nextProbeAt = clock.steadyMs() + timing.heartbeatLateMs
             }
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationFreshness.kt
@@ -36,7 +36,7 @@
 
         /** When the peer sent its newest heartbeat, by the peer's steady clock. */
         var sentAtMs = Long.MIN_VALUE
-        var mayConfirm = true
+        var mayConfirmCancellations = true
     }
 
     private val confirmationsByPeer = HashMap<String, PeerConfirmations>()
@@ -49,7 +49,7 @@
         val now = clock.steadyMs()
         val label = heartbeat.sender.label
         val previous = confirmationsByPeer[label]
-        if (previous != null && previous.incarnation == heartbeat.sender && heartbeat.atMs < previous.sentAtMs) return
+        if (previous != null && previous.incarnation == heartbeat.sender && heartbeat.sendTimeMs < previous.sentAtMs) return
         val confirmations =
             if (previous?.incarnation ==
                 heartbeat.sender
@@ -60,16 +60,16 @@
             }
         if (previous != null && confirmations !== previous) onRestarted(label, previous, now)
         confirmations.lastContactAt = now
-        confirmations.sentAtMs = heartbeat.atMs
-        confirmations.mayConfirm = heartbeat.mayConfirm
+        confirmations.sentAtMs = heartbeat.sendTimeMs
+        confirmations.mayConfirmCancellations = heartbeat.mayConfirmCancellations
         val echo = heartbeat.echo
         // The peer sent this heartbeat after it had received ours of that time, and by then it had confirmed no
         // cancellation that this controller doesn't know.
-        if (!heartbeat.hasUnacknowledged &&
+        if (!heartbeat.hasUnacknowledgedCancellations &&
             echo != null &&
             echo.leader == self
         ) {
-            confirmations.knownUpToMs = maxOf(confirmations.knownUpToMs, echo.atMs)
+            confirmations.knownUpToMs = maxOf(confirmations.knownUpToMs, echo.sendTimeMs)
         }
     }
 
@@ -83,7 +83,7 @@
         now: Long,
     ) {
         val wasCutOff = now - previousIncarnation.lastContactAt > timing.workerLeaseTtlMs
-        if (previousIncarnation.mayConfirm && wasCutOff) uncertainRestartAtByLabel[label] = now
+        if (previousIncarnation.mayConfirmCancellations && wasCutOff) uncertainRestartAtByLabel[label] = now
     }
 
     /** Whether this controller may renew worker leases although it can't reach the state service. */
--- a/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
+++ b/src/main/kotlin/oxbowlug/cancellation/CancellationTracker.kt
@@ -5,7 +5,7 @@
 import oxbowlug.cache.StateCache
 import oxbowlug.config.Settings
 import oxbowlug.membership.PeerHealth
-import oxbowlug.port.Acknowledgement
+import oxbowlug.port.CancellationAcknowledgement
 import oxbowlug.port.Cancellation
 import oxbowlug.port.CancellationListener
 import oxbowlug.port.CancellationNotice
@@ -43,7 +43,7 @@
     val allPending: Collection<PendingCancellation> get() = pendingById.values
 
     /** Whether this controller confirmed a cancellation that the leader hasn't acknowledged yet. */
-    fun hasUnacknowledged(): Boolean {
+    fun hasUnacknowledgedCancellations(): Boolean {
         val leader = cache.leadership?.leader ?: return false
         return leader != self &&
             pendingById.values.any { it.isConfirmedHere && !it.isTerminationProven && leader !in it.acknowledged }
@@ -88,7 +88,7 @@
         if (record.placements.isEmpty()) return
         val now = clock.steadyMs()
         // The largest possible age: the wall clocks of two controllers differ by up to the configured skew.
-        val ageMs = record.cancelledMs?.let { clock.wallMs() - it + settings.skewMs.toLong() } ?: 0
+        val ageMs = record.cancelledMs?.let { clock.wallMs() - it + settings.maxClockSkewMs.toLong() } ?: 0
         val pending =
             PendingCancellation(
                 cancellation,
@@ -101,7 +101,7 @@
     }
 
     /** A user is about to be answered from a cached record, which confirms the cancellation just as well. */
-    override fun onUserInformed(id: JobId) {
+    override fun onCancellationAnswered(id: JobId) {
         pendingById[id]?.let(::confirmHere)
     }
 
@@ -177,7 +177,7 @@
             cache.job(cancellation.id)?.placed == 0 || isTerminationProvenHere(cancellation.id) == true
         peers.send(
             notice.sender.label,
-            CancellationNotice.Acknowledged(self, listOf(Acknowledgement(cancellation.id, isTerminationProven))),
+            CancellationNotice.Acknowledged(self, listOf(CancellationAcknowledgement(cancellation.id, isTerminationProven))),
         )
     }
 
--- a/src/main/kotlin/oxbowlug/cli/Main.kt
+++ b/src/main/kotlin/oxbowlug/cli/Main.kt
@@ -61,8 +61,8 @@
     policy: String?,
 ): Settings {
     if (config == null) throw InvalidSettings("--config: is missing")
-    val rules = if (policy == null) Policy() else PolicyFile.parse(read("--policy", policy))
-    return SettingsFile.parse(read("--config", config), rules)
+    val checker = if (policy == null) Policy() else PolicyFile.parse(read("--policy", policy))
+    return SettingsFile.parse(read("--config", config), checker)
 }
 
 private fun read(
--- a/src/main/kotlin/oxbowlug/cli/Service.kt
+++ b/src/main/kotlin/oxbowlug/cli/Service.kt
@@ -9,14 +9,14 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
 import org.slf4j.LoggerFactory
-import oxbowlug.api.ClientServer
+import oxbowlug.api.ApiServer
 import oxbowlug.api.ServiceMetrics
 import oxbowlug.cloud.CloudClient
 import oxbowlug.config.Settings
 import oxbowlug.controller.Controller
 import oxbowlug.controller.ControllerEvent
 import oxbowlug.http.HttpCaller
-import oxbowlug.peer.PeerLink
+import oxbowlug.peer.PeerTransport
 import oxbowlug.peer.PeerMessage
 import oxbowlug.port.Clock
 import oxbowlug.record.Member
@@ -64,30 +64,30 @@
             ServiceMetrics(
                 windowNanos = TimeUnit.SECONDS.toNanos((settings.policy.replanS * METRICS_WINDOW_REPLANS).toLong()),
             )
-        val settle: (
+        val runOnEventLoop: (
             () -> Unit,
         ) -> Unit = { action -> if (!controller.offer(ControllerEvent.CallCompleted(action))) overflow() }
         val leaseMs = (settings.workers.leaseS * 1000).toLong()
-        val stateCalls = HttpCaller(vertx, STATE_CONNECTIONS, waiting = settings.limits.maxSockets)
-        val state = StateClient(settings.stateAddress, stateCalls, scope, leaseMs / 5, settle)
+        val stateCalls = HttpCaller(vertx, STATE_CONNECTIONS, maxQueuedCalls = settings.limits.maxSockets)
+        val state = StateClient(settings.stateAddress, stateCalls, scope, leaseMs / 5, runOnEventLoop)
         val cloud =
             CloudClient(
                 settings.cloudAddress,
                 HttpCaller(vertx, CLOUD_CONNECTIONS),
                 scope,
                 leaseMs / 2,
-                settle,
+                runOnEventLoop,
             )
         // Each machine already holds a connection for its reports. Those for commands are closed after some reports'
         // time, or twice as many sockets as machines would be open at once.
-        val commandIdleS = ceil(settings.workers.heartbeatS * 2).toInt()
-        val workers = WorkerClient(HttpCaller(vertx, 1, commandIdleS), scope, leaseMs / 5, settle)
+        val commandIdleS = ceil(settings.workers.heartbeatIntervalS * 2).toInt()
+        val workers = WorkerClient(HttpCaller(vertx, 1, commandIdleS), scope, leaseMs / 5, runOnEventLoop)
         val random = Random(seed())
         val self = Member(settings.label, random.nextLong().toULong().toString(36))
         val heartbeat = { controller.heartbeat() }
         val images = { controller.images() }
         val peers =
-            PeerLink(vertx, settings, Timing(settings, random).peerHeartbeatMs, heartbeat, images) { message ->
+            PeerTransport(vertx, settings, Timing(settings, random).peerHeartbeatMs, heartbeat, images) { message ->
                 when (message) {
                     is PeerMessage.Heartbeat ->
                         controller.offer(
@@ -107,9 +107,9 @@
             Controller(settings, self, state, cloud, workers, SystemClock, metrics, random, peers) {
                 wake(context)
             }
-        metrics.watch(controller.status)
+        metrics.registerGauges(controller.status)
         peers.start()
-        ClientServer(vertx, settings, controller, metrics::text)
+        ApiServer(vertx, settings, controller, metrics::text)
             .start()
             .onSuccess { log.info("{} serves on {}", settings.label, settings.clientListen) }
             .onFailure {
--- a/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
+++ b/src/main/kotlin/oxbowlug/cloud/CloudClient.kt
@@ -15,13 +15,13 @@
 import oxbowlug.wire.MachineType
 import oxbowlug.wire.RentalRequest
 
-/** The cloud over HTTP. [settle] brings outcomes back to the owner's event loop. */
+/** The cloud over HTTP. [runOnEventLoop] brings outcomes back to the owner's event loop. */
 internal class CloudClient(
     private val address: Address,
     private val http: HttpCaller,
     private val scope: CoroutineScope,
     private val timeoutMs: Long,
-    private val settle: (() -> Unit) -> Unit,
+    private val runOnEventLoop: (() -> Unit) -> Unit,
 ) : CloudPort {
     override fun types(done: (List<MachineType>?) -> Unit) =
         launch(done, null) {
@@ -54,7 +54,7 @@
         machines: List<MachineId>,
         done: (Boolean) -> Unit,
     ) = launch(done, false) {
-        val body = CloudCodec.encodeReturn(machines)
+        val body = CloudCodec.encodeRelease(machines)
         val result = http.call(address, HttpMethod.POST, "/rentals/return", body, timeoutMs)
         result is CallResult.Answered && result.status == 200
     }
@@ -96,7 +96,7 @@
                     // A malformed answer counts as none.
                     malformed
                 }
-            settle { done(outcome) }
+            runOnEventLoop { done(outcome) }
         }
     }
 }
--- a/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
+++ b/src/main/kotlin/oxbowlug/cluster/ClusterState.kt
@@ -46,13 +46,13 @@
     private val removed = HashSet<MachineId>()
 
     /** Something changed that a new plan could use; cleared by whoever plans. */
-    var planWanted = true
+    var needsReplan = true
 
     /** Machines whose commands changed and that should be sent them directly, before their next heartbeat. */
-    val pendingPushes = LinkedHashSet<MachineId>()
+    val commandQueue = LinkedHashSet<MachineId>()
 
     /** Jobs that differ from what is stored: looked for among all jobs, they would cost a scan for every heartbeat. */
-    val dirty = LinkedHashSet<Job>()
+    val dirtyJobs = LinkedHashSet<Job>()
 
     /** An attempt may be held on a machine that is gone. */
     var hasOrphans = false
@@ -79,7 +79,7 @@
 
     /** Placements that were never written, so no start of them was sent; returns how many. */
     fun withdrawUncommitted(job: Job): Int {
-        val uncommitted = job.attempts.values.filter { !it.committed }
+        val uncommitted = job.attempts.values.filter { !it.isCommitted }
         uncommitted.forEach(::remove)
         return uncommitted.size
     }
@@ -97,14 +97,14 @@
         machine.idleSince = null
     }
 
-    /** Has [attempt] stopped; [target] is where its task is to go on, if it is only moved. */
+    /** Has [attempt] stopped; [moveTarget] is where its task is to go on, if it is only moved. */
     fun stop(
         attempt: TaskAttempt,
         reason: StopReason,
-        target: MachineId? = null,
+        moveTarget: MachineId? = null,
     ) {
         attempt.stopReason = reason
-        attempt.target = target
+        attempt.moveTarget = moveTarget
         val machine = machines[attempt.machine]
         removeOrPush(machine, attempt)
     }
@@ -114,8 +114,8 @@
         machine: Machine?,
         attempt: TaskAttempt,
     ) {
-        val there = machine != null && attempt.committed && machine.mayBeThere(attempt, token)
-        if (there) pendingPushes.add(attempt.machine) else remove(attempt)
+        val there = machine != null && attempt.isCommitted && machine.mayBeThere(attempt, token)
+        if (there) commandQueue.add(attempt.machine) else remove(attempt)
     }
 
     /**
@@ -124,11 +124,11 @@
      */
     fun remove(attempt: TaskAttempt) {
         val now = clock.steadyMs()
-        if (attempt.target != null) attempt.job.movingUntil = now + timing.movingMs
+        if (attempt.moveTarget != null) attempt.job.movingUntil = now + timing.movingMs
         if (attempt.job.attempts[attempt.task] === attempt) quotas.freed(attempt.job.spec.team, attempt.job.need)
-        attempt.job.drop(attempt.task, now)
+        attempt.job.removeAttempt(attempt.task, now)
         machines[attempt.machine]?.attempts?.remove(attempt.id)
-        planWanted = true
+        needsReplan = true
     }
 
     /** See [HeartbeatReconciliation.apply]. */
@@ -143,11 +143,11 @@
         now: Long,
     ): List<WorkerCommand> = commands.of(machine, now)
 
-    /** See [WorkerCommands.cancelledStops]. */
-    fun cancelledStops(machine: Machine): List<WorkerCommand> = commands.cancelledStops(machine)
+    /** See [WorkerCommands.stopsForCancelledJobs]. */
+    fun stopsForCancelledJobs(machine: Machine): List<WorkerCommand> = commands.stopsForCancelledJobs(machine)
 
     /** Proof 4: the present incarnation's lease is over, and no other token can have renewed it. */
-    fun expire(
+    fun expireLease(
         machine: Machine,
         now: Long,
     ): Boolean {
@@ -172,7 +172,7 @@
             attempt.startAnsweredAt = null
             remove(attempt)
         }
-        planWanted = true
+        needsReplan = true
         return true
     }
 
@@ -187,7 +187,7 @@
         log.info("machine removed: machine={} reason={} attempts={}", id, reason, machine.attempts.size)
         for (attempt in machine.attempts.values.toList()) remove(attempt)
         machines.remove(id)
-        planWanted = true
+        needsReplan = true
     }
 
     /** Attempts on machines that an earlier proof removed. */
@@ -200,7 +200,7 @@
     }
 
     /** Not before the state cache has caught up with our last write: an older event would add the job again. */
-    fun forgetFinished(cache: StateCache) {
+    fun removeFinishedJobs(cache: StateCache) {
         jobs.values.removeIf { job ->
             job.phase.isFinal &&
                 job.attempts.isEmpty() &&
--- a/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/oxbowlug/cluster/FailureBackoff.kt
@@ -22,7 +22,7 @@
         if (machine.failedJobs.size >= JOBS_TO_SUSPECT_MACHINE) machine.isQuarantined = true
         if (job.failedOn.size >= MACHINES_TO_SUSPECT_JOB) {
             val doublings = (job.failedOn.size - MACHINES_TO_SUSPECT_JOB).coerceAtMost(MAX_DOUBLINGS)
-            job.holdUntil = now + minOf(timing.errorBackoffMs shl doublings, timing.errorBackoffMaxMs)
+            job.backoffUntil = now + minOf(timing.errorBackoffMs shl doublings, timing.errorBackoffMaxMs)
         }
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/HeartbeatReconciliation.kt
@@ -41,8 +41,8 @@
         machine.lease.onIncarnationObserved(heartbeat.incarnation, now)
         if (isHeartbeat) {
             // A duplicate of an older heartbeat renews nothing and proves nothing.
-            if (position <= machine.lastHeartbeat) return machine
-            machine.lastHeartbeat = position
+            if (position <= machine.lastHeartbeatPosition) return machine
+            machine.lastHeartbeatPosition = position
             machine.lease.onRenewed(now)
         }
         if (position <= machine.position) return machine
@@ -52,7 +52,7 @@
         }
         val firstHeard = machine.lastContactAt == null
         update(machine, heartbeat, position, now)
-        if (firstHeard) cluster.planWanted = true
+        if (firstHeard) cluster.needsReplan = true
         applyTasks(machine, position, isHeartbeat, now)
         return machine
     }
@@ -71,7 +71,7 @@
         machine.zone = heartbeat.zone
         machine.spot = heartbeat.spot
         machine.endpoint = Address.parse(heartbeat.endpoint)
-        machine.noticeUntil = heartbeat.noticeS?.let { now + (it * 1000).toLong() }
+        machine.noticeUntil = heartbeat.interruptionNoticeS?.let { now + (it * 1000).toLong() }
         machine.tasks = heartbeat.tasks.associateBy { it.attempt }
     }
 
@@ -81,7 +81,7 @@
         isHeartbeat: Boolean,
         now: Long,
     ) {
-        val settled = machine.isSettled(cluster.token)
+        val settled = machine.hasAcknowledgedToken(cluster.token)
         for (attempt in machine.attempts.values.toList()) {
             val reported = machine.tasks[attempt.id]
             if (reported != null) {
@@ -108,7 +108,7 @@
         isHeartbeat: Boolean,
         now: Long,
     ) {
-        val settled = machine.isSettled(cluster.token)
+        val settled = machine.hasAcknowledgedToken(cluster.token)
         val isAbsent = settled && attempt.isInherited
         if (settled) attempt.isInherited = false
         val answered = attempt.startAnsweredAt
@@ -136,7 +136,7 @@
         val attempt = cluster.jobs[task.attempt.task.job]?.attempts?.get(task.attempt.task.index) ?: return
         if (attempt.machine == machine.id || attempt.workerState != TaskState.RUNNING) return
         val what = "${task.attempt} runs on ${machine.id} and ${attempt.id} on ${attempt.machine}"
-        invariants.violated(Invariant.ONE_PLACE_A_TASK, what)
+        invariants.recordViolation(Invariant.ONE_MACHINE_PER_TASK, what)
     }
 
     private fun applyTaskStatus(
@@ -182,7 +182,7 @@
         val index = task.attempt.task.index
         if (job.phase != Phase.ACTIVE || index >= job.spec.tasks || job.done.get(index) || index in job.attempts) return
         job.markDone(index, now)
-        cluster.planWanted = true
+        cluster.needsReplan = true
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/cluster/Job.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Job.kt
@@ -29,7 +29,7 @@
     var version = version
         private set
     private var stored: Map<Int, Placement> = record.placements
-    private var lastWrite = record.write
+    private var lastWrite = record.writeId
     private var pendingRecord: JobRecord? = null
 
     /** As they are in the state service; null where only their number is known. */
@@ -65,7 +65,7 @@
     var movingUntil = 0L
 
     /** Backing off after errors: no new starts before this. */
-    var holdUntil = 0L
+    var backoffUntil = 0L
     var failures = 0
     val avoid = HashMap<MachineId, Long>()
     val failedOn = HashSet<MachineId>()
@@ -78,7 +78,7 @@
         for ((task, placement) in record.placements) {
             attempts[task] =
                 TaskAttempt(this, task, placement.machine, placement.attempt).apply {
-                    committed = true
+                    isCommitted = true
                     isInherited = true
                 }
         }
@@ -97,7 +97,7 @@
     }
 
     /** Tasks placed in one round share an attempt number, which keeps the record short. */
-    fun nextRound() {
+    fun advanceAttemptNumber() {
         nextAttempt++
     }
 
@@ -113,7 +113,7 @@
     }
 
     /** Removes the attempt of [task]. Only [ClusterState.remove] may call it, for a proof. */
-    fun drop(
+    fun removeAttempt(
         task: Int,
         now: Long,
     ) {
@@ -155,9 +155,9 @@
         attempt: AttemptId,
     ): Boolean = placements[attempt.task.index]?.attempt == attempt.number
 
-    /** What is to be written now, under the name [write]; [isBrief] leaves out what nobody asks for any more. */
+    /** What is to be written now, under the name [writeId]; [isBrief] leaves out what nobody asks for any more. */
     fun record(
-        write: String,
+        writeId: String,
         isBrief: Boolean = false,
     ) = JobRecord(
         spec,
@@ -166,7 +166,7 @@
         if (isBrief) briefDone() else done.clone() as BitSet,
         nextAttempt,
         attempts.mapValues { (_, attempt) -> Placement(attempt.machine, attempt.number) },
-        write,
+        writeId,
         cancelledMs,
     )
 
@@ -191,7 +191,7 @@
     fun isWriting(record: JobRecord): Boolean = pendingRecord === record
 
     /** [record] is stored at [revision]. An answer that comes after the watch has brought the same changes nothing. */
-    fun written(
+    fun completeWrite(
         record: JobRecord,
         revision: Long,
     ) {
@@ -202,10 +202,10 @@
         stored = record.placements
         storedParts = pendingParts
         isWrittenAlone = false
-        lastWrite = record.write
+        lastWrite = record.writeId
         for ((task, placement) in record.placements) {
             val attempt = attempts[task]
-            if (attempt != null && attempt.number == placement.attempt) attempt.committed = true
+            if (attempt != null && attempt.number == placement.attempt) attempt.isCommitted = true
         }
     }
 
@@ -225,7 +225,7 @@
     }
 
     /** [record] is surely not written, or it isn't known: written again, under the same condition on the version. */
-    fun notWritten(
+    fun requeueWrite(
         record: JobRecord,
         now: Long,
     ) {
@@ -246,15 +246,15 @@
         now: Long,
     ): Boolean {
         val pending = pendingRecord
-        if (pending != null && record.write == pending.write) written(pending, newVersion)
+        if (pending != null && record.writeId == pending.writeId) completeWrite(pending, newVersion)
         version = newVersion
         stored = record.placements
         if (record.partCount != storedParts.size) {
             storedParts = arrayOfNulls<Map<String, Any?>>(record.partCount).asList()
         }
         var replaced = false
-        if (record.write != lastWrite) {
-            lastWrite = record.write
+        if (record.writeId != lastWrite) {
+            lastWrite = record.writeId
             pendingRecord = null
             storedParts = arrayOfNulls<Map<String, Any?>>(record.partCount).asList()
             done.clear()
--- a/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
+++ b/src/main/kotlin/oxbowlug/cluster/JobReconciliation.kt
@@ -36,7 +36,7 @@
     ) {
         val now = clock.steadyMs()
         val record = JobRecord.decode(value)
-        val job = Job(record, stored.version, cluster.dirty::add)
+        val job = Job(record, stored.version, cluster.dirtyJobs::add)
         if (record.phase == Phase.CANCELLED) job.cancelledAt = cancelledAt(record, now)
         cluster.jobs[id] = job
         // Jobs that wait for others are known to come; they aren't guessed at.
@@ -44,7 +44,7 @@
         job.restoreAttempts(record)
         attachAttempts(job)
         applyDependencyState(job, now)
-        cluster.planWanted = true
+        cluster.needsReplan = true
     }
 
     private fun updateJob(
@@ -65,7 +65,7 @@
             if (wasActive) onCancelled(job, record, now)
             stopCancelledAttempts(job)
         }
-        cluster.planWanted = true
+        cluster.needsReplan = true
     }
 
     private fun onCancelled(
@@ -88,7 +88,7 @@
     /** A predecessor is done or cancelled. */
     fun onDependencyChanged(id: JobId) {
         cluster.jobs[id]?.let { applyDependencyState(it, clock.steadyMs()) }
-        cluster.planWanted = true
+        cluster.needsReplan = true
     }
 
     private fun applyDependencyState(
--- a/src/main/kotlin/oxbowlug/cluster/Machine.kt
+++ b/src/main/kotlin/oxbowlug/cluster/Machine.kt
@@ -30,7 +30,7 @@
 
     /** The newest message of the worker: a heartbeat or the answer to a direct command. */
     var position = HeartbeatPosition(0, 0)
-    var lastHeartbeat = HeartbeatPosition(0, 0)
+    var lastHeartbeatPosition = HeartbeatPosition(0, 0)
     var token = FencingToken(0)
     var tasks: Map<AttemptId, TaskStatus> = emptyMap()
     var lastContactAt: Long? = null
@@ -62,7 +62,7 @@
     val unresolvedStarts = HashSet<AttemptId>()
 
     /** It has shown our token, so that its heartbeats name everything that is on it. */
-    fun isSettled(current: FencingToken): Boolean = lastContactAt != null && token == current && !isLeaseExpired
+    fun hasAcknowledgedToken(current: FencingToken): Boolean = lastContactAt != null && token == current && !isLeaseExpired
 
     /** Whether [attempt] may be, or may yet appear, on this machine; [current] is the leader's token. */
     fun mayBeThere(
@@ -70,7 +70,7 @@
         current: FencingToken,
     ): Boolean {
         if (attempt.id in unresolvedStarts || attempt.id in directStartsInFlight) return true
-        if (attempt.isInherited && !isSettled(current)) return true
+        if (attempt.isInherited && !hasAcknowledgedToken(current)) return true
         if (attempt.startAnsweredAt != null) return true
         val reported = tasks[attempt.id]
         return reported != null && reported.state != TaskState.EXITED
--- a/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
+++ b/src/main/kotlin/oxbowlug/cluster/TaskAttempt.kt
@@ -19,7 +19,7 @@
     val id = AttemptId(TaskId(job.id, task), number)
 
     /** Written to the state service: only then may it be started. */
-    var committed = false
+    var isCommitted = false
 
     /** Placed by an earlier leader, whose start may still be on its way until the worker shows our token. */
     var isInherited = false
@@ -34,18 +34,18 @@
     var stopReason: StopReason? = null
 
     /** Where it is to go on, if it was stopped only to be moved. */
-    var target: MachineId? = null
+    var moveTarget: MachineId? = null
     val isWanted: Boolean get() = stopReason == null && job.phase == Phase.ACTIVE
 
-    fun sentInAnswer(
+    fun markStartSentInAnswer(
         position: HeartbeatPosition,
         now: Long,
     ) {
         startAnsweredAt = position
-        sentDirectly(now)
+        markStartSent(now)
     }
 
-    fun sentDirectly(now: Long) {
+    fun markStartSent(now: Long) {
         if (firstSentAt == null) firstSentAt = now
     }
 
--- a/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
+++ b/src/main/kotlin/oxbowlug/cluster/WorkerCommands.kt
@@ -25,7 +25,7 @@
         for (attempt in machine.attempts.values) {
             val reported = machine.tasks[attempt.id]
             when {
-                reported == null -> if (attempt.committed) addStart(machine, attempt, now, result)
+                reported == null -> if (attempt.isCommitted) addStart(machine, attempt, now, result)
                 reported.state == TaskState.EXITED -> Unit
                 !attempt.isWanted -> stopOf(attempt, reported)?.let(result::add)
             }
@@ -41,7 +41,7 @@
     }
 
     /** All that may be said without the right to decide: a cancelled job's tasks have to end, whoever leads. */
-    fun cancelledStops(machine: Machine): List<WorkerCommand> =
+    fun stopsForCancelledJobs(machine: Machine): List<WorkerCommand> =
         machine.attempts.values
             .filter { it.job.phase == Phase.CANCELLED }
             .filter { it.workerState != null && it.workerState != TaskState.EXITED }
--- a/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
+++ b/src/main/kotlin/oxbowlug/commit/FormatUpgrade.kt
@@ -34,16 +34,16 @@
     fun tick(leadership: LeadershipRecord?) {
         val now = clock.steadyMs()
         if (!cache.isSynced || isWriting || now < nextWriteAt) return
-        if ((cache.formatOf(settings.label) ?: 0) < DataFormat.NEWEST) {
+        if ((cache.supportedFormatOf(settings.label) ?: 0) < DataFormat.NEWEST) {
             write(now, emptyList(), Change.Put(Keys.format(settings.label), DataFormat.encode(DataFormat.NEWEST)))
         } else if (leadership != null && cache.writableFormat == WritableFormat.SINGLE_VALUE && areAllReaders()) {
             log.info("data format enabled: format={} controllers={}", DataFormat.NEWEST, labels.size)
-            val conditions = listOf(Condition(Keys.LEADERSHIP, leadership.version), Condition(Keys.FORMAT, 0))
-            write(now, conditions, Change.Put(Keys.FORMAT, DataFormat.encode(DataFormat.NEWEST)))
+            val conditions = listOf(Condition(Keys.LEADERSHIP, leadership.version), Condition(Keys.FORMAT_MARKER, 0))
+            write(now, conditions, Change.Put(Keys.FORMAT_MARKER, DataFormat.encode(DataFormat.NEWEST)))
         }
     }
 
-    private fun areAllReaders(): Boolean = labels.all { (cache.formatOf(it) ?: 0) >= DataFormat.NEWEST }
+    private fun areAllReaders(): Boolean = labels.all { (cache.supportedFormatOf(it) ?: 0) >= DataFormat.NEWEST }
 
     private fun write(
         now: Long,
--- a/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
+++ b/src/main/kotlin/oxbowlug/commit/JobRecordWriter.kt
@@ -44,7 +44,7 @@
     var isDeposed = false
         private set
 
-    val backlog: Int get() = cluster.dirty.size
+    val backlog: Int get() = cluster.dirtyJobs.size
 
     /** Sends what is due, as far as the write rate and the limit of transactions in flight allow. */
     fun flush() {
@@ -57,7 +57,7 @@
     }
 
     private fun nextBatch(now: Long): List<PreparedWrite> {
-        if (cluster.dirty.isEmpty() || cache.writableFormat == WritableFormat.NONE) return emptyList()
+        if (cluster.dirtyJobs.isEmpty() || cache.writableFormat == WritableFormat.NONE) return emptyList()
         val limits = preparer.limits()
         val tokens = budget.available(now)
         if (tokens < 1.0) return emptyList()
@@ -82,7 +82,7 @@
         spare: Double,
         now: Long,
     ): List<Job> =
-        cluster.dirty
+        cluster.dirtyJobs
             .filter { job ->
                 !job.isWriting && now >= job.writeNotBefore && (job.isUrgent || isDeferredDue(job, spare, now))
             }.sortedWith(compareBy<Job> { !it.isUrgent }.thenBy { it.priority })
@@ -138,7 +138,7 @@
             val job = prepared.job
             conditions.add(Condition(Keys.job(job.id.value), job.version))
             job.beginWrite(prepared.record, prepared.form.parts)
-            cluster.dirty.remove(job)
+            cluster.dirtyJobs.remove(job)
         }
         state.commit(Transaction(conditions, changes)) { outcome ->
             inFlight--
@@ -161,7 +161,7 @@
                 )
                 for (prepared in batch) {
                     // The watch may have brought the write before its answer did.
-                    prepared.job.written(prepared.record, outcome.revision)
+                    prepared.job.completeWrite(prepared.record, outcome.revision)
                     queuePushes(prepared.job)
                 }
             }
@@ -178,7 +178,7 @@
                 requeue(batch, now)
                 nextWriteAt = now + timing.retryMs()
             }
-            CommitOutcome.Invalid, CommitOutcome.LeaseOver -> handleTooLarge(batch, now)
+            CommitOutcome.Invalid, CommitOutcome.LeaseExpired -> handleTooLarge(batch, now)
             // It may have been applied, or may be later: read, then write again with the same compare-and-swap
             // versions.
             CommitOutcome.Unanswered -> cache.catchUp { requeue(batch, clock.steadyMs()) }
@@ -197,7 +197,7 @@
 
     private fun queuePushes(job: Job) {
         for (attempt in job.attempts.values) {
-            if (attempt.workerState == null || job.phase == Phase.CANCELLED) cluster.pendingPushes.add(attempt.machine)
+            if (attempt.workerState == null || job.phase == Phase.CANCELLED) cluster.commandQueue.add(attempt.machine)
         }
     }
 
@@ -205,7 +205,7 @@
         batch: List<PreparedWrite>,
         now: Long,
     ) {
-        for (prepared in batch) prepared.job.notWritten(prepared.record, now)
+        for (prepared in batch) prepared.job.requeueWrite(prepared.record, now)
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/commit/WritePreparer.kt
+++ b/src/main/kotlin/oxbowlug/commit/WritePreparer.kt
@@ -8,7 +8,7 @@
 import oxbowlug.record.Keys
 import oxbowlug.record.RecordLayout
 import oxbowlug.record.RequestIds
-import oxbowlug.record.StoredForm
+import oxbowlug.record.StoredRecord
 import oxbowlug.record.WritableFormat
 import oxbowlug.wire.Change
 import oxbowlug.wire.sizeAsJson
@@ -17,7 +17,7 @@
 internal class PreparedWrite(
     val job: Job,
     val record: JobRecord,
-    val form: StoredForm,
+    val form: StoredRecord,
     val changes: List<Change>,
     /** Built for the format of heads and parts. */
     val isSplit: Boolean,
@@ -42,7 +42,7 @@
         val isSplit = isSplitInForce()
         val record = job.record(requestIds.next(), isBrief = isSplit)
         val whole = record.encode()
-        val form = if (isSplit) RecordLayout(limits).split(whole) else StoredForm(whole, emptyList())
+        val form = if (isSplit) RecordLayout(limits).split(whole) else StoredRecord(whole, emptyList())
         return form?.let { PreparedWrite(job, record, it, changes(job, it), isSplit) }
     }
 
@@ -50,7 +50,7 @@
 
     private fun changes(
         job: Job,
-        form: StoredForm,
+        form: StoredRecord,
     ): List<Change> {
         val id = job.id.value
         val changes = ArrayList<Change>()
--- a/src/main/kotlin/oxbowlug/config/Settings.kt
+++ b/src/main/kotlin/oxbowlug/config/Settings.kt
@@ -70,9 +70,9 @@
  * How often workers send heartbeats, how long their leases last, and how soon cancelled work has to end; in seconds.
  */
 data class WorkerSettings(
-    val heartbeatS: Double,
+    val heartbeatIntervalS: Double,
     val leaseS: Double,
-    val cancelS: Double,
+    val cancelDeadlineS: Double,
 )
 
 /** What the state service takes: puts and deletes a second, the size of a value, and changes in one transaction. */
@@ -126,7 +126,7 @@
     val cloudAddress: Address,
     val stateAddress: Address,
     val zones: List<Zone>,
-    val skewMs: Double,
+    val maxClockSkewMs: Double,
     val teams: Map<TeamName, Team>,
     val objectives: List<Objective>,
     val workers: WorkerSettings,
--- a/src/main/kotlin/oxbowlug/controller/Controller.kt
+++ b/src/main/kotlin/oxbowlug/controller/Controller.kt
@@ -131,7 +131,7 @@
             heartbeatRouter.retryDeferred()
         }
         terms.current()?.flush()
-        load.stepped(clock.nanoTime() - beganNs)
+        load.recordStep(clock.nanoTime() - beganNs)
     }
 
     /** Whether this controller can serve users and workers, or at least no worse than the other controllers. */
@@ -151,8 +151,8 @@
             reachesState(),
             clock.steadyMs(),
             delegate.echo(),
-            hasUnacknowledged = cancellations.hasUnacknowledged(),
-            mayConfirm = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
+            hasUnacknowledgedCancellations = cancellations.hasUnacknowledgedCancellations(),
+            mayConfirmCancellations = clock.steadyMs() - cache.lastContactMs < timing.cancellationConfirmWindowMs,
         )
 
     /**
@@ -257,7 +257,7 @@
             val (epoch, token, leader) = leadership
             log.info("leader changed: epoch={} token={} leader={}", epoch, token.value, leader.label)
             leaderChanged = true
-            peers.heartbeatChanged()
+            peers.broadcastHeartbeat()
         }
 
         override fun onJob(
--- a/src/main/kotlin/oxbowlug/election/LeaderElection.kt
+++ b/src/main/kotlin/oxbowlug/election/LeaderElection.kt
@@ -5,7 +5,7 @@
 import oxbowlug.port.Clock
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.record.DataFormat
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
@@ -118,7 +118,7 @@
     }
 
     private fun requestLease(now: Long) {
-        state.grant(timing.leadershipLeaseTtlMs) { granted ->
+        state.grantLease(timing.leadershipLeaseTtlMs) { granted ->
             isRenewing = false
             lease = granted
             isRegistered = false
@@ -136,25 +136,25 @@
         heldLease: Long,
         now: Long,
     ) {
-        state.touch(heldLease) { outcome ->
+        state.keepLeaseAlive(heldLease) { outcome ->
             isRenewing = false
             // The lease was released while this call was in flight.
-            if (lease != heldLease) return@touch
+            if (lease != heldLease) return@keepLeaseAlive
             when (outcome) {
-                TouchOutcome.RENEWED -> {
+                LeaseRenewalOutcome.RENEWED -> {
                     // The TTL counts from when the request was sent: the service may have renewed the lease right then.
                     leaseValidUntilMs = maxOf(leaseValidUntilMs, now + timing.leadershipLeaseValidityMs)
-                    cache.contacted(now)
+                    cache.recordContact(now)
                     nextRenewalAt = now + timing.leadershipRenewIntervalMs
                 }
-                TouchOutcome.OVER -> {
+                LeaseRenewalOutcome.EXPIRED -> {
                     log.info("controller lease expired: lease={}", heldLease)
                     lease = null
                     isRegistered = false
                     leaseValidUntilMs = NEVER_MS
                     nextRenewalAt = clock.steadyMs()
                 }
-                TouchOutcome.FAILED -> nextRenewalAt = clock.steadyMs() + timing.retryMs()
+                LeaseRenewalOutcome.FAILED -> nextRenewalAt = clock.steadyMs() + timing.retryMs()
             }
         }
     }
@@ -169,7 +169,7 @@
                         isRegistered = true
                         registerOrCampaign(clock.steadyMs())
                     }
-                CommitOutcome.LeaseOver -> if (lease == heldLease) lease = null
+                CommitOutcome.LeaseExpired -> if (lease == heldLease) lease = null
                 // The transaction was refused for its size, which says nothing about the lease: it is kept.
                 CommitOutcome.Invalid -> nextRegistrationAt = clock.steadyMs() + timing.leadershipLeaseTtlMs
                 is CommitOutcome.Conflict, CommitOutcome.Refused, CommitOutcome.Unanswered -> Unit
@@ -205,12 +205,12 @@
             if (outcome is CommitOutcome.Applied) {
                 if (registrationLease != null && lease == registrationLease) isRegistered = true
                 log.info("leader elected: epoch={}", newLeadership.epoch)
-                cache.adopt(newLeadership.copy(version = outcome.revision))
+                cache.applyLeadershipRecord(newLeadership.copy(version = outcome.revision))
             } else {
                 // The outcome may be unknown. If the transaction was applied after all, the watch delivers the
                 // leadership record that names this controller.
                 nextElectionAt = clock.steadyMs() + timing.retryMs()
-                if (outcome == CommitOutcome.LeaseOver && lease == registrationLease) lease = null
+                if (outcome == CommitOutcome.LeaseExpired && lease == registrationLease) lease = null
                 // A candidate that lost the election still registers as a member.
                 lease?.let { if (!isRegistered && !isRegistering) register(it) }
             }
@@ -230,7 +230,7 @@
         val pauseMs = timing.workerLeaseTtlMs
         nextRenewalAt = clock.steadyMs() + pauseMs
         nextElectionAt = clock.steadyMs() + pauseMs
-        state.release(heldLease)
+        state.revokeLease(heldLease)
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/http/HttpCaller.kt
+++ b/src/main/kotlin/oxbowlug/http/HttpCaller.kt
@@ -33,12 +33,12 @@
     data object Unanswered : CallResult
 }
 
-/** Calls with CBOR bodies over connections that stay open for [keepAliveS]; at most [waiting] calls wait for one. */
+/** Calls with CBOR bodies over connections that stay open for [keepAliveS]; at most [maxQueuedCalls] calls wait for one. */
 internal class HttpCaller(
     vertx: Vertx,
     connections: Int,
     keepAliveS: Int = KEEP_ALIVE_S,
-    waiting: Int = MAX_WAITING,
+    maxQueuedCalls: Int = MAX_WAITING,
 ) {
     private val client =
         vertx
@@ -49,7 +49,7 @@
                     .setKeepAliveTimeout(keepAliveS)
                     .setDecompressionSupported(false)
                     .setTcpNoDelay(true),
-            ).with(PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(waiting))
+            ).with(PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(maxQueuedCalls))
             .build()
 
     suspend fun call(
--- a/src/main/kotlin/oxbowlug/invariant/Invariants.kt
+++ b/src/main/kotlin/oxbowlug/invariant/Invariants.kt
@@ -14,13 +14,13 @@
     private val meters: Meters,
 ) {
     /** Logs and counts a violation of [invariant]; [evidence] names the attempts and machines involved. */
-    fun violated(
+    fun recordViolation(
         invariant: Invariant,
         evidence: String,
     ) {
         // The soak run finds violations by the beginning of this line, "invariant LABEL".
         log.error("invariant {} is violated: reason={} {}", invariant.label, evidence, decisions.describe())
-        meters.violated(invariant)
+        meters.recordViolation(invariant)
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
+++ b/src/main/kotlin/oxbowlug/leader/CommandChecks.kt
@@ -1,7 +1,7 @@
 package oxbowlug.leader
 
 import oxbowlug.cache.StateCache
-import oxbowlug.cache.cancelledWork
+import oxbowlug.cache.stopsForCancelledTasks
 import oxbowlug.cluster.Machine
 import oxbowlug.invariant.Invariants
 import oxbowlug.lease.missingFrom
@@ -22,9 +22,9 @@
         heartbeat: WorkerHeartbeat,
         commands: List<WorkerCommand>,
     ) {
-        val missing = cache.cancelledWork(heartbeat).missingFrom(commands)
+        val missing = cache.stopsForCancelledTasks(heartbeat).missingFrom(commands)
         if (missing.isEmpty()) return
-        invariants.violated(
+        invariants.recordViolation(
             Invariant.CANCELLED_WORK_IS_STOPPED,
             "${missing.map { it.attempt }} on ${heartbeat.machine}",
         )
@@ -35,9 +35,9 @@
         machine: Machine,
         commands: List<WorkerCommand>,
     ): List<WorkerCommand> {
-        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.committed != true }
+        val unstored = commands.filter { it is WorkerCommand.Start && machine.attempts[it.attempt]?.isCommitted != true }
         if (unstored.isEmpty()) return commands
-        invariants.violated(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
+        invariants.recordViolation(Invariant.STARTS_ARE_STORED, "$unstored for ${machine.id}")
         return commands - unstored.toSet()
     }
 }
--- a/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
+++ b/src/main/kotlin/oxbowlug/leader/ControllerLoad.kt
@@ -31,18 +31,18 @@
     private var window = Window(0)
     private var lastTickAt: Long? = null
 
-    fun stepped(nanos: Long) {
-        meters.stepped(nanos)
+    fun recordStep(nanos: Long) {
+        meters.recordStep(nanos)
         window.steps++
         window.stepsNs += nanos
         window.longestStepNs = maxOf(window.longestStepNs, nanos)
     }
 
-    fun planned(
+    fun recordPlan(
         nanos: Long,
         priced: Int,
     ) {
-        meters.planned(nanos, priced)
+        meters.recordPlan(nanos, priced)
         window.plans++
         window.plansNs += nanos
         window.longestPlanNs = maxOf(window.longestPlanNs, nanos)
@@ -55,7 +55,7 @@
     fun ticked(now: Long) {
         val delayMs = lastTickAt?.let { (now - it - tickMs).coerceAtLeast(0) } ?: 0
         lastTickAt = now
-        meters.waited(delayMs)
+        meters.recordQueueDelay(delayMs)
         window.latestTickMs = maxOf(window.latestTickMs, delayMs)
         if (now - window.since < logIntervalMs) return
         log.info("{}", this)
--- a/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
+++ b/src/main/kotlin/oxbowlug/leader/DirectCommands.kt
@@ -4,7 +4,7 @@
 import oxbowlug.cluster.Machine
 import oxbowlug.invariant.DecisionContext
 import oxbowlug.port.Clock
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.timing.Timing
 import oxbowlug.wire.WorkerCommand
@@ -21,12 +21,12 @@
     private val decisions: DecisionContext,
     private val checks: CommandChecks,
 ) {
-    /** Sends the commands of all machines in [ClusterState.pendingPushes]. */
+    /** Sends the commands of all machines in [ClusterState.commandQueue]. */
     fun flush(now: Long) {
-        if (cluster.pendingPushes.isEmpty()) return
-        for (id in cluster.pendingPushes.toList()) {
+        if (cluster.commandQueue.isEmpty()) return
+        for (id in cluster.commandQueue.toList()) {
             val machine = cluster.machines[id]
-            if (machine == null || trySend(machine, now)) cluster.pendingPushes.remove(id)
+            if (machine == null || trySend(machine, now)) cluster.commandQueue.remove(id)
         }
     }
 
@@ -37,7 +37,7 @@
     ): Boolean {
         val endpoint = machine.endpoint ?: return true
         val lastContactAt = machine.lastContactAt ?: return true
-        if (!machine.isSettled(cluster.token) ||
+        if (!machine.hasAcknowledgedToken(cluster.token) ||
             now - lastContactAt > timing.heartbeatLateMs ||
             now < machine.nextDirectCommandAt
         ) {
@@ -48,13 +48,13 @@
             if (decisions.mayLead) {
                 checks.dropUnstoredStarts(machine, cluster.commands(machine, now))
             } else {
-                cluster.cancelledStops(machine)
+                cluster.stopsForCancelledJobs(machine)
             }
         // Commands to forget exited attempts can wait for the next heartbeat.
         if (commands.all { it is WorkerCommand.Forget }) return true
         machine.isDirectCommandInFlight = true
         machine.directStartsInFlight = commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt }
-        for (attempt in machine.directStartsInFlight) machine.attempts[attempt]?.sentDirectly(now)
+        for (attempt in machine.directStartsInFlight) machine.attempts[attempt]?.markStartSent(now)
         workers.command(endpoint, cluster.token, machine.position.incarnation, commands) { outcome ->
             onOutcome(machine, outcome)
         }
@@ -63,15 +63,15 @@
 
     private fun onOutcome(
         machine: Machine,
-        outcome: DirectOutcome,
+        outcome: CommandOutcome,
     ) {
         val starts = machine.directStartsInFlight
         machine.isDirectCommandInFlight = false
         machine.directStartsInFlight = emptyList()
         when (outcome) {
-            is DirectOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
-            DirectOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.heartbeatLateMs
-            DirectOutcome.Unanswered -> {
+            is CommandOutcome.Answered -> cluster.applyHeartbeat(outcome.heartbeat, isHeartbeat = false)
+            CommandOutcome.NotSent -> machine.nextDirectCommandAt = clock.steadyMs() + timing.heartbeatLateMs
+            CommandOutcome.Unanswered -> {
                 // The call may still be executed minutes later. During the pause, only the responses to heartbeats
                 // carry commands.
                 machine.unresolvedStarts.addAll(starts)
--- a/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
+++ b/src/main/kotlin/oxbowlug/leader/LeaderTerm.kt
@@ -142,12 +142,12 @@
         if (!decisions.mayLead) return emptyList()
         val position = HeartbeatPosition(heartbeat.incarnation, heartbeat.sequence)
         // The worker discards the response to a duplicate, so no start may be recorded as sent with it.
-        if (position < machine.lastHeartbeat) return emptyList()
+        if (position < machine.lastHeartbeatPosition) return emptyList()
         val commands = checks.dropUnstoredStarts(machine, cluster.commands(machine, clock.steadyMs()))
         if (position == machine.position) checks.requireStopsOfCancelledWork(heartbeat, commands)
         for (command in commands) {
             if (command !is WorkerCommand.Start) continue
-            machine.attempts[command.attempt]?.sentInAnswer(position, clock.steadyMs())
+            machine.attempts[command.attempt]?.markStartSentInAnswer(position, clock.steadyMs())
         }
         return commands
     }
@@ -163,7 +163,7 @@
         scaler.tick(types)
         planning.tick(types, now)
         flush()
-        cluster.forgetFinished(cache)
+        cluster.removeFinishedJobs(cache)
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
+++ b/src/main/kotlin/oxbowlug/leader/MachineSupervisor.kt
@@ -96,7 +96,7 @@
         val leaseCountsFrom = machine.lease.ttlStartMs ?: return false
         val type = types[machine.type] ?: return false
         val leaseLeftS = (timing.workerLeaseExpiryMs - (now - leaseCountsFrom)) / 1000.0
-        return Pricing.isWorthGivingUp(round.replicaWeight(machine), leaseLeftS, type, machine.spot, types.values)
+        return Pricing.isReplacementCheaper(round.replicaWeight(machine), leaseLeftS, type, machine.spot, types.values)
     }
 
     private fun isSuspect(
@@ -131,7 +131,7 @@
     ) {
         // Without a valid lease of its own, this controller may have a successor that renewed the worker's lease.
         val mayExpire = decisions.mayLead && delegates.isProvenExpired(machine.zone, machine.lease.ttlStartMs ?: now)
-        if (mayExpire) cluster.expire(machine, now)
+        if (mayExpire) cluster.expireLease(machine, now)
         val isPartitioned = liveness.isPartitioned(machine.zone)
         val graceMs = if (isPartitioned) timing.partitionedCancelReleaseAfterMs else timing.cancelReleaseAfterMs
         for (attempt in machine.attempts.values) {
--- a/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
+++ b/src/main/kotlin/oxbowlug/leader/PlanningLoop.kt
@@ -44,14 +44,14 @@
         types: Map<TypeName, MachineType>,
         now: Long,
     ) {
-        if (types.isNotEmpty() && (now >= planDueAt || (cluster.planWanted && now >= earliestPlanAt))) plan(types, now)
+        if (types.isNotEmpty() && (now >= planDueAt || (cluster.needsReplan && now >= earliestPlanAt))) plan(types, now)
     }
 
     private fun plan(
         types: Map<TypeName, MachineType>,
         now: Long,
     ) {
-        cluster.planWanted = false
+        cluster.needsReplan = false
         val beganNs = clock.nanoTime()
         val mayMove = now >= nextMoveAt
         val snapshot = round.snapshot(types, mayMove)
@@ -59,7 +59,7 @@
         if (log.isDebugEnabled) log.debug("{}", PlanSummary(plan, snapshot))
         round.apply(plan)
         val elapsedNs = clock.nanoTime() - beganNs
-        load.planned(elapsedNs, plan.priced)
+        load.recordPlan(elapsedNs, plan.priced)
         if (plan.starts.isNotEmpty() || plan.stops.isNotEmpty()) {
             log.info(
                 "plan applied: starts={} stops={} elapsedMs={} {}",
@@ -84,7 +84,7 @@
         // A plan of a large fleet takes long, and the event loop answers no request meanwhile: its share is bounded.
         earliestPlanAt = now + maxOf(timing.planGapMs, elapsedNs / NS_PER_MS * PLAN_INTERVAL_FACTOR)
         val isWorkWaiting =
-            plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.holdUntil }
+            plan.unplaced > 0 || plan.reserved.isNotEmpty() || cluster.jobs.values.any { now < it.backoffUntil }
         planDueAt = now + if (isWorkWaiting) timing.replanSoonMs else (settings.policy.replanS * 1000).toLong()
     }
 
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegate.kt
@@ -47,12 +47,12 @@
         val last = lastLeaderContact
         // Delayed packets keep their order within a connection only: a heartbeat that arrives late on another
         // connection must not count as a new one.
-        if (last != null && last.leader == heartbeat.sender && heartbeat.atMs < last.leaderClockMs) return
+        if (last != null && last.leader == heartbeat.sender && heartbeat.sendTimeMs < last.leaderClockMs) return
         // A controller that was started during an outage of the state service has no leadership record yet, but
         // CancellationFreshness on the leader depends on its echo as well.
         val leader = cache.leadership?.leader ?: heartbeat.leader
         if (heartbeat.sender == leader) {
-            lastLeaderContact = LeaderContact(heartbeat.sender, heartbeat.atMs, clock.steadyMs())
+            lastLeaderContact = LeaderContact(heartbeat.sender, heartbeat.sendTimeMs, clock.steadyMs())
         }
     }
 
@@ -74,7 +74,7 @@
     fun delegateFor(heartbeat: WorkerHeartbeat): Member? {
         val leadership = cache.leadership ?: return null
         val delegates = cache.delegates ?: return null
-        val isInRegion = regions.areTogether(heartbeat.zone, zone)
+        val isInRegion = regions.areInSameRegion(heartbeat.zone, zone)
         val isInScope = delegates.token == leadership.token && isInRegion && heartbeat.token <= leadership.token
         return if (isInScope && isolatedMs() >= timing.delegateActivationMs) delegates.byZone[heartbeat.zone] else null
     }
@@ -86,7 +86,7 @@
     fun isNearingActivation(): Boolean {
         val delegates = cache.delegates
         val isActivationNear = isolatedMs() in timing.delegateActivationMs / 2 until timing.delegateActivationMs
-        return delegates != null && isActivationNear && delegates.byZone.keys.any { regions.areTogether(it, zone) }
+        return delegates != null && isActivationNear && delegates.byZone.keys.any { regions.areInSameRegion(it, zone) }
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
+++ b/src/main/kotlin/oxbowlug/lease/LeaseRenewalDelegates.kt
@@ -11,8 +11,8 @@
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
 import oxbowlug.record.Member
-import oxbowlug.region.DelegateChoice
-import oxbowlug.region.DelegateChoice.Candidate
+import oxbowlug.region.DelegateSelector
+import oxbowlug.region.DelegateSelector.Candidate
 import oxbowlug.timing.Timing
 import oxbowlug.wire.Change
 import oxbowlug.wire.Condition
@@ -45,7 +45,7 @@
 
     private val zoneOf: Map<String, Zone> =
         settings.peers.associate { it.label to it.zone } + (settings.label to settings.zone)
-    private val choice = DelegateChoice(settings.policy.regions, zoneOf)
+    private val choice = DelegateSelector(settings.policy.regions, zoneOf)
     private val delegateByZone = HashMap<Zone, Delegate>()
     private var isWriting = false
     private var nextWriteAt = 0L
@@ -121,7 +121,7 @@
         }
         // The delegate received the echoed heartbeat no earlier than the leader sent it, and renews no lease until it
         // has been isolated for a while after that.
-        idleUntilMs = maxOf(idleUntilMs, echo.atMs + timing.delegateIdleMs)
+        idleUntilMs = maxOf(idleUntilMs, echo.sendTimeMs + timing.delegateIdleMs)
     }
 
     /**
--- a/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/oxbowlug/lease/WorkerLeaseRenewals.kt
@@ -2,7 +2,7 @@
 
 import org.slf4j.LoggerFactory
 import oxbowlug.cache.StateCache
-import oxbowlug.cache.cancelledWork
+import oxbowlug.cache.stopsForCancelledTasks
 import oxbowlug.invariant.DecisionContext
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.WorkerCommand
@@ -30,7 +30,7 @@
         token: FencingToken,
         commands: List<WorkerCommand> = emptyList(),
     ): HeartbeatResponse.Renewed {
-        val allCommands = commands + cache.cancelledWork(heartbeat).missingFrom(commands)
+        val allCommands = commands + cache.stopsForCancelledTasks(heartbeat).missingFrom(commands)
         if (log.isDebugEnabled) {
             log.debug(
                 "lease renewed: machine={} incarnation={} sequence={} token={} commands={} {}",
--- a/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
+++ b/src/main/kotlin/oxbowlug/membership/PeerHealth.kt
@@ -20,8 +20,8 @@
 ) {
     private class LastHeartbeat(
         val sender: Member,
-        val seesState: Boolean,
-        val mayConfirm: Boolean,
+        val reachesState: Boolean,
+        val mayConfirmCancellations: Boolean,
         val receivedAtMs: Long,
     )
 
@@ -31,7 +31,7 @@
     fun onHeartbeat(heartbeat: PeerHeartbeat) {
         val sender = heartbeat.sender
         lastHeartbeatByLabel[sender.label] =
-            LastHeartbeat(sender, heartbeat.seesState, heartbeat.mayConfirm, clock.steadyMs())
+            LastHeartbeat(sender, heartbeat.reachesState, heartbeat.mayConfirmCancellations, clock.steadyMs())
     }
 
     /** The incarnation that sent the last heartbeat of the controller [label], or null if none was received. */
@@ -47,7 +47,7 @@
      * Whether, by its last heartbeat, the controller [label] had no recent answer from the state service and so can't
      * be confirming cancellations.
      */
-    fun isCutOffFromState(label: String): Boolean = lastHeartbeatByLabel[label]?.mayConfirm == false
+    fun isCutOffFromState(label: String): Boolean = lastHeartbeatByLabel[label]?.mayConfirmCancellations == false
 
     /**
      * Whether another controller reaches the state service. Also true while no peer's heartbeat is recent, since then
@@ -56,7 +56,7 @@
     fun isStateReachableByOthers(): Boolean {
         if (peerCount == 0) return false
         val recent = lastHeartbeatByLabel.values.filter(::isRecent)
-        return recent.isEmpty() || recent.any { it.seesState }
+        return recent.isEmpty() || recent.any { it.reachesState }
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/peer/PeerFrames.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerFrameCodec.kt
@@ -2,7 +2,7 @@
 
 import okio.Buffer
 import okio.EOFException
-import oxbowlug.port.Acknowledgement
+import oxbowlug.port.CancellationAcknowledgement
 import oxbowlug.port.Cancellation
 import oxbowlug.port.CancellationNotice
 import oxbowlug.port.HeartbeatEcho
@@ -41,7 +41,7 @@
 }
 
 /** Frames between controllers: a length of four bytes, a kind, and its fields, each text with its length before it. */
-internal object PeerFrames {
+internal object PeerFrameCodec {
     private const val HEARTBEAT = 1
     private const val IMAGES = 2
     private const val CANCELLED = 3
@@ -56,18 +56,18 @@
         payload.writeByte(HEARTBEAT)
         payload.member(heartbeat.sender)
         payload.writeLong(heartbeat.epoch)
-        payload.writeByte(if (heartbeat.seesState) 1 else 0)
+        payload.writeByte(if (heartbeat.reachesState) 1 else 0)
         payload.writeByte(if (heartbeat.leader == null) 0 else 1)
         heartbeat.leader?.let { payload.member(it) }
-        payload.writeLong(heartbeat.atMs)
+        payload.writeLong(heartbeat.sendTimeMs)
         payload.writeByte(if (heartbeat.echo == null) 0 else 1)
         heartbeat.echo?.let { echo ->
             payload.member(echo.leader)
-            payload.writeLong(echo.atMs)
+            payload.writeLong(echo.sendTimeMs)
             payload.writeLong(echo.renewals)
         }
-        payload.writeByte(if (heartbeat.hasUnacknowledged) 1 else 0)
-        payload.writeByte(if (heartbeat.mayConfirm) 1 else 0)
+        payload.writeByte(if (heartbeat.hasUnacknowledgedCancellations) 1 else 0)
+        payload.writeByte(if (heartbeat.mayConfirmCancellations) 1 else 0)
         return framed(payload)
     }
 
@@ -129,7 +129,7 @@
     }
 
     /** The next whole frame of [input], or null until more has come. */
-    fun next(input: Buffer): PeerMessage? {
+    fun decodeNext(input: Buffer): PeerMessage? {
         if (input.size < Int.SIZE_BYTES) return null
         val length = input.peek().readInt()
         if (length !in 1..MAX_FRAME) throw MalformedFrame("a frame of $length bytes")
@@ -169,14 +169,14 @@
         val sender = payload.member()
         val epoch = payload.readLong()
         if (epoch < 0) throw MalformedFrame("a negative epoch")
-        val seesState = payload.readByte().toInt() != 0
+        val reachesState = payload.readByte().toInt() != 0
         val leader = if (payload.readByte().toInt() == 0) null else payload.member()
-        val atMs = payload.readLong()
+        val sendTimeMs = payload.readLong()
         val hasEcho = payload.readByte().toInt() != 0
         val echo = if (hasEcho) HeartbeatEcho(payload.member(), payload.readLong(), payload.readLong()) else null
-        val hasUnacknowledged = payload.readByte().toInt() != 0
-        val mayConfirm = payload.readByte().toInt() != 0
-        return PeerHeartbeat(sender, epoch, leader, seesState, atMs, echo, hasUnacknowledged, mayConfirm)
+        val hasUnacknowledgedCancellations = payload.readByte().toInt() != 0
+        val mayConfirmCancellations = payload.readByte().toInt() != 0
+        return PeerHeartbeat(sender, epoch, leader, reachesState, sendTimeMs, echo, hasUnacknowledgedCancellations, mayConfirmCancellations)
     }
 
     private fun decodeCancelled(payload: Buffer): CancellationNotice.Cancelled {
@@ -213,7 +213,7 @@
         val count = payload.readInt()
         if (count !in 0..MAX_FRAME) throw MalformedFrame("$count acknowledgements")
         val items =
-            List(count) { Acknowledgement(payload.jobId(), isTerminationProven = payload.readByte().toInt() != 0) }
+            List(count) { CancellationAcknowledgement(payload.jobId(), isTerminationProven = payload.readByte().toInt() != 0) }
         return CancellationNotice.Acknowledged(sender, items)
     }
 
--- a/src/main/kotlin/oxbowlug/peer/PeerLink.kt
+++ b/src/main/kotlin/oxbowlug/peer/PeerTransport.kt
@@ -19,7 +19,7 @@
  * One connection to each other controller, over which this one sends its heartbeat. So a controller that lost
  * only the state service learns that another one leads, and redirects its workers.
  */
-internal class PeerLink(
+internal class PeerTransport(
     private val vertx: Vertx,
     private val settings: Settings,
     private val intervalMs: Long,
@@ -49,7 +49,7 @@
     /** Sends the heartbeat now. */
     private fun broadcast() = broadcast(emptyMap())
 
-    override fun heartbeatChanged() = broadcast()
+    override fun broadcastHeartbeat() = broadcast()
 
     /** Lost if there is no connection: whoever needs an acknowledgement sends it again. */
     override fun send(
@@ -57,12 +57,12 @@
         notice: CancellationNotice,
     ) {
         val index = settings.peers.indexOfFirst { it.label == label }
-        if (index >= 0) write(index, PeerFrames.encode(notice).readByteArray())
+        if (index >= 0) write(index, PeerFrameCodec.encode(notice).readByteArray())
     }
 
     private fun broadcast(imagesByMachine: Map<MachineId, List<ImageName>>) {
-        val frames = PeerFrames.encode(heartbeat())
-        if (imagesByMachine.isNotEmpty()) frames.writeAll(PeerFrames.encode(imagesByMachine))
+        val frames = PeerFrameCodec.encode(heartbeat())
+        if (imagesByMachine.isNotEmpty()) frames.writeAll(PeerFrameCodec.encode(imagesByMachine))
         val bytes = frames.readByteArray()
         for (index in settings.peers.indices) write(index, bytes)
     }
@@ -72,7 +72,7 @@
         socket.handler { bytes ->
             input.write(bytes.bytes)
             try {
-                while (true) onMessage(PeerFrames.next(input) ?: break)
+                while (true) onMessage(PeerFrameCodec.decodeNext(input) ?: break)
             } catch (e: MalformedFrame) {
                 log.info("peer frame refused: reason={}", e.message)
                 socket.close()
@@ -105,7 +105,7 @@
                 socketByPeer[index] = opened
                 opened.closeHandler { if (socketByPeer[index] === opened) socketByPeer[index] = null }
                 opened.exceptionHandler { }
-                opened.write(Buffer.buffer(PeerFrames.encode(heartbeat()).readByteArray()))
+                opened.write(Buffer.buffer(PeerFrameCodec.encode(heartbeat()).readByteArray()))
             }
         }
     }
--- a/src/main/kotlin/oxbowlug/plan/BlockedDemand.kt
+++ b/src/main/kotlin/oxbowlug/plan/BlockedDemand.kt
@@ -10,7 +10,7 @@
  */
 internal object BlockedDemand {
     class Moved(
-        val tenant: Tenant,
+        val tenant: PlacedTask,
         val host: PlanMachine,
     )
 
@@ -48,13 +48,13 @@
         snapshot: Snapshot,
     ): List<Moved>? {
         var room = machine.free + machine.coming
-        val movable = machine.tenants.filter { mayMove(it, machine, snapshot) }
+        val movable = machine.placedTasks.filter { mayMove(it, machine, snapshot) }
         if (!need.fitsIn(movable.fold(room) { sum, tenant -> sum + tenant.need })) return null
         val taken = HashMap<PlanMachine, Resources>()
         val moved = ArrayList<Moved>()
         for (tenant in movable) {
             if (need.fitsIn(room)) break
-            val elsewhere = HashMap<Zone, Int>(tenant.zoneUse)
+            val elsewhere = HashMap<Zone, Int>(tenant.tasksByZone)
             elsewhere.merge(machine.zone, -1, Int::plus)
             val host =
                 hosts.firstOrNull { other ->
@@ -70,7 +70,7 @@
     }
 
     private fun mayMove(
-        tenant: Tenant,
+        tenant: PlacedTask,
         machine: PlanMachine,
         snapshot: Snapshot,
     ): Boolean =
--- a/src/main/kotlin/oxbowlug/plan/Consolidation.kt
+++ b/src/main/kotlin/oxbowlug/plan/Consolidation.kt
@@ -31,7 +31,7 @@
                 .filter {
                     it.isReady &&
                         it.id != null &&
-                        it.tenants.isNotEmpty() &&
+                        it.placedTasks.isNotEmpty() &&
                         it.id !in reserved &&
                         movable(it, snapshot)
                 }.sortedByDescending { gain(it, snapshot) }
@@ -50,7 +50,7 @@
         machine: PlanMachine,
         snapshot: Snapshot,
     ): Boolean =
-        machine.tenants.all { tenant ->
+        machine.placedTasks.all { tenant ->
             !tenant.stopping && tenant.spec.kind == JobKind.SERVICE && tenant.ranS >= snapshot.settledS
         }
 
@@ -60,7 +60,7 @@
     ): Double {
         val perSecond = machine.type.price(machine.spot) / 3600.0
         val saved = perSecond * Pricing.serviceS(snapshot)
-        val down = machine.tenants.size * Pricing.omega(1.0, snapshot) * MOVE_S
+        val down = machine.placedTasks.size * Pricing.omega(1.0, snapshot) * MOVE_S
         val boot = perSecond * machine.type.bootS
         return saved - maxOf(boot, down)
     }
@@ -71,10 +71,10 @@
     ): Map<AttemptId, MachineId>? {
         val targets = LinkedHashMap<AttemptId, MachineId>()
         val free = HashMap<PlanMachine, Resources>()
-        val zoneUse = HashMap<String, HashMap<Zone, Int>>()
-        for (tenant in machine.tenants) {
+        val tasksByZone = HashMap<String, HashMap<Zone, Int>>()
+        for (tenant in machine.placedTasks) {
             val spec = tenant.spec
-            val use = zoneUse.getOrPut(spec.id.value) { HashMap(tenant.zoneUse) }
+            val use = tasksByZone.getOrPut(spec.id.value) { HashMap(tenant.tasksByZone) }
             use.merge(machine.zone, -1, Int::plus)
             val host =
                 hosts.firstOrNull { other ->
@@ -99,7 +99,7 @@
         if (spec.types != null && host.type.name !in spec.types) return false
         if (spec.zone != null && host.zone != spec.zone) return false
         if (spec.oneZone && use.any { (zone, count) -> count > 0 && zone != host.zone }) return false
-        return (use[host.zone] ?: 0) < spec.zoneCap
+        return (use[host.zone] ?: 0) < spec.maxTasksPerZone
     }
 
     /** A moved replica is down for about a heartbeat, a plan and a start. */
--- a/src/main/kotlin/oxbowlug/plan/Constraints.kt
+++ b/src/main/kotlin/oxbowlug/plan/Constraints.kt
@@ -24,8 +24,8 @@
 internal class ZoneRule(
     private val job: PlanJob,
 ) {
-    private val use = HashMap(job.zoneUse)
-    var fixed: Zone? = if (job.spec.oneZone) job.zoneUse.keys.firstOrNull() else null
+    private val use = HashMap(job.tasksByZone)
+    var fixed: Zone? = if (job.spec.oneZone) job.tasksByZone.keys.firstOrNull() else null
 
     fun used(zone: Zone): Int = use[zone] ?: 0
 
@@ -33,7 +33,7 @@
         if (job.spec.zone != null && job.spec.zone != zone) return false
         val only = fixed
         if (job.spec.oneZone && only != null && only != zone) return false
-        return used(zone) < job.spec.zoneCap
+        return used(zone) < job.spec.maxTasksPerZone
     }
 
     fun use(zone: Zone) {
--- a/src/main/kotlin/oxbowlug/plan/Tenant.kt
+++ b/src/main/kotlin/oxbowlug/plan/PlacedTask.kt
@@ -11,11 +11,11 @@
 import oxbowlug.wire.Zone
 
 /** A task that holds part of a machine. */
-internal class Tenant(
+internal class PlacedTask(
     val attempt: AttemptId,
     val spec: JobSpec,
     /** Where its job's tasks are. */
-    val zoneUse: Map<Zone, Int>,
+    val tasksByZone: Map<Zone, Int>,
     /** How long it has run; 0 while it waits for its image. */
     val ranS: Double,
     /** How long its image takes to fetch. */
--- a/src/main/kotlin/oxbowlug/plan/PlanMachine.kt
+++ b/src/main/kotlin/oxbowlug/plan/PlanMachine.kt
@@ -24,13 +24,13 @@
     val fetching: Set<ImageName>,
     val isEmpty: Boolean,
     /** What those of its tenants take that are on their way out. */
-    leaving: Resources,
+    stoppingUsage: Resources,
     /** Most plans look at few machines' tenants, so they are listed only when asked for. */
-    tenants: Lazy<List<Tenant>>,
+    placedTasks: Lazy<List<PlacedTask>>,
     /** No tenant that isn't on its way out is less urgent than this; null where there is none at all. */
-    val leastUrgent: Priority? = Priority.LOW,
+    val lowestPriority: Priority? = Priority.LOW,
 ) {
-    val tenants: List<Tenant> by tenants
+    val placedTasks: List<PlacedTask> by placedTasks
 
     /** Counts what this plan changed of its room, so that prices know when they are outdated. */
     var changes = 0
@@ -56,7 +56,7 @@
         private set
 
     /** What comes free on its own or through this plan's stops, less what this plan has promised of it. */
-    var coming: Resources = leaving
+    var coming: Resources = stoppingUsage
         private set
     val stopped = HashSet<AttemptId>()
     val isReady: Boolean get() = readyInS <= 0.0
@@ -73,7 +73,7 @@
         noteChange()
     }
 
-    fun stop(tenant: Tenant) {
+    fun stop(tenant: PlacedTask) {
         stopped.add(tenant.attempt)
         coming += tenant.need
         noteChange()
@@ -90,7 +90,7 @@
 
     companion object {
         /** An empty machine without a name yet. */
-        fun pendingOrders(
+        fun forRental(
             type: MachineType,
             zone: Zone,
             spot: Boolean,
--- a/src/main/kotlin/oxbowlug/plan/PlanTeam.kt
+++ b/src/main/kotlin/oxbowlug/plan/PlanTeam.kt
@@ -21,7 +21,7 @@
     }
 
     /** [need] is on its way out: it still counts for the limit, but is not borrowed a second time. */
-    fun expectStop(need: Resources) {
+    fun addStopping(need: Resources) {
         stoppingCores += need.cores
         stoppingGpus += need.gpus
     }
--- a/src/main/kotlin/oxbowlug/plan/Planner.kt
+++ b/src/main/kotlin/oxbowlug/plan/Planner.kt
@@ -187,7 +187,7 @@
 
     private fun stopAll(choice: Preemption.Choice) {
         for (preemptedTask in choice.preempted) {
-            snapshot.teams[preemptedTask.team]?.expectStop(preemptedTask.need)
+            snapshot.teams[preemptedTask.team]?.addStopping(preemptedTask.need)
             choice.machine.stop(preemptedTask)
             stops.add(preemptedTask.attempt)
         }
@@ -222,12 +222,12 @@
     ): PlanMachine? {
         val job = placement.job
         val booting = offers.cheapest(Room.BOOTING, placement.zones)
-        val isBetter = booting != null && booting.cost < scarce.cost && booting.delayS < job.estimateS
+        val isBetter = booting != null && booting.cost < scarce.cost && booting.delayS < job.runEstimateS
         if (booting != null && isBetter && booting.machine.spot) return booting.machine
         if (!snapshot.mayRent) return null
         val rental = cheapestRental(job, placement.need, placement.zones, placement.left) ?: return null
         val startsInS = rental.type.bootS + rental.type.fetchS(job.spec)
-        return if (rental.kind.spot && rental.cost < scarce.cost && startsInS < job.estimateS) rent(rental) else null
+        return if (rental.kind.spot && rental.cost < scarce.cost && startsInS < job.runEstimateS) rent(rental) else null
     }
 
     private fun bootingOrRented(
@@ -248,7 +248,7 @@
     private fun rent(rental: RentalOffer): PlanMachine {
         rentals.merge(rental.kind, 1, Int::plus)
         val kind = rental.kind
-        val machine = PlanMachine.pendingOrders(rental.type, kind.zone, kind.spot, rental.type.bootS.coerceAtLeast(1.0))
+        val machine = PlanMachine.forRental(rental.type, kind.zone, kind.spot, rental.type.bootS.coerceAtLeast(1.0))
         machine.reportChangesTo(changed, machines.size)
         machines.add(machine)
         machinesInZone.merge(machine.zone, 1, Int::plus)
--- a/src/main/kotlin/oxbowlug/plan/Preemption.kt
+++ b/src/main/kotlin/oxbowlug/plan/Preemption.kt
@@ -12,7 +12,7 @@
 internal object Preemption {
     class Choice(
         val machine: PlanMachine,
-        val preempted: List<Tenant>,
+        val preempted: List<PlacedTask>,
         val cost: Double,
     )
 
@@ -27,16 +27,16 @@
         if (!machine.isReady || machine.isEmpty || !mayHoldVictims(job, guaranteed, machine)) return null
         if (!Constraints.allow(job, machine)) return null
         val candidates =
-            machine.tenants.filter { tenant ->
+            machine.placedTasks.filter { tenant ->
                 !tenant.stopping &&
                     tenant.attempt !in machine.stopped &&
                     mayStop(job, guaranteed, tenant, snapshot.teams)
             }
         if (candidates.isEmpty()) return null
         var room = machine.free + machine.coming
-        val chosen = ArrayList<Tenant>()
+        val chosen = ArrayList<PlacedTask>()
         // The least urgent and the cheapest to repeat go first.
-        for (tenant in candidates.sortedWith(compareByDescending<Tenant> { it.priority }.thenBy { it.lossS })) {
+        for (tenant in candidates.sortedWith(compareByDescending<PlacedTask> { it.priority }.thenBy { it.lossS })) {
             if (need.fitsIn(room)) break
             chosen.add(tenant)
             room += tenant.need
@@ -63,7 +63,7 @@
         guaranteed: Boolean,
         machine: PlanMachine,
     ): Boolean {
-        val least = machine.leastUrgent ?: return false
+        val least = machine.lowestPriority ?: return false
         return guaranteed || least > job.priority
     }
 
@@ -74,7 +74,7 @@
     fun mayStop(
         job: PlanJob,
         guaranteed: Boolean,
-        tenant: Tenant,
+        tenant: PlacedTask,
         teams: Map<TeamName, PlanTeam>,
     ): Boolean {
         if (tenant.priority <= job.priority && !guaranteed) return false
@@ -101,7 +101,7 @@
     )
 
     /** No machine is added to them while a plan is made. */
-    private val tenanted = machines.filter { it.isReady && !it.isEmpty && it.leastUrgent != null }
+    private val tenanted = machines.filter { it.isReady && !it.isEmpty && it.lowestPriority != null }
 
     /** Those where something might be stopped for the job; on most of a fleet nothing may. */
     private var candidates: List<PlanMachine> = emptyList()
--- a/src/main/kotlin/oxbowlug/plan/Pricing.kt
+++ b/src/main/kotlin/oxbowlug/plan/Pricing.kt
@@ -18,9 +18,9 @@
         startWeight: Double,
         snapshot: Snapshot,
     ): Double {
-        val runS = if (job.spec.kind == JobKind.SERVICE) serviceS(snapshot) else job.estimateS
-        val deadline = job.deadlineInS ?: (2.0 * job.estimateS)
-        val tardiness = maxOf(0.0, delayS + job.estimateS - deadline)
+        val runS = if (job.spec.kind == JobKind.SERVICE) serviceS(snapshot) else job.runEstimateS
+        val deadline = job.deadlineInS ?: (2.0 * job.runEstimateS)
+        val tardiness = maxOf(0.0, delayS + job.runEstimateS - deadline)
         val rent = type.share(need) * price / HOUR_S * runS
         return rent + omega(job, snapshot) * (tardiness + delayS * EAGERNESS) + omega(startWeight, snapshot) * delayS
     }
@@ -88,7 +88,7 @@
     fun omega(types: Collection<MachineType>): Double = (types.maxOfOrNull { it.price } ?: 0.0) / HOUR_S
 
     /** Whether replicas of [weight] that are down for [downS] more cost more than another machine's boot. */
-    fun isWorthGivingUp(
+    fun isReplacementCheaper(
         weight: Double,
         downS: Double,
         type: MachineType,
--- a/src/main/kotlin/oxbowlug/plan/Ranking.kt
+++ b/src/main/kotlin/oxbowlug/plan/Ranking.kt
@@ -20,7 +20,7 @@
         horizonS: Double,
         postponeFactor: Double,
     ): Double {
-        val longest = job.estimateS
+        val longest = job.runEstimateS
         // Without a deadline the job gets twice its length, counted from now.
         val deadline = job.deadlineInS ?: (2.0 * longest)
         return postponeFactor * job.weight * maxOf(0.0, horizonS + longest - deadline)
--- a/src/main/kotlin/oxbowlug/plan/Snapshot.kt
+++ b/src/main/kotlin/oxbowlug/plan/Snapshot.kt
@@ -23,10 +23,10 @@
     /** Tasks that wait for a machine, in the order in which they should start. */
     val pending: IntArray,
     /** Tasks that are or may be on machines, by zone. */
-    val zoneUse: Map<Zone, Int>,
+    val tasksByZone: Map<Zone, Int>,
     val waitedS: Double,
     /** Estimate of the run time; 0 for services. */
-    val estimateS: Double,
+    val runEstimateS: Double,
     /** Seconds until the deadline; null without one. */
     val deadlineInS: Double?,
     val weight: Double,
--- a/src/main/kotlin/oxbowlug/port/CancellationListener.kt
+++ b/src/main/kotlin/oxbowlug/port/CancellationListener.kt
@@ -15,5 +15,5 @@
     )
 
     /** A user is about to be answered that [id] is cancelled, whichever controller cancelled it. */
-    fun onUserInformed(id: JobId)
+    fun onCancellationAnswered(id: JobId)
 }
--- a/src/main/kotlin/oxbowlug/port/CancellationNotice.kt
+++ b/src/main/kotlin/oxbowlug/port/CancellationNotice.kt
@@ -11,7 +11,7 @@
 )
 
 /** The sender knows the job to be cancelled; and, if it leads, whether the job's attempts are proven terminated. */
-internal data class Acknowledgement(
+internal data class CancellationAcknowledgement(
     val id: JobId,
     val isTerminationProven: Boolean,
 )
@@ -27,6 +27,6 @@
 
     data class Acknowledged(
         override val sender: Member,
-        val items: List<Acknowledgement>,
+        val items: List<CancellationAcknowledgement>,
     ) : CancellationNotice
 }
--- a/src/main/kotlin/oxbowlug/port/CloudPort.kt
+++ b/src/main/kotlin/oxbowlug/port/CloudPort.kt
@@ -39,7 +39,7 @@
     )
 
     /**
-     * Ends the rental of [machines], of which there are at most [oxbowlug.wire.CloudCodec.MAX_RETURNED]. May be
+     * Ends the rental of [machines], of which there are at most [oxbowlug.wire.CloudCodec.MAX_RELEASED]. May be
      * repeated. [done] gets true when the provider confirmed it; false says nothing: it may be executed, or not, or
      * later.
      */
--- a/src/main/kotlin/oxbowlug/port/Invariant.kt
+++ b/src/main/kotlin/oxbowlug/port/Invariant.kt
@@ -11,5 +11,5 @@
     CANCELLED_WORK_IS_STOPPED("cancelled.work.is.stopped"),
 
     /** A task that runs on one machine is not placed on another. */
-    ONE_PLACE_A_TASK("one.place.a.task"),
+    ONE_MACHINE_PER_TASK("one.place.a.task"),
 }
--- a/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerHeartbeat.kt
@@ -10,14 +10,14 @@
     val sender: Member,
     val epoch: Long,
     val leader: Member?,
-    val seesState: Boolean,
+    val reachesState: Boolean,
     /** Milliseconds of the sender's steady clock, comparable only with other heartbeats of the same incarnation. */
-    val atMs: Long = 0,
+    val sendTimeMs: Long = 0,
     val echo: HeartbeatEcho? = null,
     /** Confirmed a cancellation that the leader hasn't acknowledged. */
-    val hasUnacknowledged: Boolean = false,
+    val hasUnacknowledgedCancellations: Boolean = false,
     /** Answered by the state service within the last moments: it may be confirming cancellations now. */
-    val mayConfirm: Boolean = false,
+    val mayConfirmCancellations: Boolean = false,
 )
 
 /**
@@ -26,6 +26,6 @@
  */
 internal data class HeartbeatEcho(
     val leader: Member,
-    val atMs: Long,
+    val sendTimeMs: Long,
     val renewals: Long,
 )
--- a/src/main/kotlin/oxbowlug/port/PeerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/PeerPort.kt
@@ -12,5 +12,5 @@
     )
 
     /** The heartbeat of this controller has changed, and has to be sent at once instead of after its interval. */
-    fun heartbeatChanged()
+    fun broadcastHeartbeat()
 }
--- a/src/main/kotlin/oxbowlug/port/StatePort.kt
+++ b/src/main/kotlin/oxbowlug/port/StatePort.kt
@@ -20,7 +20,7 @@
     data object Refused : CommitOutcome
 
     /** The lease named in it has expired. Surely not executed. */
-    data object LeaseOver : CommitOutcome
+    data object LeaseExpired : CommitOutcome
 
     /** Malformed to the service, or larger than it takes. Surely not executed, and never if sent again unchanged. */
     data object Invalid : CommitOutcome
@@ -36,19 +36,19 @@
     ) : ChangesOutcome
 
     /** The revision asked for is compacted: a full resync is needed. */
-    data object TooOld : ChangesOutcome
+    data object Compacted : ChangesOutcome
 
     /** No answer, or a refusal. The watch may be repeated from the same revision. */
     data object Failed : ChangesOutcome
 }
 
 /** What became of the renewal of a lease. */
-internal enum class TouchOutcome {
+internal enum class LeaseRenewalOutcome {
     /** Renewed for its whole time to live, from some moment after the call was sent. */
     RENEWED,
 
     /** The lease has expired, and the keys bound to it are deleted. */
-    OVER,
+    EXPIRED,
 
     /** No answer, or a refusal: renewed, or not. */
     FAILED,
@@ -86,22 +86,22 @@
     )
 
     /**
-     * A new lease that lives for [lifeMs] unless it is renewed; null if the call failed, and then one may exist unused.
+     * A new lease that lives for [ttlMs] unless it is renewed; null if the call failed, and then one may exist unused.
      */
-    fun grant(
-        lifeMs: Long,
+    fun grantLease(
+        ttlMs: Long,
         done: (Long?) -> Unit,
     )
 
     /** Renews [lease]. */
-    fun touch(
+    fun keepLeaseAlive(
         lease: Long,
-        done: (TouchOutcome) -> Unit,
+        done: (LeaseRenewalOutcome) -> Unit,
     )
 
     /**
      * Ends [lease] at once and so deletes the keys bound to it. Its outcome isn't awaited: unreached, the lease
      * expires.
      */
-    fun release(lease: Long)
+    fun revokeLease(lease: Long)
 }
--- a/src/main/kotlin/oxbowlug/port/WorkerPort.kt
+++ b/src/main/kotlin/oxbowlug/port/WorkerPort.kt
@@ -6,18 +6,18 @@
 import oxbowlug.wire.WorkerHeartbeat
 
 /** What became of a direct command to a worker. */
-internal sealed interface DirectOutcome {
+internal sealed interface CommandOutcome {
     /** Executed, or refused for its token or incarnation: either way the heartbeat is the worker's present account. */
     data class Answered(
         val heartbeat: WorkerHeartbeat,
         val executed: Boolean,
-    ) : DirectOutcome
+    ) : CommandOutcome
 
     /** The connection could not be opened: surely not executed, now or later. */
-    data object NotSent : DirectOutcome
+    data object NotSent : CommandOutcome
 
     /** Sent, but not answered: it may be executed minutes later. */
-    data object Unanswered : DirectOutcome
+    data object Unanswered : CommandOutcome
 }
 
 /** Calls straight to a worker, instead of in an answer to its heartbeat. Callbacks run on the owner's event loop. */
@@ -37,6 +37,6 @@
         token: FencingToken,
         incarnation: Long,
         commands: List<WorkerCommand>,
-        done: (DirectOutcome) -> Unit,
+        done: (CommandOutcome) -> Unit,
     )
 }
--- a/src/main/kotlin/oxbowlug/record/JobRecord.kt
+++ b/src/main/kotlin/oxbowlug/record/JobRecord.kt
@@ -23,7 +23,7 @@
     val nextAttempt: Long,
     val placements: Map<Int, Placement>,
     /** The id of the write, so that its author recognizes its own change when the answer was lost. */
-    val write: String,
+    val writeId: String,
     /** By the time of day, when its user was about to be told; a later leader counts the time allowed from there. */
     val cancelledMs: Long? = null,
     /** In how many parts it is stored beside its head. */
@@ -37,7 +37,7 @@
         if (!done.isEmpty) map[JobFields.DONE] = TaskRanges.encode(done)
         map[JobFields.NEXT_ATTEMPT] = nextAttempt
         if (placements.isNotEmpty()) map[JobFields.PLACEMENTS] = encodePlacements()
-        map[JobFields.WRITE_ID] = write
+        map[JobFields.WRITE_ID] = writeId
         if (cancelledMs != null) map[CANCELLED_AT] = cancelledMs
         return map
     }
@@ -57,9 +57,9 @@
     }
 
     companion object {
-        const val SPEC_BOUND = 2048
-        const val MACHINE_BOUND = 48
-        const val PLACEMENT_BOUND = 12
+        const val MAX_SPEC_BYTES = 2048
+        const val MAX_MACHINE_BYTES = 48
+        const val MAX_PLACEMENT_BYTES = 12
         const val CANCELLED_AT = "cancelled"
 
         fun decode(value: Map<String, Any?>): JobRecord {
@@ -71,7 +71,7 @@
                 done = TaskRanges.decode(fields.textOrNull(JobFields.DONE, Int.MAX_VALUE).orEmpty()),
                 nextAttempt = fields.count(JobFields.NEXT_ATTEMPT),
                 placements = decodePlacements(fields),
-                write = fields.text(JobFields.WRITE_ID),
+                writeId = fields.text(JobFields.WRITE_ID),
                 cancelledMs = if (fields.has(CANCELLED_AT)) fields.count(CANCELLED_AT) else null,
                 partCount = RecordLayout.partCount(value),
             )
--- a/src/main/kotlin/oxbowlug/record/Keys.kt
+++ b/src/main/kotlin/oxbowlug/record/Keys.kt
@@ -15,10 +15,10 @@
     const val PARTS = "ox/p/"
 
     /** What each controller's version reads, by label, kept without a lease: its end doesn't make it unknown. */
-    const val FORMATS = "ox/f/"
+    const val SUPPORTED_FORMATS = "ox/f/"
 
     /** The layout that all controllers read; absent while one of them may read single values only. */
-    const val FORMAT = "ox/format"
+    const val FORMAT_MARKER = "ox/format"
 
     fun job(id: String): String = JOBS + id
 
@@ -27,7 +27,7 @@
         index: Int,
     ): String = "$PARTS$id/$index"
 
-    fun format(label: String): String = FORMATS + label
+    fun format(label: String): String = SUPPORTED_FORMATS + label
 
     /** Null if [key] isn't that of a member. */
     fun memberOf(key: String): Member? {
--- a/src/main/kotlin/oxbowlug/record/RecordLayout.kt
+++ b/src/main/kotlin/oxbowlug/record/RecordLayout.kt
@@ -8,7 +8,7 @@
 import oxbowlug.wire.sizeAsJson
 
 /** A job's record as it is stored: the head decides everything about the job, the parts hold what has no room there. */
-internal class StoredForm(
+internal class StoredRecord(
     val head: Map<String, Any?>,
     val parts: List<Map<String, Any?>>,
 )
@@ -28,10 +28,10 @@
     private val maxParts = minOf(limits.txnOps - 1, MAX_TRANSACTION_BYTES / valueBytes - 1).coerceIn(0, MAX_PARTS)
 
     /** Splits a whole [record]. Null when it is larger than one transaction of such values. */
-    fun split(record: Map<String, Any?>): StoredForm? {
+    fun split(record: Map<String, Any?>): StoredRecord? {
         val whole = LinkedHashMap(record)
         whole.remove(PARTS)
-        if (whole.sizeAsJson() <= valueBytes) return StoredForm(whole, emptyList())
+        if (whole.sizeAsJson() <= valueBytes) return StoredRecord(whole, emptyList())
         val pieces = ArrayList<Piece>()
         val head = LinkedHashMap(whole)
         head.remove(JobFields.PLACEMENTS)
@@ -42,14 +42,14 @@
         addDone(whole, pieces)
         val parts = pack(pieces) ?: return null
         head[PARTS] = parts.size.toLong()
-        return StoredForm(head, parts)
+        return StoredRecord(head, parts)
     }
 
     /**
      * The head alone of a record with the parts that it has in the state service, which stay as they are: a
      * cancellation is written so. Lists of the specification mean nothing to a cancelled job.
      */
-    fun headAlone(record: Map<String, Any?>): Map<String, Any?> {
+    fun headOnly(record: Map<String, Any?>): Map<String, Any?> {
         val head = LinkedHashMap(record)
         head.remove(JobFields.PLACEMENTS)
         head.remove(JobFields.DONE)
@@ -58,7 +58,7 @@
     }
 
     /** The figures of a job that decide how many more of its tasks its record has room for. */
-    class Occupancy(
+    class RecordUsage(
         val tasks: Int,
         val nextAttempt: Long,
         val doneRanges: Int,
@@ -72,7 +72,7 @@
      * How many more tasks may be placed, each on a machine of its own, so that the record fits however the tasks end:
      * those of one machine are one short range at first, and may leave a range each.
      */
-    fun roomForTasks(present: Occupancy): Int {
+    fun maxAdditionalPlacements(present: RecordUsage): Int {
         val taskBytes = present.tasks.toString().length
         val rangeBytes = 2 * taskBytes + RANGE_MARKS
         val machineBytes = present.nameBytes + present.nextAttempt.toString().length + MACHINE_MARKS
--- a/src/main/kotlin/oxbowlug/record/TaskRanges.kt
+++ b/src/main/kotlin/oxbowlug/record/TaskRanges.kt
@@ -5,7 +5,7 @@
 /** Sets of task numbers as text: `0-3,7`. */
 internal object TaskRanges {
     /** The longest text of one range, with its comma. */
-    const val RANGE_BOUND = 14
+    const val MAX_RANGE_BYTES = 14
 
     fun encode(set: BitSet): String =
         buildString {
@@ -34,10 +34,10 @@
     }
 
     /** An upper bound of the length of [encode]. */
-    fun sizeBound(set: BitSet): Int = count(set) * RANGE_BOUND
+    fun maxEncodedBytes(set: BitSet): Int = rangeCount(set) * MAX_RANGE_BYTES
 
     /** How many ranges [encode] writes. */
-    fun count(set: BitSet): Int {
+    fun rangeCount(set: BitSet): Int {
         var ranges = 0
         var from = set.nextSetBit(0)
         while (from >= 0) {
--- a/src/main/kotlin/oxbowlug/record/WritableFormat.kt
+++ b/src/main/kotlin/oxbowlug/record/WritableFormat.kt
@@ -14,7 +14,7 @@
     ;
 
     companion object {
-        /** [value] is that of [Keys.FORMAT], null if it is absent. */
+        /** [value] is that of [Keys.FORMAT_MARKER], null if it is absent. */
         fun ofMarker(value: Map<String, Any?>?): WritableFormat {
             if (value == null) return SINGLE_VALUE
             val format =
--- a/src/main/kotlin/oxbowlug/region/DelegateChoice.kt
+++ b/src/main/kotlin/oxbowlug/region/DelegateSelector.kt
@@ -7,7 +7,7 @@
  * one of its region. A region has more zones than controllers, and without this all work in the zones without one ended
  * with its leases when regions were apart.
  */
-class DelegateChoice(
+class DelegateSelector(
     private val regions: Regions,
     private val zoneOf: Map<String, Zone>,
 ) {
@@ -27,7 +27,7 @@
         if (inZone.isNotEmpty()) return inZone.minBy { it.label }.controller
         val inRegion =
             candidates.filter { candidate ->
-                zoneOf[candidate.label]?.let { regions.areTogether(it, zone) } ?: false
+                zoneOf[candidate.label]?.let { regions.areInSameRegion(it, zone) } ?: false
             }
         return inRegion.minWithOrNull(compareBy<Candidate<T>> { it.load }.thenBy { it.label })?.controller
     }
--- a/src/main/kotlin/oxbowlug/region/Regions.kt
+++ b/src/main/kotlin/oxbowlug/region/Regions.kt
@@ -19,7 +19,7 @@
         zonesByRegion.flatMap { (region, zones) -> zones.map { it to region } }.toMap()
 
     /** Whether these zones are the same or in the same region. */
-    fun areTogether(
+    fun areInSameRegion(
         one: Zone,
         other: Zone,
     ): Boolean = one == other || regionOf[one].let { it != null && it == regionOf[other] }
--- a/src/main/kotlin/oxbowlug/request/Admission.kt
+++ b/src/main/kotlin/oxbowlug/request/Admission.kt
@@ -33,7 +33,7 @@
                     request.fitsIn(type.resources())
             }
         if (!fits) return AdmissionResult.Rejected("a task fits no allowed machine type")
-        if (spec.kind != JobKind.ARRAY && spec.oneZone && spec.zoneCap < spec.tasks) {
+        if (spec.kind != JobKind.ARRAY && spec.oneZone && spec.maxTasksPerZone < spec.tasks) {
             return AdmissionResult.Rejected("its tasks have to be in one zone, and at most half of them may be")
         }
         val concurrentTasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
--- a/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
+++ b/src/main/kotlin/oxbowlug/request/CancellationRequests.kt
@@ -93,7 +93,7 @@
                     answer(UserResponse.Known(JobStatus(id, JobState.CANCELLED, stored.done, 0)))
                 }
                 is CommitOutcome.Conflict, CommitOutcome.Unanswered -> cancel(id, attemptsLeft - 1, answer)
-                CommitOutcome.Refused, CommitOutcome.Invalid, CommitOutcome.LeaseOver ->
+                CommitOutcome.Refused, CommitOutcome.Invalid, CommitOutcome.LeaseExpired ->
                     answer(responder.unavailable("the state service is busy"))
             }
         }
--- a/src/main/kotlin/oxbowlug/request/JobRecordChanges.kt
+++ b/src/main/kotlin/oxbowlug/request/JobRecordChanges.kt
@@ -3,7 +3,7 @@
 import oxbowlug.cache.StateCache
 import oxbowlug.record.Keys
 import oxbowlug.record.RecordLayout
-import oxbowlug.record.StoredForm
+import oxbowlug.record.StoredRecord
 import oxbowlug.record.WritableFormat
 import oxbowlug.wire.Change
 import oxbowlug.wire.JobId
@@ -19,7 +19,7 @@
         id: JobId,
         record: Map<String, Any?>,
     ): List<Change> {
-        val whole = StoredForm(record, emptyList())
+        val whole = StoredRecord(record, emptyList())
         val allowsParts = cache.writableFormat == WritableFormat.HEAD_AND_PARTS
         val form = if (allowsParts) layout.split(record) ?: whole else whole
         return listOf(Change.Put(Keys.job(id.value), form.head)) +
@@ -36,7 +36,7 @@
         record: Map<String, Any?>,
     ): List<Change> =
         if (RecordLayout.partCount(stored) > 0) {
-            listOf(Change.Put(Keys.job(id.value), layout.headAlone(record)))
+            listOf(Change.Put(Keys.job(id.value), layout.headOnly(record)))
         } else {
             put(id, record)
         }
--- a/src/main/kotlin/oxbowlug/request/Submissions.kt
+++ b/src/main/kotlin/oxbowlug/request/Submissions.kt
@@ -146,12 +146,12 @@
         state.commit(transaction) { outcome ->
             val elapsedMs = clock.steadyMs() - now
             concurrency.release(elapsedMs, outcome is CommitOutcome.Applied)
-            meters.committed(elapsedMs)
+            meters.recordCommit(elapsedMs)
             when (outcome) {
                 is CommitOutcome.Applied -> answerCommitted(spec.id, answer)
                 is CommitOutcome.Conflict -> responder.answerExistingJob(spec.id, answer)
                 CommitOutcome.Refused -> answer(responder.unavailable("the state service is busy"))
-                CommitOutcome.Invalid, CommitOutcome.LeaseOver ->
+                CommitOutcome.Invalid, CommitOutcome.LeaseExpired ->
                     answer(responder.unavailable("the state service did not take it"))
                 // Only a read tells whether the commit was applied. A job that is absent may still be stored later, so
                 // the user is asked to retry.
--- a/src/main/kotlin/oxbowlug/request/UserResponder.kt
+++ b/src/main/kotlin/oxbowlug/request/UserResponder.kt
@@ -68,7 +68,7 @@
         stored: CachedJob,
     ): UserResponse {
         if (stored.isUnreadable) return unavailable("the job's record can't be read")
-        if (stored.phase == Phase.CANCELLED) cancellations.onUserInformed(id)
+        if (stored.phase == Phase.CANCELLED) cancellations.onCancellationAnswered(id)
         return UserResponse.Known(stored.status(id))
     }
 
@@ -80,7 +80,7 @@
     /** [reason] is also a metric label, so it must not contain ids. */
     fun unavailable(reason: String): UserResponse {
         log.debug("request unavailable: reason={}", reason)
-        meters.refused(reason)
+        meters.recordRefusal(reason)
         return UserResponse.Unavailable(RETRY_AFTER_S, reason)
     }
 
@@ -89,7 +89,7 @@
         limit: Int,
     ): UserResponse {
         log.debug("submission rejected for overload: inProgress={} limit={}", inProgress, limit)
-        meters.refused("overload")
+        meters.recordRefusal("overload")
         return UserResponse.Overloaded(RETRY_AFTER_S)
     }
 
--- a/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
+++ b/src/main/kotlin/oxbowlug/scaling/MachineScaler.kt
@@ -119,7 +119,7 @@
                     if (now > rental.firstRequestedAt + timing.orderTimeoutMs) pendingRentals.remove(rental)
                 }
             }
-            cluster.planWanted = true
+            cluster.needsReplan = true
         }
     }
 
@@ -144,7 +144,7 @@
     }
 
     private fun releaseBatch() {
-        val batch = toRelease.take(CloudCodec.MAX_RETURNED)
+        val batch = toRelease.take(CloudCodec.MAX_RELEASED)
         log.info("release requested: machines={} {}", batch, decisions.describe())
         isReleaseInFlight = true
         cloud.releaseMachines(batch) { ok ->
@@ -167,7 +167,7 @@
             isListInFlight = false
             nextListAt = clock.steadyMs() + if (machines == null) timing.retryMs() * 2 else timing.machineListIntervalMs
             if (machines != null) {
-                if (!hasInventory) cluster.planWanted = true
+                if (!hasInventory) cluster.needsReplan = true
                 hasInventory = true
                 applyList(machines, requestedAt, types)
             }
@@ -184,7 +184,7 @@
         for (listed in machines) {
             present.add(listed.id)
             val machine = cluster.machine(listed.id) ?: continue
-            if (machine.listed == null) cluster.planWanted = true
+            if (machine.listed == null) cluster.needsReplan = true
             machine.listed = listed.state
             machine.listedAt = now
             if (machine.type == null) {
--- a/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/AvailableMachines.kt
@@ -4,7 +4,7 @@
 import oxbowlug.cluster.Machine
 import oxbowlug.cluster.TaskAttempt
 import oxbowlug.plan.PlanMachine
-import oxbowlug.plan.Tenant
+import oxbowlug.plan.PlacedTask
 import oxbowlug.resource.Resources
 import oxbowlug.resource.fetchS
 import oxbowlug.scaling.PendingRental
@@ -51,12 +51,12 @@
             images = machine.images,
             fetching = machine.fetching(),
             isEmpty = machine.attempts.isEmpty(),
-            leaving = usageOfUnwantedAttempts(machine),
-            tenants =
+            stoppingUsage = usageOfUnwantedAttempts(machine),
+            placedTasks =
                 lazy(LazyThreadSafetyMode.NONE) {
                     machine.attempts.values.map { tenant(it, type, zoneTaskCounts, now) }
                 },
-            leastUrgent = leastUrgent(machine),
+            lowestPriority = lowestPriority(machine),
         )
     }
 
@@ -100,8 +100,8 @@
         val result = HashMap<MachineId, Resources>()
         for (job in cluster.jobs.values) {
             for (attempt in job.attempts.values) {
-                val target = attempt.target ?: continue
-                if (attempt.stopReason != null) result.merge(target, job.need, Resources::plus)
+                val moveTarget = attempt.moveTarget ?: continue
+                if (attempt.stopReason != null) result.merge(moveTarget, job.need, Resources::plus)
             }
         }
         return result
@@ -114,7 +114,7 @@
     }
 
     /** The lowest priority among the wanted attempts, or null if there is none. Lower priorities compare greater. */
-    private fun leastUrgent(machine: Machine): Priority? {
+    private fun lowestPriority(machine: Machine): Priority? {
         var least: Priority? = null
         for (attempt in machine.attempts.values) {
             val priority = attempt.job.priority
@@ -128,13 +128,13 @@
         type: MachineType,
         zoneTaskCounts: ZoneTaskCounts,
         now: Long,
-    ): Tenant {
+    ): PlacedTask {
         val spec = attempt.job.spec
         val ranS = if (attempt.workerState == TaskState.RUNNING) (now - attempt.runningSince) / 1000.0 else 0.0
-        return Tenant(
+        return PlacedTask(
             attempt = attempt.id,
             spec = spec,
-            zoneUse = zoneTaskCounts.of(attempt.job),
+            tasksByZone = zoneTaskCounts.of(attempt.job),
             ranS = ranS,
             fetchS = type.fetchS(spec),
             weight = weights.of(spec.className),
@@ -152,7 +152,7 @@
         val request = rental.request
         val type = types[request.type] ?: return emptyList()
         val readyInS = maxOf(MIN_DELAY_S, type.bootS - (now - rental.firstRequestedAt) / 1000.0)
-        return List(request.count) { PlanMachine.pendingOrders(type, request.zone, request.spot, readyInS) }
+        return List(request.count) { PlanMachine.forRental(type, request.zone, request.spot, readyInS) }
     }
 
     private companion object {
--- a/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/InheritedPriority.kt
@@ -66,7 +66,7 @@
             types.minOfOrNull { type ->
                 if (type.fetchGbPerS > 0.0) job.spec.imageGb / type.fetchGbPerS else 0.0
             } ?: 0.0
-        return ((job.spec.estimateS + fetchS) * MS_PER_S).toLong()
+        return ((job.spec.runEstimateS + fetchS) * MS_PER_S).toLong()
     }
 
     /** The earlier of two times, of which null means no limit. */
--- a/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/PendingJobs.kt
@@ -23,7 +23,7 @@
         zoneTaskCounts: ZoneTaskCounts,
         now: Long,
     ): PlanJob? {
-        if (job.phase != Phase.ACTIVE || now < job.holdUntil) return null
+        if (job.phase != Phase.ACTIVE || now < job.backoffUntil) return null
         val readyMs = job.readyMs ?: return null
         // A gang restarts only as a whole: its remaining tasks exit by themselves once their peers are gone.
         if (job.spec.kind == JobKind.GANG && job.attempts.isNotEmpty()) return null
@@ -38,9 +38,9 @@
             id = job.id,
             spec = job.spec,
             pending = pending,
-            zoneUse = zoneTaskCounts.of(job),
+            tasksByZone = zoneTaskCounts.of(job),
             waitedS = waitedS,
-            estimateS = if (job.spec.kind == JobKind.SERVICE) 0.0 else job.spec.estimateS,
+            runEstimateS = if (job.spec.kind == JobKind.SERVICE) 0.0 else job.spec.runEstimateS,
             deadlineInS = job.latestEndMs?.let { (it - nowMs) / 1000.0 },
             weight = weights.of(job.spec.className),
             avoid = job.avoid.keys,
@@ -61,9 +61,9 @@
                 // With twice the tasks, the zone cap of a spread job doesn't limit the reservation.
                 spec = example.copy(tasks = count * 2, zone = null, oneZone = false),
                 pending = IntArray(count) { it },
-                zoneUse = emptyMap(),
+                tasksByZone = emptyMap(),
                 waitedS = 0.0,
-                estimateS = 0.0,
+                runEstimateS = 0.0,
                 deadlineInS = null,
                 weight = weights.of(example.className),
                 avoid = emptySet(),
--- a/src/main/kotlin/oxbowlug/scheduling/RecordCapacity.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/RecordCapacity.kt
@@ -26,21 +26,21 @@
     /** How many more tasks of [job] may be placed so that its record fits the limit in whatever order they end. */
     fun maxAdditionalTasks(job: Job): Int {
         if (writableFormat() == WritableFormat.HEAD_AND_PARTS) return maxAdditionalTasksInParts(job)
-        val taskBytes = JobRecord.PLACEMENT_BOUND + TaskRanges.RANGE_BOUND
-        val availableBytes = valueLimitBytes - JobRecord.SPEC_BOUND - TaskRanges.sizeBound(job.done)
+        val taskBytes = JobRecord.MAX_PLACEMENT_BYTES + TaskRanges.MAX_RANGE_BYTES
+        val availableBytes = valueLimitBytes - JobRecord.MAX_SPEC_BYTES - TaskRanges.maxEncodedBytes(job.done)
         // A record names no more machines than the cluster has, and no more than it has tasks. Either bound is safe.
-        val boundByMachines = (availableBytes - cluster.machines.size * JobRecord.MACHINE_BOUND) / taskBytes
-        val boundByTasks = availableBytes / (taskBytes + JobRecord.MACHINE_BOUND)
+        val boundByMachines = (availableBytes - cluster.machines.size * JobRecord.MAX_MACHINE_BYTES) / taskBytes
+        val boundByTasks = availableBytes / (taskBytes + JobRecord.MAX_MACHINE_BYTES)
         return (maxOf(boundByMachines, boundByTasks) - job.attempts.size).coerceAtLeast(0)
     }
 
     /** As [maxAdditionalTasks], for a record that may be split into a head and parts. */
     private fun maxAdditionalTasksInParts(job: Job): Int {
         val occupancy =
-            RecordLayout.Occupancy(
+            RecordLayout.RecordUsage(
                 tasks = job.spec.tasks,
                 nextAttempt = job.nextAttempt,
-                doneRanges = TaskRanges.count(job.done),
+                doneRanges = TaskRanges.rangeCount(job.done),
                 placed = job.attempts.size,
                 machines =
                     job.attempts.values
@@ -49,7 +49,7 @@
                 nameBytes = machineNameBytes,
             )
         // One task at a time is always allowed, or a job with many ranges of done tasks could never finish.
-        return recordLayout.roomForTasks(occupancy).coerceAtLeast(if (job.attempts.isEmpty()) 1 else 0)
+        return recordLayout.maxAdditionalPlacements(occupancy).coerceAtLeast(if (job.attempts.isEmpty()) 1 else 0)
     }
 
     /** The length of the longest machine name without the prefix that all names share. */
--- a/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
+++ b/src/main/kotlin/oxbowlug/scheduling/SchedulingRound.kt
@@ -86,7 +86,7 @@
             val team = teams[job.spec.team] ?: continue
             for (attempt in job.attempts.values) {
                 team.add(need)
-                if (!attempt.isWanted) team.expectStop(need)
+                if (!attempt.isWanted) team.addStopping(need)
             }
         }
         return teams
@@ -146,7 +146,7 @@
             cluster.place(job, start.task, machine)
             placedJobs.add(job)
         }
-        for (job in placedJobs) job.nextRound()
+        for (job in placedJobs) job.advanceAttemptNumber()
         for (id in plan.stops) {
             val attempt = currentAttempt(id) ?: continue
             cluster.stop(attempt, StopReason.PREEMPTED, plan.targets[id])
--- a/src/main/kotlin/oxbowlug/state/StateClient.kt
+++ b/src/main/kotlin/oxbowlug/state/StateClient.kt
@@ -9,14 +9,14 @@
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
 import oxbowlug.port.StatePort
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.ReadPage
-import oxbowlug.wire.StoreCodec
+import oxbowlug.wire.StateCodec
 import oxbowlug.wire.Transaction
 
 /**
- * The state service over HTTP. [settle] brings outcomes back to the controller's event queue. A malformed answer counts
+ * The state service over HTTP. [runOnEventLoop] brings outcomes back to the controller's event queue. A malformed answer counts
  * as none. Times are in milliseconds; a read of changes may be answered later than [timeoutMs] by its own wait.
  */
 internal class StateClient(
@@ -24,12 +24,12 @@
     private val http: HttpCaller,
     private val scope: CoroutineScope,
     private val timeoutMs: Long,
-    private val settle: (() -> Unit) -> Unit,
+    private val runOnEventLoop: (() -> Unit) -> Unit,
 ) : StatePort {
     override fun commit(
         transaction: Transaction,
         done: (CommitOutcome) -> Unit,
-    ) = call(HttpMethod.POST, "/commit", StoreCodec.encode(transaction), timeoutMs, done) { result ->
+    ) = call(HttpMethod.POST, "/commit", StateCodec.encode(transaction), timeoutMs, done) { result ->
         when (result) {
             is CallResult.Answered -> commitOutcome(result)
             CallResult.NotSent -> CommitOutcome.Refused
@@ -40,9 +40,9 @@
     private fun commitOutcome(result: CallResult.Answered): CommitOutcome {
         val body = result.body
         return when (result.status) {
-            OK -> body?.let { CommitOutcome.Applied(StoreCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
-            CONFLICT -> CommitOutcome.Conflict(body?.let(StoreCodec::decodeFailed).orEmpty())
-            BAD_REQUEST -> if (StoreCodec.isLeaseOver(body)) CommitOutcome.LeaseOver else CommitOutcome.Invalid
+            OK -> body?.let { CommitOutcome.Applied(StateCodec.decodeRevision(it)) } ?: CommitOutcome.Unanswered
+            CONFLICT -> CommitOutcome.Conflict(body?.let(StateCodec::decodeFailedConditions).orEmpty())
+            BAD_REQUEST -> if (StateCodec.isLeaseExpired(body)) CommitOutcome.LeaseExpired else CommitOutcome.Invalid
             TOO_MANY_REQUESTS, UNAVAILABLE -> CommitOutcome.Refused
             else -> CommitOutcome.Unanswered
         }
@@ -55,7 +55,7 @@
     ) {
         val from = if (after == null) "" else "&from=$after"
         call(HttpMethod.GET, "/store?prefix=$prefix$from&limit=$PAGE_ENTRIES", null, timeoutMs, done) { result ->
-            result.bodyOf(OK)?.let(StoreCodec::decodePage)
+            result.bodyOf(OK)?.let(StateCodec::decodePage)
         }
     }
 
@@ -69,32 +69,32 @@
         call(HttpMethod.GET, path, null, timeoutMs + waitMs, done) { result ->
             val body = result.bodyOf(OK)
             when {
-                body != null -> ChangesOutcome.Read(StoreCodec.decodeChanges(body))
-                result is CallResult.Answered && result.status == GONE -> ChangesOutcome.TooOld
+                body != null -> ChangesOutcome.Read(StateCodec.decodeChanges(body))
+                result is CallResult.Answered && result.status == GONE -> ChangesOutcome.Compacted
                 else -> ChangesOutcome.Failed
             }
         }
     }
 
-    override fun grant(
-        lifeMs: Long,
+    override fun grantLease(
+        ttlMs: Long,
         done: (Long?) -> Unit,
-    ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to lifeMs), timeoutMs, done) { result ->
-        result.bodyOf(OK)?.let(StoreCodec::decodeLease)
+    ) = call(HttpMethod.POST, "/holds", mapOf("life_ms" to ttlMs), timeoutMs, done) { result ->
+        result.bodyOf(OK)?.let(StateCodec::decodeLease)
     }
 
-    override fun touch(
+    override fun keepLeaseAlive(
         lease: Long,
-        done: (TouchOutcome) -> Unit,
+        done: (LeaseRenewalOutcome) -> Unit,
     ) = call(HttpMethod.POST, "/holds/$lease/touch", emptyMap(), timeoutMs, done) { result ->
         when {
-            result is CallResult.Answered && result.status == OK -> TouchOutcome.RENEWED
-            result is CallResult.Answered && result.status == NOT_FOUND -> TouchOutcome.OVER
-            else -> TouchOutcome.FAILED
+            result is CallResult.Answered && result.status == OK -> LeaseRenewalOutcome.RENEWED
+            result is CallResult.Answered && result.status == NOT_FOUND -> LeaseRenewalOutcome.EXPIRED
+            else -> LeaseRenewalOutcome.FAILED
         }
     }
 
-    override fun release(lease: Long) = call(HttpMethod.DELETE, "/holds/$lease", null, timeoutMs, {}) {}
+    override fun revokeLease(lease: Long) = call(HttpMethod.DELETE, "/holds/$lease", null, timeoutMs, {}) {}
 
     private fun <T> call(
         method: HttpMethod,
@@ -113,7 +113,7 @@
                     // A malformed answer counts as none.
                     read(CallResult.Unanswered)
                 }
-            settle { done(outcome) }
+            runOnEventLoop { done(outcome) }
         }
     }
 
--- a/src/main/kotlin/oxbowlug/timing/Timing.kt
+++ b/src/main/kotlin/oxbowlug/timing/Timing.kt
@@ -9,7 +9,7 @@
     private val random: Random,
 ) {
     private val workerLeaseMs = settings.workers.leaseS * 1000.0
-    private val heartbeatMs = settings.workers.heartbeatS * 1000.0
+    private val heartbeatMs = settings.workers.heartbeatIntervalS * 1000.0
 
     private val writeRps = settings.state.writeRps
 
@@ -66,25 +66,25 @@
     val delegateIdleMs: Long = (delegateActivationMs * (1.0 - maxClockDrift)).toLong() - 2 * TIMER_SLACK_MS
 
     /** Time from the confirmation of a cancellation to its user until all tasks of the job have to have ended. */
-    val cancelDeadlineMs: Long = (settings.workers.cancelS * 1000.0).toLong()
+    val cancelDeadlineMs: Long = (settings.workers.cancelDeadlineS * 1000.0).toLong()
 
     /** The leader releases a machine that may still run cancelled work after this: half of [cancelDeadlineMs]. */
-    val cancelReleaseAfterMs: Long = (settings.workers.cancelS * 500.0).toLong()
+    val cancelReleaseAfterMs: Long = (settings.workers.cancelDeadlineS * 500.0).toLong()
 
     /**
      * The same for machines of a partitioned zone: 85% of [cancelDeadlineMs], because the partition may heal in time
      * and the machines run much other work.
      */
-    val partitionedCancelReleaseAfterMs: Long = (settings.workers.cancelS * 850.0).toLong()
+    val partitionedCancelReleaseAfterMs: Long = (settings.workers.cancelDeadlineS * 850.0).toLong()
 
     /** Followers enforce a cancellation that the leader hasn't acknowledged after this: 20% of [cancelDeadlineMs]. */
-    val enforceAfterMs: Long = (settings.workers.cancelS * 200.0).toLong()
+    val enforceAfterMs: Long = (settings.workers.cancelDeadlineS * 200.0).toLong()
 
     /** Delay from one follower's enforcement of a cancellation to the next follower's, to avoid duplicate calls. */
-    val enforceStaggerMs: Long = (settings.workers.cancelS * 50.0).toLong()
+    val enforceStaggerMs: Long = (settings.workers.cancelDeadlineS * 50.0).toLong()
 
     /** Followers release machines that may still run cancelled work after this, which leaves time for a cloud call. */
-    val enforceByReleaseAfterMs: Long = (settings.workers.cancelS * 850.0).toLong()
+    val enforceByReleaseAfterMs: Long = (settings.workers.cancelDeadlineS * 850.0).toLong()
 
     /**
      * How long a controller without the state service may renew workers' leases after the last moment as of which it
--- a/src/main/kotlin/oxbowlug/wire/Answers.kt
+++ b/src/main/kotlin/oxbowlug/wire/Answers.kt
@@ -19,7 +19,7 @@
 )
 
 /** Bodies of the answers to users, and of redirects of workers. */
-object AnswerCodec {
+object ResponseCodec {
     /** The answer to a submission that was accepted now, or to a cancellation. */
     fun accepted(view: JobStatus): Map<String, Any?> = mapOf("id" to view.id.value, "stance" to view.state.wire)
 
--- a/src/main/kotlin/oxbowlug/wire/Cloud.kt
+++ b/src/main/kotlin/oxbowlug/wire/Cloud.kt
@@ -52,7 +52,7 @@
 /** Requests to the cloud and its answers. */
 object CloudCodec {
     const val MAX_RENTED = 50
-    const val MAX_RETURNED = 100
+    const val MAX_RELEASED = 100
     const val MAX_LISTED = 500
 
     /** The catalogue. Throws [InvalidField], as all of these decoders do. */
@@ -86,7 +86,7 @@
     fun decodeRented(map: Map<String, Any?>): List<MachineId> = map.fields().texts("herd", MAX_LISTED).map(::MachineId)
 
     /** The body of a release. */
-    fun encodeReturn(machines: List<MachineId>): Map<String, Any?> = mapOf("herd" to machines.map { it.value })
+    fun encodeRelease(machines: List<MachineId>): Map<String, Any?> = mapOf("herd" to machines.map { it.value })
 
     /** A page of the list, and whether more follow. */
     fun decodeList(map: Map<String, Any?>): Pair<List<ListedMachine>, Boolean> {
--- a/src/main/kotlin/oxbowlug/wire/JobSpec.kt
+++ b/src/main/kotlin/oxbowlug/wire/JobSpec.kt
@@ -42,7 +42,7 @@
     val oneZone: Boolean,
     val spread: Boolean,
     val spot: Boolean,
-    val estimateS: Double,
+    val runEstimateS: Double,
     val checkpointS: Double,
     val saveS: Double,
     val deadlineS: Double?,
@@ -50,7 +50,7 @@
     val dependsOn: List<JobId> = emptyList(),
 ) {
     /** Under [spread], the most tasks that one zone may hold: half of them, rounded up. */
-    val zoneCap: Int get() = if (spread) (tasks + 1) / 2 else tasks
+    val maxTasksPerZone: Int get() = if (spread) (tasks + 1) / 2 else tasks
 
     val savesWork: Boolean get() = checkpointS > 0.0
 }
@@ -89,7 +89,7 @@
             oneZone = fields.flag("same_place"),
             spread = fields.flag("scatter"),
             spot = fields.flag("stray"),
-            estimateS = fields.amount("haul_s", MAX_SECONDS),
+            runEstimateS = fields.amount("haul_s", MAX_SECONDS),
             checkpointS = fields.amount("rest_s", MAX_SECONDS),
             saveS = fields.amount("stow_s", MAX_SECONDS),
             deadlineS = fields.amountOrNull("dusk_s"),
@@ -116,7 +116,7 @@
         map["same_place"] = spec.oneZone
         map["scatter"] = spec.spread
         map["stray"] = spec.spot
-        map["haul_s"] = spec.estimateS
+        map["haul_s"] = spec.runEstimateS
         map["rest_s"] = spec.checkpointS
         map["stow_s"] = spec.saveS
         spec.deadlineS?.let { map["dusk_s"] = it }
--- a/src/main/kotlin/oxbowlug/wire/Store.kt
+++ b/src/main/kotlin/oxbowlug/wire/Store.kt
@@ -57,7 +57,7 @@
 )
 
 /** Requests to the state service and its answers. */
-object StoreCodec {
+object StateCodec {
     const val MAX_PAGE = 1000
 
     /** The body of a commit. */
@@ -105,10 +105,10 @@
     fun decodeRevision(map: Map<String, Any?>): Long = map.fields().count("ledger")
 
     /** The keys whose conditions failed. */
-    fun decodeFailed(map: Map<String, Any?>): List<String> = map.fields().texts("failed", MAX_PAGE)
+    fun decodeFailedConditions(map: Map<String, Any?>): List<String> = map.fields().texts("failed", MAX_PAGE)
 
     /** Whether a transaction was refused for its lease, rather than for its size or form. */
-    fun isLeaseOver(body: Map<String, Any?>?): Boolean = body?.get("error") == "no such lease"
+    fun isLeaseExpired(body: Map<String, Any?>?): Boolean = body?.get("error") == "no such lease"
 
     /** The lease that was granted. */
     fun decodeLease(map: Map<String, Any?>): Long = map.fields().count("tether")
--- a/src/main/kotlin/oxbowlug/wire/Worker.kt
+++ b/src/main/kotlin/oxbowlug/wire/Worker.kt
@@ -46,7 +46,7 @@
     val incarnation: Long,
     val sequence: Long,
     val token: FencingToken,
-    val noticeS: Double?,
+    val interruptionNoticeS: Double?,
     val tasks: List<TaskStatus>,
 ) {
     /** Whether this is newer than the message of that incarnation and sequence. */
@@ -95,7 +95,7 @@
             incarnation = fields.count("shift"),
             sequence = fields.count("tally"),
             token = FencingToken(fields.countOr("brand", 0)),
-            noticeS = fields.amountOrNull("whistle_s"),
+            interruptionNoticeS = fields.amountOrNull("whistle_s"),
             tasks = tasks.map(::decodeTask),
         )
     }
@@ -113,13 +113,13 @@
     }
 
     /** The answer to a heartbeat, which renews the worker's lease. */
-    fun encodeAnswer(
+    fun encodeResponse(
         token: FencingToken,
         commands: List<WorkerCommand>,
     ): Map<String, Any?> = mapOf("brand" to token.value, "calls" to commands.map(::encodeCommand))
 
     /** Commands sent straight to a worker, valid for [incarnation] of it under [token]. */
-    fun encodeDirect(
+    fun encodeDirectCommands(
         token: FencingToken,
         incarnation: Long,
         commands: List<WorkerCommand>,
--- a/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
+++ b/src/main/kotlin/oxbowlug/worker/WorkerClient.kt
@@ -6,7 +6,7 @@
 import oxbowlug.config.Address
 import oxbowlug.http.CallResult
 import oxbowlug.http.HttpCaller
-import oxbowlug.port.DirectOutcome
+import oxbowlug.port.CommandOutcome
 import oxbowlug.port.WorkerPort
 import oxbowlug.wire.FencingToken
 import oxbowlug.wire.InvalidField
@@ -14,29 +14,29 @@
 import oxbowlug.wire.WorkerCommand
 import oxbowlug.wire.WorkerHeartbeat
 
-/** Calls straight to a worker's address over HTTP. [settle] brings outcomes back to the owner's event loop. */
+/** Calls straight to a worker's address over HTTP. [runOnEventLoop] brings outcomes back to the owner's event loop. */
 internal class WorkerClient(
     private val http: HttpCaller,
     private val scope: CoroutineScope,
     private val timeoutMs: Long,
-    private val settle: (() -> Unit) -> Unit,
+    private val runOnEventLoop: (() -> Unit) -> Unit,
 ) : WorkerPort {
     override fun command(
         endpoint: Address,
         token: FencingToken,
         incarnation: Long,
         commands: List<WorkerCommand>,
-        done: (DirectOutcome) -> Unit,
+        done: (CommandOutcome) -> Unit,
     ) {
         scope.launch {
-            val body = WorkerCodec.encodeDirect(token, incarnation, commands)
+            val body = WorkerCodec.encodeDirectCommands(token, incarnation, commands)
             val outcome =
                 when (val result = http.call(endpoint, HttpMethod.POST, "/do", body, timeoutMs)) {
                     is CallResult.Answered -> read(result)
-                    CallResult.NotSent -> DirectOutcome.NotSent
-                    CallResult.Unanswered -> DirectOutcome.Unanswered
+                    CallResult.NotSent -> CommandOutcome.NotSent
+                    CallResult.Unanswered -> CommandOutcome.Unanswered
                 }
-            settle { done(outcome) }
+            runOnEventLoop { done(outcome) }
         }
     }
 
@@ -48,21 +48,21 @@
             val result = http.call(endpoint, HttpMethod.GET, "/status", null, timeoutMs)
             val heartbeat =
                 if (result is CallResult.Answered && result.status == 200) {
-                    (read(result) as? DirectOutcome.Answered)?.heartbeat
+                    (read(result) as? CommandOutcome.Answered)?.heartbeat
                 } else {
                     null
                 }
-            settle { done(heartbeat) }
+            runOnEventLoop { done(heartbeat) }
         }
     }
 
-    private fun read(result: CallResult.Answered): DirectOutcome {
-        val body = result.body ?: return DirectOutcome.Unanswered
-        if (result.status != 200 && result.status != 409) return DirectOutcome.Unanswered
+    private fun read(result: CallResult.Answered): CommandOutcome {
+        val body = result.body ?: return CommandOutcome.Unanswered
+        if (result.status != 200 && result.status != 409) return CommandOutcome.Unanswered
         return try {
-            DirectOutcome.Answered(WorkerCodec.decodeHeartbeat(body), executed = result.status == 200)
+            CommandOutcome.Answered(WorkerCodec.decodeHeartbeat(body), executed = result.status == 200)
         } catch (_: InvalidField) {
-            DirectOutcome.Unanswered
+            CommandOutcome.Unanswered
         }
     }
 }
--- a/src/scale/kotlin/oxbowlug/scale/Arrivals.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Arrivals.kt
@@ -1,13 +1,13 @@
 package oxbowlug.scale
 
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import kotlin.math.ceil
 import kotlin.math.roundToInt
 
 /** Submits the jobs of a day at its rate, and those of the peak. */
 internal class Arrivals(
     private val options: ScaleOptions,
-    private val world: World,
+    private val time: VirtualTime,
     private val plan: FleetPlan,
     private val fleet: HollowFleet,
     private val users: Users,
@@ -30,7 +30,7 @@
 
     private fun next() {
         val meanMs = MS / jobsPerSecond
-        world.after(world.between((meanMs / 2).toLong(), (meanMs * 3 / 2).toLong())) {
+        time.after(time.between((meanMs / 2).toLong(), (meanMs * 3 / 2).toLong())) {
             submitOne()
             next()
         }
@@ -39,11 +39,11 @@
     /** Urgent replicas and short arrays in turn; the replicas are wanted for a while only. */
     private fun submitOne() {
         if (count++ % 2 == 0) {
-            submit(plan.batchJob(world.between(BATCH_TASKS).toInt(), BATCH_RUN_S))
+            submit(plan.batchJob(time.between(BATCH_TASKS).toInt(), BATCH_RUN_S))
             return
         }
-        val job = plan.urgentJob(world.between(URGENT_TASKS).toInt())
-        submit(job) { world.after(URGENT_LIFE_MS) { users.cancel(job.spec.id) } }
+        val job = plan.urgentJob(time.between(URGENT_TASKS).toInt())
+        submit(job) { time.after(URGENT_LIFE_MS) { users.cancel(job.spec.id) } }
     }
 
     fun submit(job: PlannedJob, onAccepted: () -> Unit = {}) {
@@ -58,7 +58,7 @@
         val jobs = (wanted / tasks).roundToInt().coerceAtLeast(1)
         repeat(jobs) { index ->
             askedStarts += tasks
-            world.after((index * seconds * MS / jobs).toLong()) { submit(plan.batchJob(tasks, PEAK_RUN_S)) }
+            time.after((index * seconds * MS / jobs).toLong()) { submit(plan.batchJob(tasks, PEAK_RUN_S)) }
         }
     }
 
--- a/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/CloudServer.kt
@@ -5,7 +5,7 @@
 import io.vertx.core.http.HttpMethod
 import oxbowlug.port.RentalOutcome
 import oxbowlug.standin.SimCloud
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.CloudCodec
 import oxbowlug.wire.MachineId
 import oxbowlug.wire.RentalRequest
@@ -15,13 +15,13 @@
 
 /** The cloud over HTTP: one address for each controller, which is told the worker addresses that are its own. */
 internal class CloudServer(
-    world: World,
+    time: VirtualTime,
     private val cloud: SimCloud,
     private val network: Network,
     private val traffic: Traffic,
     rps: Double,
 ) {
-    private val requests = RequestLimit(world, rps, BURST_S)
+    private val requests = RequestLimit(time, rps, BURST_S)
 
     fun start(vertx: Vertx, topology: Topology): List<Future<*>> = topology.controllers.map { controller ->
         vertx.serveCbor(controller.cloudHost, topology.ports.cloud) { exchange ->
@@ -44,7 +44,7 @@
             "/rentals" ->
                 if (exchange.request.method() == HttpMethod.POST) rent(exchange) else list(exchange, controller, port)
             "/rentals/return" -> {
-                cloud.returnMachines(exchange.body().fields().texts("herd", CloudCodec.MAX_RETURNED).map(::MachineId))
+                cloud.returnMachines(exchange.body().fields().texts("herd", CloudCodec.MAX_RELEASED).map(::MachineId))
                 Status.OK to emptyMap()
             }
             else -> Status.NOT_FOUND to emptyMap()
--- a/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
+++ b/src/scale/kotlin/oxbowlug/scale/FleetPlan.kt
@@ -72,7 +72,7 @@
 
     fun batchJob(tasks: Int, runS: Double): PlannedJob {
         val spec = spec("batch", JobKind.ARRAY, Priority.NORMAL, tasks, cores = 1.0, gpus = 0.0)
-        return PlannedJob(spec.copy(estimateS = runS, deadlineS = runS * DEADLINE_RUNS), (runS * MS).toLong())
+        return PlannedJob(spec.copy(runEstimateS = runS, deadlineS = runS * DEADLINE_RUNS), (runS * MS).toLong())
     }
 
     private fun spec(
@@ -101,7 +101,7 @@
             oneZone = false,
             spread = kind == JobKind.SERVICE && tasks > 1 && zones.size > 1,
             spot = false,
-            estimateS = 0.0,
+            runEstimateS = 0.0,
             checkpointS = 0.0,
             saveS = 0.0,
             deadlineS = null,
--- a/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowFleet.kt
@@ -2,11 +2,11 @@
 
 import oxbowlug.standin.HeartbeatPacing
 import oxbowlug.standin.HeartbeatTarget
-import oxbowlug.standin.JobBook
-import oxbowlug.standin.Rules
+import oxbowlug.standin.SimJobs
+import oxbowlug.standin.InvariantChecker
 import oxbowlug.standin.SimCloud
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.AttemptId
 import oxbowlug.wire.JobSpec
 import oxbowlug.wire.MachineId
@@ -20,14 +20,14 @@
 internal class HollowFleet(
     private val options: ScaleOptions,
     private val topology: Topology,
-    private val world: World,
+    private val time: VirtualTime,
     private val plan: FleetPlan,
     private val connections: ReportConnections,
     /** Whether a stored record names the attempt. */
     isStored: (AttemptId) -> Boolean = { true },
-) : JobBook {
+) : SimJobs {
     private val cancelMs = (options.leaseS * ControllerFiles.CANCEL_LEASES * MS).toLong()
-    val rules = Rules(world, plan.teams.associate { it.name to it.maxGpus }, cancelMs, isStored)
+    val checker = InvariantChecker(time, plan.teams.associate { it.name to it.maxGpus }, cancelMs, isStored)
     private val leaseMs = (options.leaseS * MS).toLong()
     private val reportMs = (options.heartbeatS * MS).toLong()
     private val runMs = HashMap<String, Long>()
@@ -43,22 +43,22 @@
 
     /** A tenth more than there are at the start can be rented. */
     private val capacity = options.workers + options.workers / SPARE_PART + 1
-    val cloud = SimCloud(world, plan.types, capacity, FleetPlan.LIST_LAG_MS, ::makeWorker)
+    val cloud = SimCloud(time, plan.types, capacity, FleetPlan.LIST_LAG_MS, ::makeWorker)
 
     /** All machines are up at the start, and begin to report over one interval. */
     fun boot() {
         for (index in 0 until options.workers) {
             val id = MachineId("host-%06d".format(index))
-            cloud.add(id, plan.typeOf(index), plan.zoneOf(index), spot = false, bootMs = world.between(0, reportMs))
+            cloud.add(id, plan.typeOf(index), plan.zoneOf(index), spot = false, bootMs = time.between(0, reportMs))
         }
-        cloud.skipNames(options.workers)
+        cloud.skipIds(options.workers)
     }
 
     private fun makeWorker(id: MachineId, type: MachineType, zone: Zone, spot: Boolean): SimWorker {
         val number = WorkerAddresses.numberOf(id.value)
         val targets = connections.targets(number, zone, topology.controllers)
         return SimWorker(
-            world, this, { targets }, id, type, zone, spot, leaseMs, HeartbeatPacing.AsPublished(reportMs),
+            time, this, { targets }, id, type, zone, spot, leaseMs, HeartbeatPacing.Protocol(reportMs),
             onSent = { report -> onReportSent(report, targets) },
             endpoint = "${WorkerAddresses.host(number, 0)}:${topology.ports.workers}",
         )
@@ -67,23 +67,23 @@
     fun expect(job: PlannedJob) {
         val id = job.spec.id.value
         runMs[id] = job.runMs
-        askedAt[id] = world.nowMs
+        askedAt[id] = time.nowMs
     }
 
-    override fun spec(job: String): JobSpec? = rules.jobs[job]?.spec
+    override fun spec(job: String): JobSpec? = checker.jobs[job]?.spec
 
     override fun runMs(job: String): Long = runMs.getValue(job)
 
     override fun onStarted(machine: SimWorker, attempt: AttemptId) {
         starts++
-        rules.started(machine, attempt)
+        checker.started(machine, attempt)
         val id = attempt.task.job.value
         if (attempt.number == FIRST_ATTEMPT && spec(id)?.priority == Priority.HIGH) {
-            urgentStart.record(world.nowMs - askedAt.getValue(id))
+            urgentStart.record(time.nowMs - askedAt.getValue(id))
         }
     }
 
-    override fun onDone(attempt: AttemptId) = rules.done(attempt)
+    override fun onDone(attempt: AttemptId) = checker.done(attempt)
 
     fun tasksRunning(): Int = cloud.workers.sumOf { worker ->
         worker.tasks.values.count { it.state == TaskState.RUNNING }
@@ -92,9 +92,9 @@
     fun tasksLostWithLeases(): Int = cloud.workers.sumOf { it.endedByLease }
 
     /** The longest that any worker has been without an answer that renewed its lease, in milliseconds. */
-    fun longestWithoutRenewal(): Long = up().maxOfOrNull { world.nowMs - it.leaseFrom } ?: 0L
+    fun longestWithoutRenewal(): Long = up().maxOfOrNull { time.nowMs - it.leaseStartedAt } ?: 0L
 
-    fun allRenewedSince(moment: Long): Boolean = up().all { it.leaseFrom > moment }
+    fun allRenewedSince(moment: Long): Boolean = up().all { it.leaseStartedAt > moment }
 
     private fun up(): List<SimWorker> = cloud.workers.filter { it.isUp && it.alive }
 
--- a/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
+++ b/src/scale/kotlin/oxbowlug/scale/HollowWorkers.kt
@@ -44,8 +44,8 @@
         private val endpoint = "${WorkerAddresses.host(number, controller.index)}:$workerPort"
         private var connection: HttpClientConnection? = null
 
-        override fun receive(report: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit) {
-            val bytes = Cbor.encode(Wire.encodeReport(report.copy(endpoint = endpoint)))
+        override fun receive(workerHeartbeat: WorkerHeartbeat, answer: (HeartbeatResponse?) -> Unit) {
+            val bytes = Cbor.encode(Wire.encodeReport(workerHeartbeat.copy(endpoint = endpoint)))
             traffic.reports.count(bytes.size, Traffic.REQUEST_HEADER_BYTES)
             network.deliver(near, far) {
                 connected()
@@ -135,9 +135,9 @@
         val near = Endpoint.Worker(worker.zone)
         val far = Endpoint.Controller(controller)
 
-        fun reply(status: Int, report: WorkerHeartbeat) = network.deliver(near, far) {
+        fun reply(status: Int, workerHeartbeat: WorkerHeartbeat) = network.deliver(near, far) {
             val endpoint = "${exchange.request.localAddress().host()}:${topology.ports.workers}"
-            val size = exchange.reply(status, Wire.encodeReport(report.copy(endpoint = endpoint)))
+            val size = exchange.reply(status, Wire.encodeReport(workerHeartbeat.copy(endpoint = endpoint)))
             traffic.directAnswers.count(size, Traffic.RESPONSE_HEADER_BYTES)
         }
         if (exchange.path == "/status") {
@@ -148,8 +148,8 @@
         val incarnation = fields.count("shift")
         val commands = Wire.decodeCommands(fields)
         network.deliver(far, near) {
-            worker.direct(token, incarnation, commands) { report, executed ->
-                reply(if (executed) Status.OK else Status.CONFLICT, report)
+            worker.direct(token, incarnation, commands) { workerHeartbeat, executed ->
+                reply(if (executed) Status.OK else Status.CONFLICT, workerHeartbeat)
             }
         }
     }
--- a/src/scale/kotlin/oxbowlug/scale/LoopbackRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/LoopbackRun.kt
@@ -7,8 +7,8 @@
 import kotlinx.coroutines.delay
 import oxbowlug.config.WriteLimits
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
-import oxbowlug.standin.names
+import oxbowlug.standin.VirtualTime
+import oxbowlug.standin.isAttemptStored
 import java.util.concurrent.TimeUnit
 
 /**
@@ -26,27 +26,27 @@
         VertxOptions().setEventLoopPoolSize(1).setBlockedThreadCheckInterval(1)
             .setBlockedThreadCheckIntervalUnit(TimeUnit.HOURS),
     )
-    val world = World(options.seed)
+    val time = VirtualTime(options.seed)
     protected val topology = Topology(options)
-    protected val network = Network(world, topology)
+    protected val network = Network(time, topology)
     val traffic = Traffic()
-    val store = SimStore(world).apply {
+    val store = SimStore(time).apply {
         limits = WriteLimits(options.writeRps, FleetPlan.VALUE_KB, FleetPlan.TXN_OPS)
     }
     protected val stateFaults = StateFaults()
     protected val plan = FleetPlan(options, topology)
     val fleet = HollowFleet(
-        options, topology, world, plan, ReportConnections(vertx, network, traffic, topology.ports.workers),
-        if (checksStored) store::names else { _ -> true },
+        options, topology, time, plan, ReportConnections(vertx, network, traffic, topology.ports.workers),
+        if (checksStored) store::isAttemptStored else { _ -> true },
     )
-    val users = Users(vertx, world, topology, network, fleet.rules)
+    val users = Users(vertx, time, topology, network, fleet.checker)
     val controllers: List<ControllerProcess> = ControllerFiles(options, topology, plan, classPath).processes()
-    val clock = RealTime(vertx, world).also { network.beforeDelivery = it::follow }
+    val clock = RealTime(vertx, time).also { network.beforeDelivery = it::follow }
 
     protected suspend fun listen() {
-        val state = StateServer(world, store, network, traffic, options.stateRps, stateFaults)
+        val state = StateServer(time, store, network, traffic, options.stateRps, stateFaults)
         val servers = state.start(vertx, topology) +
-            CloudServer(world, fleet.cloud, network, traffic, options.cloudRps).start(vertx, topology) +
+            CloudServer(time, fleet.cloud, network, traffic, options.cloudRps).start(vertx, topology) +
             PeerProxies(vertx, network, traffic).start(topology) +
             WorkerServer(network, traffic, topology, fleet.cloud::at).start(vertx)
         Future.all<Any>(servers).coAwait()
@@ -54,10 +54,10 @@
 
     /** Throws [StartFailed] when a controller ends, or doesn't serve in time. */
     protected suspend fun awaitHealthy() {
-        val began = world.nowMs
+        val began = time.nowMs
         while (users.healthyCount < controllers.size) {
             val ended = controllers.firstOrNull { !it.isAlive }
-            if (ended != null || world.nowMs - began > START_MS) {
+            if (ended != null || time.nowMs - began > START_MS) {
                 val named = ended ?: controllers[0]
                 throw StartFailed("${named.place.label} doesn't serve; its last lines:\n${named.lastLines()}")
             }
--- a/src/scale/kotlin/oxbowlug/scale/Network.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Network.kt
@@ -1,13 +1,13 @@
 package oxbowlug.scale
 
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.Zone
 
 /**
  * Latencies between zones and regions, and cuts between them or between single ends. A cut holds what is sent and
  * delivers it in order when it ends, as the protocol warns: so commands, reports and transactions arrive late.
  */
-internal class Network(private val world: World, private val topology: Topology) {
+internal class Network(private val time: VirtualTime, private val topology: Topology) {
     private class Cut(val untilMs: Long, val parts: (Endpoint, Endpoint) -> Boolean)
 
     private val cuts = ArrayList<Cut>()
@@ -41,13 +41,13 @@
 
     /** Cuts all messages for which [parts] holds, in that direction alone. */
     fun cutLinks(forMs: Long, parts: (Endpoint, Endpoint) -> Boolean) {
-        cuts.add(Cut(world.nowMs + forMs, parts))
+        cuts.add(Cut(time.nowMs + forMs, parts))
     }
 
-    fun isCut(from: Endpoint, to: Endpoint): Boolean = heldUntil(from, to) > world.nowMs
+    fun isCut(from: Endpoint, to: Endpoint): Boolean = heldUntil(from, to) > time.nowMs
 
     private fun heldUntil(from: Endpoint, to: Endpoint): Long {
-        cuts.removeIf { it.untilMs <= world.nowMs }
+        cuts.removeIf { it.untilMs <= time.nowMs }
         return cuts.filter { it.parts(from, to) }.maxOfOrNull { it.untilMs } ?: 0L
     }
 
@@ -55,14 +55,14 @@
     fun deliver(from: Endpoint, to: Endpoint, action: () -> Unit) {
         beforeDelivery()
         val until = if (cuts.isEmpty()) 0L else heldUntil(from, to)
-        if (until > world.nowMs) held++
+        if (until > time.nowMs) held++
         val isToWorker = from is Endpoint.Worker || to is Endpoint.Worker
         if (isToWorker && happens(lostToWorkers)) return
-        val lateMs = if (isToWorker && happens(lateToWorkers)) world.between(LATE_MS) else 0L
-        world.after(maxOf(until - world.nowMs, 0L) + latencyMs(from.zone, to.zone) + lateMs, action)
+        val lateMs = if (isToWorker && happens(lateToWorkers)) time.between(LATE_MS) else 0L
+        time.after(maxOf(until - time.nowMs, 0L) + latencyMs(from.zone, to.zone) + lateMs, action)
     }
 
-    private fun happens(share: Double): Boolean = share > 0.0 && world.chance(share)
+    private fun happens(share: Double): Boolean = share > 0.0 && time.chance(share)
 
     private companion object {
         const val SAME_ZONE_MS = 0L
--- a/src/scale/kotlin/oxbowlug/scale/RequestLimit.kt
+++ b/src/scale/kotlin/oxbowlug/scale/RequestLimit.kt
@@ -1,16 +1,16 @@
 package oxbowlug.scale
 
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 
 /** A published limit of requests a second, with bursts of [burstS] seconds' worth. */
-internal class RequestLimit(private val world: World, private val rps: Double, private val burstS: Int) {
+internal class RequestLimit(private val time: VirtualTime, private val rps: Double, private val burstS: Int) {
     private var tokens = rps * burstS
     private var tokensAt = 0L
 
     /** False when the request is one too many. */
     fun take(): Boolean {
-        tokens = minOf(rps * burstS, tokens + (world.nowMs - tokensAt) * rps / MS)
-        tokensAt = world.nowMs
+        tokens = minOf(rps * burstS, tokens + (time.nowMs - tokensAt) * rps / MS)
+        tokensAt = time.nowMs
         if (tokens < 1.0) return false
         tokens -= 1.0
         return true
--- a/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
+++ b/src/scale/kotlin/oxbowlug/scale/ScaleRun.kt
@@ -4,10 +4,10 @@
 import kotlinx.coroutines.delay
 import oxbowlug.record.Keys
 import oxbowlug.record.LeadershipRecord
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 
 /** The stand-ins' time follows the real one; how far it fell behind says whether the stand-ins kept up. */
-internal class RealTime(vertx: Vertx, private val world: World) {
+internal class RealTime(vertx: Vertx, private val time: VirtualTime) {
     private val beganNs = System.nanoTime()
     private var isAdvancing = false
 
@@ -31,8 +31,8 @@
         if (isStopped || isAdvancing) return
         isAdvancing = true
         val now = (System.nanoTime() - beganNs) / NS_PER_MS
-        latestMs = maxOf(latestMs, now - world.nowMs)
-        world.advanceTo(now)
+        latestMs = maxOf(latestMs, now - time.nowMs)
+        time.advanceTo(now)
         isAdvancing = false
     }
 
@@ -52,7 +52,7 @@
     options: ScaleOptions,
     private val say: (String) -> Unit,
 ) : LoopbackRun(options, checksStored = false) {
-    val arrivals = Arrivals(options, world, plan, fleet, users)
+    val arrivals = Arrivals(options, time, plan, fleet, users)
     private val sampler = Sampler(controllers)
     private val meters = MeterReader(vertx)
     private val samples = ArrayList<Sample>()
@@ -67,9 +67,9 @@
         startControllers()
         sampler.start()
         users.start()
-        val began = world.nowMs
+        val began = time.nowMs
         awaitHealthy()
-        say("${controllers.size} controllers serve after ${(world.nowMs - began) / MS} s")
+        say("${controllers.size} controllers serve after ${(time.nowMs - began) / MS} s")
         checkMalformedReports()
         observe()
         fill()
@@ -101,16 +101,16 @@
     }
 
     private fun observe() {
-        world.every(LOOK_MS) { window?.look() }
+        time.every(LOOK_MS) { window?.look() }
         var processor = controllers.map { it.cpuSeconds }
-        world.every(SECOND_MS) {
-            fleet.rules.check(fleet.cloud.workers)
+        time.every(SECOND_MS) {
+            fleet.checker.check(fleet.cloud.workers)
             controllers.forEach { it.keepUp() }
             window?.everySecond()
             val now = controllers.map { it.cpuSeconds }
             samples.add(
                 Sample(
-                    world.nowMs / MS, now.zip(processor) { after, before -> after - before },
+                    time.nowMs / MS, now.zip(processor) { after, before -> after - before },
                     controllers.map { it.latest.residentMb }, controllers.map { it.latest.sockets },
                     fleet.tasksRunning(),
                 ),
@@ -121,7 +121,7 @@
 
     /** Submits the standing services as fast as they are accepted, until nearly all of their tasks run. */
     private suspend fun fill() {
-        val began = world.nowMs
+        val began = time.nowMs
         val jobs = ArrayDeque(plan.standingJobs())
         var open = 0
         while (jobs.isNotEmpty() || open > 0) {
@@ -129,11 +129,11 @@
                 open++
                 arrivals.submit(jobs.removeFirst()) { open-- }
             }
-            if (world.nowMs - began > FILL_MS) break
+            if (time.nowMs - began > FILL_MS) break
             delay(LOOK_MS)
         }
-        while (fleet.tasksRunning() < options.targetTasks * FILLED && world.nowMs - began < FILL_MS) delay(LOOK_MS)
-        filledInS = (world.nowMs - began) / MS
+        while (fleet.tasksRunning() < options.targetTasks * FILLED && time.nowMs - began < FILL_MS) delay(LOOK_MS)
+        filledInS = (time.nowMs - began) / MS
         say("${fleet.tasksRunning()} of ${options.targetTasks} tasks run after $filledInS s")
     }
 
@@ -143,7 +143,7 @@
         window = opened
         bringAbout(scenario, seconds, opened)
         val until = opened.startedAt + seconds * SECOND_MS
-        while (world.nowMs < until) delay(LOOK_MS)
+        while (time.nowMs < until) delay(LOOK_MS)
         val read = controllers.map { meters.read(it.place) }
         window = null
         return opened.result(read)
@@ -156,7 +156,7 @@
 
     private fun bringAbout(scenario: Scenario, seconds: Int, opened: Window) {
         val leaseMs = (options.leaseS * MS).toLong()
-        if (scenario != Scenario.ORDINARY && scenario != Scenario.PEAK) opened.failedAt = world.nowMs
+        if (scenario != Scenario.ORDINARY && scenario != Scenario.PEAK) opened.failedAt = time.nowMs
         when (scenario) {
             Scenario.ORDINARY -> Unit
             Scenario.PEAK -> arrivals.peak(maxOf(1, seconds / PEAK_PART))
@@ -170,19 +170,19 @@
 
     private fun endAndRestart(which: List<ControllerProcess>) {
         which.forEach { it.kill() }
-        world.after(RESTART_MS) { which.forEach { it.start() } }
+        time.after(RESTART_MS) { which.forEach { it.start() } }
     }
 
     private fun pause(controller: ControllerProcess, forMs: Long) {
         controller.pause()
-        world.after(forMs) { controller.resume() }
+        time.after(forMs) { controller.resume() }
     }
 
     private fun problem(): String? {
-        val broken = fleet.rules.broken
+        val ruleViolations = fleet.checker.ruleViolations
         val crowded = samples.flatMap { it.sockets }.maxOrNull() ?: 0
         return when {
-            broken.isNotEmpty() -> "${broken.size} times a rule was broken, first: ${broken.first()}"
+            ruleViolations.isNotEmpty() -> "${ruleViolations.size} times a rule was broken, first: ${ruleViolations.first()}"
             crowded > options.maxSockets -> "a controller held $crowded sockets of ${options.maxSockets}"
             fleet.starts == 0L -> "no task was started"
             else -> null
--- a/src/scale/kotlin/oxbowlug/scale/StateServer.kt
+++ b/src/scale/kotlin/oxbowlug/scale/StateServer.kt
@@ -5,9 +5,9 @@
 import io.vertx.core.http.HttpMethod
 import oxbowlug.port.ChangesOutcome
 import oxbowlug.port.CommitOutcome
-import oxbowlug.port.TouchOutcome
+import oxbowlug.port.LeaseRenewalOutcome
 import oxbowlug.standin.SimStore
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.Entry
 import oxbowlug.wire.Event
 import oxbowlug.wire.fields
@@ -15,14 +15,14 @@
 
 /** The state service over HTTP: one address for each controller, one store behind them. */
 internal class StateServer(
-    private val world: World,
+    private val time: VirtualTime,
     private val store: SimStore,
     private val network: Network,
     private val traffic: Traffic,
     rps: Double,
     private val faults: StateFaults = StateFaults(),
 ) {
-    private val requests = RequestLimit(world, rps, burstS = 1)
+    private val requests = RequestLimit(time, rps, burstS = 1)
 
     fun start(vertx: Vertx, topology: Topology): List<Future<*>> = topology.controllers.map { controller ->
         vertx.serveCbor(controller.stateHost, topology.ports.state) { exchange ->
@@ -35,10 +35,10 @@
     private inner class Call(val exchange: HttpExchange, val controller: ControllerPlace) {
         /** Usually within a few milliseconds, and a few times in a thousand within some hundred. */
         fun reply(status: Int, body: Map<String, Any?>) {
-            replyAfter(if (world.chance(SLOW_SHARE)) world.between(SLOW_MS) else world.between(USUAL_MS), status, body)
+            replyAfter(if (time.chance(SLOW_SHARE)) time.between(SLOW_MS) else time.between(USUAL_MS), status, body)
         }
 
-        fun replyAfter(pauseMs: Long, status: Int, body: Map<String, Any?>) = world.after(pauseMs) {
+        fun replyAfter(pauseMs: Long, status: Int, body: Map<String, Any?>) = time.after(pauseMs) {
             network.deliver(Endpoint.StateService, Endpoint.Controller(controller)) { exchange.reply(status, body) }
         }
 
@@ -62,12 +62,12 @@
             path == "/changes" -> changes(call)
             path == "/holds" -> {
                 traffic.stateLeaseCalls++
-                call.reply(Status.OK, mapOf("tether" to store.grant(exchange.body().fields().count("life_ms"))))
+                call.reply(Status.OK, mapOf("tether" to store.grantLease(exchange.body().fields().count("life_ms"))))
             }
-            path.startsWith(HOLDS) && path.endsWith(TOUCH) -> touch(call, path)
+            path.startsWith(HOLDS) && path.endsWith(TOUCH) -> keepLeaseAlive(call, path)
             path.startsWith(HOLDS) && method == HttpMethod.DELETE -> {
                 traffic.stateLeaseCalls++
-                path.substring(HOLDS.length).toLongOrNull()?.let(store::release)
+                path.substring(HOLDS.length).toLongOrNull()?.let(store::revokeLease)
                 call.reply(Status.OK, emptyMap())
             }
             else -> call.reply(Status.NOT_FOUND, mapOf("ledger" to store.revision))
@@ -95,24 +95,24 @@
         val transaction = Wire.decodeTransaction(call.exchange.body())
         when {
             happens(faults.refusedWrites) -> call.reply(Status.TOO_MANY, mapOf("error" to "rate"))
-            happens(faults.lateWrites) -> world.after(world.between(LATE_WRITE_MS)) {
+            happens(faults.lateWrites) -> time.after(time.between(LATE_WRITE_MS)) {
                 if (!store.down) store.commit(transaction)
             }
             happens(faults.lostAnswers) -> store.commit(transaction)
             happens(faults.slowAnswers) -> answer(store.commit(transaction)) { status, body ->
-                call.replyAfter(world.between(SLOW_ANSWER_MS), status, body)
+                call.replyAfter(time.between(SLOW_ANSWER_MS), status, body)
             }
             else -> answer(store.commit(transaction), call::reply)
         }
     }
 
-    private fun happens(share: Double): Boolean = share > 0.0 && world.chance(share)
+    private fun happens(share: Double): Boolean = share > 0.0 && time.chance(share)
 
     private fun answer(outcome: CommitOutcome, reply: (Int, Map<String, Any?>) -> Unit) = when (outcome) {
         is CommitOutcome.Applied -> reply(Status.OK, mapOf("ledger" to outcome.revision))
         is CommitOutcome.Conflict ->
             reply(Status.CONFLICT, mapOf("failed" to outcome.failed, "ledger" to store.revision))
-        CommitOutcome.LeaseOver -> reply(Status.BAD_REQUEST, mapOf("error" to "no such lease"))
+        CommitOutcome.LeaseExpired -> reply(Status.BAD_REQUEST, mapOf("error" to "no such lease"))
         CommitOutcome.Invalid -> reply(Status.BAD_REQUEST, mapOf("error" to "larger than the limits"))
         CommitOutcome.Refused, CommitOutcome.Unanswered -> {
             traffic.stateRefused++
@@ -144,10 +144,10 @@
         return mapOf("ledger" to outcome.changes.revision, "events" to outcome.changes.events.map(::encode))
     }
 
-    private fun touch(call: Call, path: String) {
+    private fun keepLeaseAlive(call: Call, path: String) {
         traffic.stateLeaseCalls++
         val id = path.removeSuffix(TOUCH).substring(HOLDS.length).toLongOrNull()
-        val isRenewed = id != null && store.touch(id) == TouchOutcome.RENEWED
+        val isRenewed = id != null && store.keepLeaseAlive(id) == LeaseRenewalOutcome.RENEWED
         if (isRenewed) call.reply(Status.OK, mapOf("tether" to id)) else call.reply(Status.NOT_FOUND, emptyMap())
     }
 
--- a/src/scale/kotlin/oxbowlug/scale/Users.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Users.kt
@@ -8,8 +8,8 @@
 import io.vertx.core.http.PoolOptions
 import io.vertx.core.http.RequestOptions
 import oxbowlug.request.UserResponse
-import oxbowlug.standin.Rules
-import oxbowlug.standin.World
+import oxbowlug.standin.InvariantChecker
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.Cbor
 import oxbowlug.wire.InvalidField
 import oxbowlug.wire.JobId
@@ -25,10 +25,10 @@
 /** Users behind a load balancer: they submit, repeat what wasn't taken, poll, and cancel. */
 internal class Users(
     vertx: Vertx,
-    private val world: World,
+    private val time: VirtualTime,
     private val topology: Topology,
     private val network: Network,
-    private val rules: Rules,
+    private val checker: InvariantChecker,
 ) {
     private val client = vertx.createHttpClient(
         HttpClientOptions().setKeepAlive(true).setDecompressionSupported(false),
@@ -46,7 +46,7 @@
         private set
     val healthyCount: Int get() = isHealthy.count { it }
 
-    fun start() = world.every(PROBE_MS) { topology.controllers.forEach(::probe) }
+    fun start() = time.every(PROBE_MS) { topology.controllers.forEach(::probe) }
 
     private fun probe(controller: ControllerPlace) {
         call(controller, HttpMethod.GET, "/healthz", null, PROBE_TIMEOUT_MS) { answer ->
@@ -58,25 +58,25 @@
     }
 
     fun submit(job: PlannedJob, onAccepted: () -> Unit = {}) {
-        rules.jobs[job.spec.id.value] = Rules.Known(job.spec)
-        attempt(job, world.nowMs, onAccepted)
+        checker.jobs[job.spec.id.value] = InvariantChecker.Known(job.spec)
+        attempt(job, time.nowMs, onAccepted)
     }
 
     private fun attempt(job: PlannedJob, firstAt: Long, onAccepted: () -> Unit) {
         val id = job.spec.id.value
-        val askedAt = world.nowMs
+        val askedAt = time.nowMs
         ask(HttpMethod.POST, "/work", JobSpecCodec.encode(job.spec)) { answer ->
-            val told = answer?.let { read(it, isSubmission = true) }
-            if (told != null) rules.told(id, told, askedAt)
+            val observed = answer?.let { read(it, isSubmission = true) }
+            if (observed != null) checker.observed(id, observed, askedAt)
             when {
-                told is UserResponse.Accepted || told is UserResponse.Known -> {
-                    acceptance.record(world.nowMs - firstAt)
+                observed is UserResponse.Accepted || observed is UserResponse.Known -> {
+                    acceptance.record(time.nowMs - firstAt)
                     onAccepted()
                     pollLater(id)
                 }
-                world.nowMs - firstAt > GIVE_UP_MS || told is UserResponse.Malformed || told is UserResponse.Rejected ->
+                time.nowMs - firstAt > GIVE_UP_MS || observed is UserResponse.Malformed || observed is UserResponse.Rejected ->
                     givenUp++
-                else -> world.after(pauseMs(answer)) { attempt(job, firstAt, onAccepted) }
+                else -> time.after(pauseMs(answer)) { attempt(job, firstAt, onAccepted) }
             }
         }
     }
@@ -84,28 +84,28 @@
     private fun pauseMs(answer: Answer?): Long = maxOf(RETRY_MS, (answer?.retryAfterS ?: 0) * MS)
 
     fun cancel(id: JobId) {
-        val job = rules.jobs[id.value] ?: return
-        job.askedToCancel = true
-        val askedAt = world.nowMs
+        val job = checker.jobs[id.value] ?: return
+        job.cancelRequested = true
+        val askedAt = time.nowMs
         ask(HttpMethod.POST, "/work/$id/cancel", emptyMap()) { answer ->
-            val told = answer?.let { read(it, isSubmission = false) }
-            if (told != null) rules.told(id.value, told, askedAt)
-            if (told !is UserResponse.Known) world.after(pauseMs(answer)) { cancel(id) }
+            val observed = answer?.let { read(it, isSubmission = false) }
+            if (observed != null) checker.observed(id.value, observed, askedAt)
+            if (observed !is UserResponse.Known) time.after(pauseMs(answer)) { cancel(id) }
         }
     }
 
     private fun pollLater(id: String) {
-        world.after(world.between(POLL_MS)) {
-            val job = rules.jobs.getValue(id)
+        time.after(time.between(POLL_MS)) {
+            val job = checker.jobs.getValue(id)
             if (job.finalSince == null) poll(id)
         }
     }
 
     private fun poll(id: String) {
-        val askedAt = world.nowMs
+        val askedAt = time.nowMs
         ask(HttpMethod.GET, "/work/$id", null, POLL_TIMEOUT_MS) { answer ->
-            val told = answer?.let { read(it, isSubmission = false) }
-            if (told is UserResponse.Known || told is UserResponse.NotFound) rules.told(id, told, askedAt)
+            val observed = answer?.let { read(it, isSubmission = false) }
+            if (observed is UserResponse.Known || observed is UserResponse.NotFound) checker.observed(id, observed, askedAt)
             pollLater(id)
         }
     }
@@ -142,7 +142,7 @@
         done: (Answer?) -> Unit,
     ) {
         val healthy = topology.controllers.filter { isHealthy[it.index] }.ifEmpty { topology.controllers }
-        val chosen = healthy[world.between(0, healthy.size - 1L).toInt()]
+        val chosen = healthy[time.between(0, healthy.size - 1L).toInt()]
         call(chosen, method, path, body, timeoutMs) { answer ->
             answers.merge(answer?.status ?: 0, 1L, Long::plus)
             done(answer)
@@ -164,7 +164,7 @@
             isOverQuota = true
             done(answer)
         }
-        world.after(timeoutMs) { end(null) }
+        time.after(timeoutMs) { end(null) }
         val far = Endpoint.Controller(controller)
         network.deliver(Endpoint.UserSide, far) {
             val options = RequestOptions().setHost(controller.clientHost).setPort(controller.clientPort)
--- a/src/scale/kotlin/oxbowlug/scale/Window.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Window.kt
@@ -5,7 +5,7 @@
 
 /** Counters at one moment, so that a scenario's figures are differences of two. */
 internal class Counters(private val run: ScaleRun) {
-    val atMs = run.world.nowMs
+    val atMs = run.time.nowMs
     private val traffic = run.traffic
     val reports = traffic.reports.messages
     val reportBytes = traffic.reports.bytes + traffic.directAnswers.bytes
@@ -25,7 +25,7 @@
     val askedStarts = run.arrivals.askedStarts
     val lost = run.fleet.tasksLostWithLeases()
     val ended = run.controllers.sumOf { it.endedByItself }
-    val broken = run.fleet.rules.broken.size
+    val ruleViolations = run.fleet.checker.ruleViolations.size
     val processor = run.controllers.map { it.cpuSeconds }
     val ownProcessor = ownProcessorSeconds()
     val userAnswers = HashMap(run.users.answers)
@@ -60,7 +60,7 @@
     fun look() {
         longestUnrenewedMs = maxOf(longestUnrenewedMs, run.fleet.longestWithoutRenewal())
         val since = failedAt ?: return
-        if (renewedAfterMs == null && run.fleet.allRenewedSince(since)) renewedAfterMs = run.world.nowMs - since
+        if (renewedAfterMs == null && run.fleet.allRenewedSince(since)) renewedAfterMs = run.time.nowMs - since
     }
 
     fun everySecond() {
@@ -96,7 +96,7 @@
             endedByThemselves = after.ended - before.ended,
             standInsProcessorShare = (after.ownProcessor - before.ownProcessor) / seconds,
             standInsLatestMs = run.clock.latestMs,
-            rulesBroken = run.fleet.rules.broken.drop(before.broken),
+            rulesBroken = run.fleet.checker.ruleViolations.drop(before.ruleViolations),
         )
     }
 
--- a/src/scale/kotlin/oxbowlug/scale/Wire.kt
+++ b/src/scale/kotlin/oxbowlug/scale/Wire.kt
@@ -25,7 +25,7 @@
         "shift" to report.incarnation,
         "tally" to report.sequence,
         "brand" to report.token.value,
-        "whistle_s" to report.noticeS,
+        "whistle_s" to report.interruptionNoticeS,
         "furrows" to report.tasks.map { task ->
             val map = LinkedHashMap<String, Any?>()
             map["furrow"] = task.attempt.task.toString()
--- a/src/scale/kotlin/oxbowlug/soak/Fault.kt
+++ b/src/scale/kotlin/oxbowlug/soak/Fault.kt
@@ -22,23 +22,23 @@
     CLOUD_OUTAGE,
 
     /** The leader's open reads of changes get no answer, while all its other calls are served. */
-    HOLD_LEADER_WATCH,
+    DROP_LEADER_WATCH_ANSWERS,
     REFUSE_WRITES,
     SLOW_WRITE_ANSWERS,
     LOSE_WRITE_ANSWERS,
     DELAY_WRITES,
-    FORGET_CHANGES,
+    DISCARD_CHANGE_HISTORY,
     LOSE_MESSAGES,
     DELAY_MESSAGES,
-    REPEAT_REPORTS,
-    REPEAT_REPORTS_TO_NEXT_LEADER,
-    HOLD_PEER_FRAMES,
-    DEAF_WORKERS,
-    MUTE_WORKERS,
+    DUPLICATE_HEARTBEATS,
+    REPLAY_OLD_HEARTBEATS,
+    STALL_PEER_LINKS,
+    UNRESPONSIVE_WORKERS,
+    LOSE_HEARTBEATS,
     HANG_WORKERS,
 
     /** No answers reach them until their leases are over, and then their reports get nowhere. */
-    UNANSWERED_THEN_MUTE_WORKERS,
+    LOSE_ANSWERS_THEN_HEARTBEATS,
 
     /** Users call off jobs that run. */
     CANCEL_RUNNING,
--- a/src/scale/kotlin/oxbowlug/soak/LostAnswers.kt
+++ b/src/scale/kotlin/oxbowlug/soak/LostAnswers.kt
@@ -1,19 +1,19 @@
 package oxbowlug.soak
 
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 
 /**
  * A worker that gets no answers to its reports for about a lease, and whose reports are then lost, while direct
  * commands reach it throughout. Its incarnation ends as its leader goes on hearing it, and the next one begins unheard
  * (docs/incidents/broke-at-size-2.md).
  */
-internal class LostAnswers(private val world: World, private val leaseMs: Long) {
+internal class LostAnswers(private val time: VirtualTime, private val leaseMs: Long) {
     fun begin(worker: SimWorker) {
-        val overAt = worker.leaseFrom + leaseMs
-        worker.unansweredUntil = overAt
-        world.after(overAt - world.between(0, leaseMs / PART) - world.nowMs) {
-            worker.muteUntil = overAt + leaseMs - world.between(0, leaseMs / PART)
+        val overAt = worker.leaseStartedAt + leaseMs
+        worker.answersLostUntil = overAt
+        time.after(overAt - time.between(0, leaseMs / PART) - time.nowMs) {
+            worker.heartbeatsLostUntil = overAt + leaseMs - time.between(0, leaseMs / PART)
         }
     }
 
--- a/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
+++ b/src/scale/kotlin/oxbowlug/soak/RealFaults.kt
@@ -10,13 +10,13 @@
 import oxbowlug.standin.HeartbeatTarget
 import oxbowlug.standin.SimStore
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.WorkerHeartbeat
 import oxbowlug.wire.Zone
 
 /** Brings faults about on real controller processes and on the stand-ins around them. */
 internal class RealFaults(
-    private val world: World,
+    private val time: VirtualTime,
     private val zones: List<Zone>,
     private val network: Network,
     private val store: SimStore,
@@ -33,11 +33,11 @@
 
     init {
         fleet.onReportSent = ::repeatReport
-        world.every(LOOK_MS) { bringKept() }
+        time.every(LOOK_MS) { bringKept() }
     }
 
     fun play(schedule: FaultSchedule) {
-        for (fault in schedule.faults) world.after(fault.atMs) { begin(fault) }
+        for (fault in schedule.faults) time.after(fault.atMs) { begin(fault) }
     }
 
     private fun leaderLabel(): String? {
@@ -69,31 +69,31 @@
             FaultKind.CUT_ZONE -> network.cutZone(zones[fault.target % zones.size], fault.forMs)
             FaultKind.STATE_OUTAGE -> hold(fault) { store.down = it }
             FaultKind.CLOUD_OUTAGE -> hold(fault) { fleet.cloud.down = it }
-            FaultKind.HOLD_LEADER_WATCH -> holdIndex(stateFaults.heldWatches, leader(), fault)
+            FaultKind.DROP_LEADER_WATCH_ANSWERS -> holdIndex(stateFaults.heldWatches, leader(), fault)
             FaultKind.REFUSE_WRITES -> hold(fault) { stateFaults.refusedWrites = if (it) OFTEN else 0.0 }
             FaultKind.SLOW_WRITE_ANSWERS -> hold(fault) { stateFaults.slowAnswers = if (it) OFTEN else 0.0 }
             FaultKind.LOSE_WRITE_ANSWERS -> hold(fault) { stateFaults.lostAnswers = if (it) OFTEN else 0.0 }
             FaultKind.DELAY_WRITES -> hold(fault) { stateFaults.lateWrites = if (it) OFTEN else 0.0 }
-            FaultKind.FORGET_CHANGES -> store.forgetChanges()
+            FaultKind.DISCARD_CHANGE_HISTORY -> store.discardChangeHistory()
             FaultKind.LOSE_MESSAGES -> hold(fault) { network.lostToWorkers = if (it) SELDOM else 0.0 }
             FaultKind.DELAY_MESSAGES -> hold(fault) { network.lateToWorkers = if (it) SELDOM else 0.0 }
-            FaultKind.REPEAT_REPORTS -> hold(fault) { repeatedReports = if (it) SELDOM else 0.0 }
-            FaultKind.REPEAT_REPORTS_TO_NEXT_LEADER -> hold(fault) { keepsForNext = it }
-            FaultKind.HOLD_PEER_FRAMES ->
+            FaultKind.DUPLICATE_HEARTBEATS -> hold(fault) { repeatedReports = if (it) SELDOM else 0.0 }
+            FaultKind.REPLAY_OLD_HEARTBEATS -> hold(fault) { keepsForNext = it }
+            FaultKind.STALL_PEER_LINKS ->
                 network.cutLinks(fault.forMs) { from, to -> from is Endpoint.Controller && to is Endpoint.Controller }
-            FaultKind.DEAF_WORKERS -> some(fault).forEach { it.unresponsiveUntil = world.nowMs + fault.forMs }
-            FaultKind.MUTE_WORKERS -> some(fault).forEach { it.muteUntil = world.nowMs + fault.forMs }
-            FaultKind.HANG_WORKERS -> some(fault).forEach { it.hungUntil = world.nowMs + fault.forMs }
-            FaultKind.UNANSWERED_THEN_MUTE_WORKERS -> some(fault).forEach { LostAnswers(world, leaseMs).begin(it) }
+            FaultKind.UNRESPONSIVE_WORKERS -> some(fault).forEach { it.unresponsiveUntil = time.nowMs + fault.forMs }
+            FaultKind.LOSE_HEARTBEATS -> some(fault).forEach { it.heartbeatsLostUntil = time.nowMs + fault.forMs }
+            FaultKind.HANG_WORKERS -> some(fault).forEach { it.hungUntil = time.nowMs + fault.forMs }
+            FaultKind.LOSE_ANSWERS_THEN_HEARTBEATS -> some(fault).forEach { LostAnswers(time, leaseMs).begin(it) }
             FaultKind.CANCEL_RUNNING -> load.cancelRunning(1 + fault.target % MOST_JOBS)
             FaultKind.CANCEL_RUNNING_AND_HANG ->
-                load.cancelRunning(1 + fault.target % MOST_JOBS).forEach { it.hungUntil = world.nowMs + fault.forMs }
+                load.cancelRunning(1 + fault.target % MOST_JOBS).forEach { it.hungUntil = time.nowMs + fault.forMs }
         }
     }
 
     private fun hold(fault: Fault, set: (Boolean) -> Unit) {
         set(true)
-        world.after(fault.forMs) { set(false) }
+        time.after(fault.forMs) { set(false) }
     }
 
     private fun holdIndex(indexes: MutableSet<Int>, controller: ControllerProcess, fault: Fault) = hold(fault) {
@@ -125,22 +125,22 @@
 
     private fun kill(which: List<ControllerProcess>, fault: Fault) {
         which.forEach { it.kill() }
-        world.after(fault.forMs) { which.filterNot { it.isAlive }.forEach { it.start() } }
+        time.after(fault.forMs) { which.filterNot { it.isAlive }.forEach { it.start() } }
     }
 
     private fun pause(controller: ControllerProcess, fault: Fault) {
         controller.pause()
-        world.after(fault.forMs) { controller.resume() }
+        time.after(fault.forMs) { controller.resume() }
     }
 
     private fun some(fault: Fault): List<SimWorker> =
-        fleet.cloud.workers.shuffled(world.random).take(1 + fault.target % MOST_WORKERS)
+        fleet.cloud.workers.shuffled(time.random).take(1 + fault.target % MOST_WORKERS)
 
     private fun repeatReport(report: WorkerHeartbeat, targets: List<HeartbeatTarget>) {
         if (keepsForNext) keptForNext.add(report to targets)
-        if (repeatedReports == 0.0 || !world.chance(repeatedReports)) return
-        val target = targets[world.random.nextInt(targets.size)]
-        world.after(world.between(LATE_REPORT_MS)) { target.receive(report) { } }
+        if (repeatedReports == 0.0 || !time.chance(repeatedReports)) return
+        val target = targets[time.random.nextInt(targets.size)]
+        time.after(time.between(LATE_REPORT_MS)) { target.receive(report) { } }
     }
 
     /** Old reports reach every controller just as another one begins to lead. */
--- a/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
+++ b/src/scale/kotlin/oxbowlug/soak/SoakLoad.kt
@@ -5,12 +5,12 @@
 import oxbowlug.scale.PlannedJob
 import oxbowlug.scale.Users
 import oxbowlug.standin.SimWorker
-import oxbowlug.standin.World
+import oxbowlug.standin.VirtualTime
 import oxbowlug.wire.JobId
 
 /** Users who go on submitting, asking and cancelling through all troubles, some of them work in stages. */
 internal class SoakLoad(
-    private val world: World,
+    private val time: VirtualTime,
     private val plan: FleetPlan,
     private val fleet: HollowFleet,
     private val users: Users,
@@ -21,8 +21,8 @@
     }
 
     private fun next(untilMs: Long) {
-        world.after(world.between(JOB_EVERY_MS)) {
-            if (world.nowMs < untilMs) {
+        time.after(time.between(JOB_EVERY_MS)) {
+            if (time.nowMs < untilMs) {
                 submitOne()
                 next(untilMs)
             }
@@ -30,17 +30,17 @@
     }
 
     private fun submitOne() {
-        when (world.random.nextInt(KINDS)) {
-            0 -> submit(plan.urgentJob(world.between(TASKS).toInt()))
-            1 -> submit(plan.batchJob(world.between(TASKS).toInt(), runS = LONG_RUN_S))
+        when (time.random.nextInt(KINDS)) {
+            0 -> submit(plan.urgentJob(time.between(TASKS).toInt()))
+            1 -> submit(plan.batchJob(time.between(TASKS).toInt(), runS = LONG_RUN_S))
             2 -> submitStages()
-            else -> submit(plan.batchJob(world.between(TASKS).toInt(), runS = SHORT_RUN_S))
+            else -> submit(plan.batchJob(time.between(TASKS).toInt(), runS = SHORT_RUN_S))
         }
     }
 
     private fun submitStages() {
-        val first = plan.batchJob(world.between(TASKS).toInt(), SHORT_RUN_S)
-        val second = plan.batchJob(world.between(TASKS).toInt(), SHORT_RUN_S)
+        val first = plan.batchJob(time.between(TASKS).toInt(), SHORT_RUN_S)
+        val second = plan.batchJob(time.between(TASKS).toInt(), SHORT_RUN_S)
         val waiting = PlannedJob(second.spec.copy(dependsOn = listOf(first.spec.id)), second.runMs)
         submit(first) { submit(waiting) }
     }
@@ -51,14 +51,14 @@
         fleet.expect(job)
         users.submit(job) {
             onAccepted()
-            if (world.chance(CANCELLED)) world.after(world.between(CANCEL_AFTER_MS)) { users.cancel(job.spec.id) }
+            if (time.chance(CANCELLED)) time.after(time.between(CANCEL_AFTER_MS)) { users.cancel(job.spec.id) }
         }
     }
 
     /** Calls off up to [count] jobs that run, and returns the machines that hold them. */
     fun cancelRunning(count: Int): Set<SimWorker> {
-        val calledOff = drawRunning(fleet.cloud.workers, count, world.random)
-        for (id in calledOff.keys) world.after(world.between(0, SPREAD_MS)) { users.cancel(JobId(id)) }
+        val calledOff = drawRunningJobs(fleet.cloud.workers, count, time.random)
+        for (id in calledOff.keys) time.after(time.between(0, SPREAD_MS)) { users.cancel(JobId(id)) }
         return calledOff.values.flatten().toSet()
     }
 
